--- a/lib/src/backend_registry.rs
+++ b/lib/src/backend_registry.rs
@@ -14,7 +14,7 @@
 use crate::announcement::BackendState;
 use crate::announcement::LAPSE_MS;
 use crate::announcement::REPEAT_MS;
-use crate::circuit::Circuit;
+use crate::circuit::CircuitBreaker;
 use crate::circuit::Flow;
 use crate::id::BackendName;
 use crate::id::SessionId;
@@ -67,7 +67,7 @@
     heard: Instant,
     leaving_since: Option<Instant>,
     ramp: Ramp,
-    circuit: Circuit,
+    circuit: CircuitBreaker,
     shed: ShedLimit,
     in_flight: u32,
     /// Most requests in flight since the last announcement.
@@ -293,7 +293,7 @@
             heard: now,
             leaving_since: None,
             ramp,
-            circuit: Circuit::default(),
+            circuit: CircuitBreaker::default(),
             shed: ShedLimit::default(),
             in_flight: 0,
             peak: 0,
@@ -309,7 +309,7 @@
         if restarted {
             self.leaving_since = None;
             self.ramp = Ramp::Since(now);
-            self.circuit = Circuit::default();
+            self.circuit = CircuitBreaker::default();
         }
         if announcement.state == BackendState::Leaving {
             self.leaving_since = Some(now);
