--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod backend_health;
 pub mod backend_load;
 pub mod backend_registry;
-pub mod circuit;
+pub mod circuit_breaker;
 pub mod client_block_table;
 pub mod clock;
 pub mod cold_gate;
