--- a/lib/src/backend_registry.rs
+++ b/lib/src/backend_registry.rs
@@ -212,10 +212,10 @@
             }
             Ending::NotConnected | Ending::Failed => server.circuit_breaker.note_failure(now),
             Ending::ShedByServer => {
-                server.circuit_breaker.note_nothing();
+                server.circuit_breaker.note_inconclusive();
                 server.shed.note_shed(now, server.in_flight);
             }
-            Ending::Cancelled => server.circuit_breaker.note_nothing(),
+            Ending::Cancelled => server.circuit_breaker.note_inconclusive(),
         }
         if let Some(until) = ending.may_run_until(now, deadline) {
             self.hold(HeldSlot {
--- a/lib/src/circuit_breaker.rs
+++ b/lib/src/circuit_breaker.rs
@@ -77,7 +77,7 @@
     }
 
     /// Notes that a request ended without telling anything about the server.
-    pub fn note_nothing(&mut self) {
+    pub fn note_inconclusive(&mut self) {
         if let Self::Open { probing, .. } = self {
             *probing = false;
         }
