--- a/lib/src/digest_pace.rs
+++ b/lib/src/digest_pace.rs
@@ -19,7 +19,7 @@
 
 /// Remembers what was told last.
 #[derive(Debug, Default)]
-pub struct DigestPace {
+pub struct DigestThrottle {
     told: Option<Told>,
 }
 
@@ -29,7 +29,7 @@
     loads: Vec<GroupLoad>,
 }
 
-impl DigestPace {
+impl DigestThrottle {
     /// Tells whether `loads` are to be sent now.
     #[must_use]
     pub fn is_due(&self, now: Instant, loads: &[GroupLoad]) -> bool {
--- a/lib/tests/test_digest_pace.rs
+++ b/lib/tests/test_digest_pace.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use heatherring_lib::digest_pace::DigestPace;
+use heatherring_lib::digest_pace::DigestThrottle;
 use heatherring_lib::digest_pace::QUIET_INTERVAL;
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::ServiceName;
@@ -28,7 +28,7 @@
 
 fn check(change: impl FnOnce(&mut Vec<GroupLoad>), after: Duration, due: bool) {
     let now = Instant::now();
-    let mut pace = DigestPace::default();
+    let mut pace = DigestThrottle::default();
     let mut loads = vec![load()];
     assert!(pace.is_due(now, &loads), "the first one is always due");
     pace.note_sent(now, &loads);
--- a/server/src/session_core.rs
+++ b/server/src/session_core.rs
@@ -6,7 +6,7 @@
 use heatherring_lib::admission::Admission;
 use heatherring_lib::admission::Effect;
 use heatherring_lib::admission::ViewStep;
-use heatherring_lib::digest_pace::DigestPace;
+use heatherring_lib::digest_pace::DigestThrottle;
 use heatherring_lib::drain::DrainDecision;
 use heatherring_lib::id::Revision;
 use heatherring_lib::id::SessionId;
@@ -31,7 +31,7 @@
     drains: Vec<DrainDecision>,
     /// Slots of all owned groups by the last digest.
     told_slots: u64,
-    pace: DigestPace,
+    pace: DigestThrottle,
 }
 
 fn total_slots(loads: &[GroupLoad]) -> u64 {
@@ -50,7 +50,7 @@
             digest_serial: 0,
             drains: Vec::new(),
             told_slots: 0,
-            pace: DigestPace::default(),
+            pace: DigestThrottle::default(),
         }
     }
 
