--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -33,7 +33,7 @@
 pub mod crash_evidence;
 pub mod decision_log;
 pub mod decision_record;
-pub mod digest_pace;
+pub mod digest_throttle;
 pub mod direct_dispatch;
 pub mod direct_settings;
 pub mod dispatch_ask;
--- a/lib/tests/test_digest_pace.rs
+++ b/lib/tests/test_digest_pace.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use heatherring_lib::digest_pace::DigestThrottle;
-use heatherring_lib::digest_pace::QUIET_INTERVAL;
+use heatherring_lib::digest_throttle::DigestThrottle;
+use heatherring_lib::digest_throttle::QUIET_INTERVAL;
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::ServiceName;
 use heatherring_lib::load_digest::GroupLoad;
--- a/server/src/session_core.rs
+++ b/server/src/session_core.rs
@@ -6,7 +6,7 @@
 use heatherring_lib::admission::Admission;
 use heatherring_lib::admission::Effect;
 use heatherring_lib::admission::ViewStep;
-use heatherring_lib::digest_pace::DigestThrottle;
+use heatherring_lib::digest_throttle::DigestThrottle;
 use heatherring_lib::drain::DrainDecision;
 use heatherring_lib::id::Revision;
 use heatherring_lib::id::SessionId;
