--- a/lib/tests/test_digest_pace.rs
+++ b/lib/tests/test_digest_pace.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use heatherring_lib::digest_throttle::DigestThrottle;
-use heatherring_lib::digest_throttle::QUIET_INTERVAL;
+use heatherring_lib::digest_throttle::MAX_DIGEST_INTERVAL;
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::ServiceName;
 use heatherring_lib::load_digest::GroupLoad;
@@ -49,7 +49,7 @@
 
 pace_tests! {
     test_pace_nothing_new: |_| {}, SOON => false;
-    test_pace_quiet_for_long: |_| {}, QUIET_INTERVAL => true;
+    test_pace_quiet_for_long: |_| {}, MAX_DIGEST_INTERVAL => true;
     test_pace_small_change_of_use: |loads| loads[0].in_flight += 1, SOON => false;
     test_pace_large_change_of_use: |loads| loads[0].queued += 2, SOON => true;
     test_pace_slot_gone: |loads| loads[0].slots -= 1, SOON => true;
