--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -42,7 +42,7 @@
 use crate::id::RouteName;
 use crate::id::ServiceName;
 use crate::id::VmName;
-use crate::link_queue::LinkQueue;
+use crate::link_queue::LinkCongestion;
 use crate::region_moves::RegionMoves;
 use crate::request_rank::RankShares;
 use crate::service_pace::PaceKey;
@@ -89,7 +89,7 @@
     /// Shortest delay there and back that was seen, by region.
     pub(crate) delays: BTreeMap<RegionName, Duration>,
     /// What stands at this entry VM's own link.
-    link: LinkQueue,
+    link: LinkCongestion,
     /// Requests that were sent and haven't ended.
     under_way: usize,
     silent: BTreeSet<BackendName>,
@@ -116,7 +116,7 @@
             cold_watch: ColdWatch::new(now),
             question_turn: 0,
             delays: BTreeMap::new(),
-            link: LinkQueue::default(),
+            link: LinkCongestion::default(),
             under_way: 0,
             silent: BTreeSet::new(),
             evacuated: BTreeSet::new(),
