--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -42,7 +42,7 @@
 use crate::id::RouteName;
 use crate::id::ServiceName;
 use crate::id::VmName;
-use crate::link_queue::LinkCongestion;
+use crate::link_congestion::LinkCongestion;
 use crate::region_moves::RegionMoves;
 use crate::request_rank::RankShares;
 use crate::service_pace::PaceKey;
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -61,7 +61,7 @@
 pub mod host_value;
 pub mod id;
 pub mod link_budget;
-pub mod link_queue;
+pub mod link_congestion;
 pub mod list_delta;
 pub mod load_digest;
 mod log_cause;
