--- a/lib/src/group_admission.rs
+++ b/lib/src/group_admission.rs
@@ -32,7 +32,7 @@
 use crate::shift_budget::Shift;
 use crate::shift_budget::ShiftBudgets;
 use crate::tenure::Gained;
-use crate::tenure::Tenure;
+use crate::tenure::OwnershipState;
 use crate::usage_window::RecentUse;
 use crate::usage_window::UsageWindow;
 use crate::wait_queue::WaitQueue;
@@ -98,7 +98,7 @@
     /// Longest deadline of any request dispatched under a manifest seen so far.
     longest_deadline: Duration,
     gained: Gained,
-    tenure: Tenure,
+    tenure: OwnershipState,
     registry: BackendRegistry,
     queue: WaitQueue,
     times: ServiceTimes,
@@ -124,7 +124,7 @@
             group,
             longest_deadline: longest_deadline(service),
             gained,
-            tenure: Tenure::begin(gained),
+            tenure: OwnershipState::begin(gained),
             registry: BackendRegistry::default(),
             queue: WaitQueue::default(),
             times: ServiceTimes::default(),
--- a/lib/src/tenure.rs
+++ b/lib/src/tenure.rs
@@ -28,7 +28,7 @@
 
 /// Follows one session's ownership of one group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Tenure {
+pub enum OwnershipState {
     /// Another session may still dispatch.
     Unsettled {
         /// The revision under which this session became the owner.
@@ -48,7 +48,7 @@
     },
 }
 
-impl Tenure {
+impl OwnershipState {
     /// Begins an ownership.
     #[must_use]
     pub const fn begin(gained: Gained) -> Self {
