--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -45,10 +45,10 @@
 use crate::ownership::Group;
 use crate::ownership::OwnerTable;
 use crate::ownership::Release;
+use crate::ownership_state::Gained;
 use crate::retry_advice::RetryAdvice;
 use crate::shift_budget::Sharing;
 use crate::shift_budget::ShiftBudgets;
-use crate::tenure::Gained;
 use crate::view::ControlView;
 
 /// Time between two calls of [`Admission::tick`] while requests wait, by which slots are
