--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -45,7 +45,7 @@
 use crate::ownership::Group;
 use crate::ownership::OwnerTable;
 use crate::ownership::Release;
-use crate::ownership_state::Gained;
+use crate::ownership_state::Acquisition;
 use crate::retry_advice::RetryAdvice;
 use crate::shift_budget::Sharing;
 use crate::shift_budget::ShiftBudgets;
@@ -459,7 +459,7 @@
             group.apply_settings(service, view.revision);
             return;
         }
-        let gained = Gained {
+        let gained = Acquisition {
             revision: view.revision,
             seen_until,
             nothing_before: first_manifest,
--- a/lib/src/group_admission.rs
+++ b/lib/src/group_admission.rs
@@ -25,7 +25,7 @@
 use crate::ownership::Group;
 use crate::ownership::Release;
 use crate::ownership::ReleasedBackend;
-use crate::ownership_state::Gained;
+use crate::ownership_state::Acquisition;
 use crate::ownership_state::OwnershipState;
 use crate::rate_meter::RateMeter;
 use crate::retry_advice::RetryAdvice;
@@ -97,7 +97,7 @@
     settings: GroupSettings,
     /// Longest deadline of any request dispatched under a manifest seen so far.
     longest_deadline: Duration,
-    gained: Gained,
+    gained: Acquisition,
     ownership_state: OwnershipState,
     registry: BackendRegistry,
     queue: WaitQueue,
@@ -113,7 +113,7 @@
 impl GroupAdmission {
     /// Starts with the moment at which this session became the owner.
     #[must_use]
-    pub fn new(group: Group, service: &Service, gained: Gained) -> Self {
+    pub fn new(group: Group, service: &Service, gained: Acquisition) -> Self {
         let limit = place_limit(service, &group);
         let rate_share = SettledShare::with_base(u64::from(limit.max_per_second));
         Self {
--- a/lib/src/ownership_state.rs
+++ b/lib/src/ownership_state.rs
@@ -16,7 +16,7 @@
 
 /// Tells how this session became the owner of a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Gained {
+pub struct Acquisition {
     /// The revision of the view under which it found itself the owner.
     pub revision: Revision,
     /// The revision up to which it had seen the owners before. Only releases of later
@@ -51,7 +51,7 @@
 impl OwnershipState {
     /// Begins an ownership.
     #[must_use]
-    pub const fn begin(gained: Gained) -> Self {
+    pub const fn begin(gained: Acquisition) -> Self {
         Self::Unsettled {
             gained: gained.revision,
             told: gained.nothing_before,
