--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -44,7 +44,7 @@
 use crate::id::VmName;
 use crate::link_congestion::LinkCongestion;
 use crate::region_moves::RegionMoves;
-use crate::request_rank::RankShares;
+use crate::request_rank::RankFairness;
 use crate::service_pace::PaceKey;
 
 /// Least and longest time after which a caller that was refused is told to come back. What
@@ -96,7 +96,7 @@
     evacuated: BTreeSet<PlaceName>,
     began: Instant,
     moves: RegionMoves,
-    rank_shares: RankShares,
+    rank_shares: RankFairness,
     /// Where the next refusal's time lies in its spread, 0 to 1.
     lot: f64,
 }
@@ -122,7 +122,7 @@
             evacuated: BTreeSet::new(),
             began: now,
             moves: RegionMoves::default(),
-            rank_shares: RankShares::default(),
+            rank_shares: RankFairness::default(),
             lot: 0.0,
         }
     }
