--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -96,7 +96,7 @@
     evacuated: BTreeSet<PlaceName>,
     began: Instant,
     moves: RegionMoves,
-    rank_shares: RankFairness,
+    rank_fairness: RankFairness,
     /// Where the next refusal's time lies in its spread, 0 to 1.
     lot: f64,
 }
@@ -122,7 +122,7 @@
             evacuated: BTreeSet::new(),
             began: now,
             moves: RegionMoves::default(),
-            rank_shares: RankFairness::default(),
+            rank_fairness: RankFairness::default(),
             lot: 0.0,
         }
     }
@@ -312,7 +312,7 @@
         let service = &self.services[ask.service];
         let left = ask.answer_by().saturating_duration_since(now).as_secs_f64();
         let wait_share = if policy.shares_by_priority {
-            self.rank_shares.wait_share(now, ask.rank)
+            self.rank_fairness.wait_share(now, ask.rank)
         } else {
             1.0
         };
@@ -335,7 +335,7 @@
         let until_end = service.pace.until_end(pace);
         let best = best.filter(|best| ask.answers_until.is_none() || best.wait + until_end <= left);
         if !candidates.is_empty() {
-            self.rank_shares.note(now, ask.rank, best.is_some());
+            self.rank_fairness.note(now, ask.rank, best.is_some());
         }
         let Some(best) = best else {
             return Err(if candidates.is_empty() {
