--- a/lib/src/planned_stop.rs
+++ b/lib/src/planned_stop.rs
@@ -39,7 +39,7 @@
 
     /// Returns until when requests are taken.
     #[must_use]
-    pub fn takes_until(&self) -> Instant {
+    pub fn accepts_until(&self) -> Instant {
         self.asked_at + self.grace.mul_f64(SERVE_SHARE)
     }
 
@@ -47,7 +47,7 @@
     /// came to be read after the others.
     #[must_use]
     pub fn takes(&self, arrived: Instant) -> bool {
-        arrived <= self.takes_until()
+        arrived <= self.accepts_until()
     }
 
     /// Returns when an answer must be there at the latest.
