--- a/lib/src/planned_stop.rs
+++ b/lib/src/planned_stop.rs
@@ -65,7 +65,7 @@
 
     /// Returns the time from the request to stop until `at`; zero before it.
     #[must_use]
-    pub fn since_asked(&self, at: Instant) -> Duration {
+    pub fn since_requested(&self, at: Instant) -> Duration {
         at.saturating_duration_since(self.asked_at)
     }
 }
