--- a/lib/src/planned_stop.rs
+++ b/lib/src/planned_stop.rs
@@ -46,7 +46,7 @@
     /// Returns whether a request is taken whose head came at `arrived`, by whatever way it
     /// came to be read after the others.
     #[must_use]
-    pub fn takes(&self, arrived: Instant) -> bool {
+    pub fn accepts(&self, arrived: Instant) -> bool {
         arrived <= self.accepts_until()
     }
 
