--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -89,7 +89,7 @@
     began: Instant,
     /// The revision by which the session owned the group. A later ownership knows of the
     /// dispatch from the release of the owner in between, or waits until it is over.
-    gained: Revision,
+    acquired: Revision,
 }
 
 impl Admission {
@@ -257,7 +257,7 @@
         let Some(group) = self.groups.get_mut(&name) else {
             return self.finish_given_up(now, &done, ending);
         };
-        if group.gained() == done.gained {
+        if group.acquired() == done.acquired {
             group.finish(now, &done.offer, &done.backend, done.began, ending);
         }
         self.pump_group(now, &name)
@@ -371,15 +371,15 @@
 
     fn dispatch(&mut self, now: Instant, offer: Offer, placed: Placed) -> Dispatch {
         let deadline = offer.deadline;
-        let gained = self
+        let acquired = self
             .groups
             .get(&offer.group)
-            .map_or_else(Revision::default, GroupAdmission::gained);
+            .map_or_else(Revision::default, GroupAdmission::acquired);
         let key = self.dispatches.insert(Dispatched {
             offer,
             backend: placed.backend.clone(),
             began: now,
-            gained,
+            acquired,
         });
         Dispatch {
             key,
@@ -459,12 +459,12 @@
             group.apply_settings(service, view.revision);
             return;
         }
-        let gained = Acquisition {
+        let acquired = Acquisition {
             revision: view.revision,
             seen_until,
             nothing_before: first_manifest,
         };
-        let mut group = GroupAdmission::new(name.clone(), service, gained);
+        let mut group = GroupAdmission::new(name.clone(), service, acquired);
         self.handover.regain(&name);
         let early = self.handover.take_early(&name, seen_until);
         if let Some(early) = &early {
--- a/lib/src/group_admission.rs
+++ b/lib/src/group_admission.rs
@@ -97,7 +97,7 @@
     settings: GroupSettings,
     /// Longest deadline of any request dispatched under a manifest seen so far.
     longest_deadline: Duration,
-    gained: Acquisition,
+    acquired: Acquisition,
     ownership_state: OwnershipState,
     registry: BackendRegistry,
     queue: WaitQueue,
@@ -113,7 +113,7 @@
 impl GroupAdmission {
     /// Starts with the moment at which this session became the owner.
     #[must_use]
-    pub fn new(group: Group, service: &Service, gained: Acquisition) -> Self {
+    pub fn new(group: Group, service: &Service, acquired: Acquisition) -> Self {
         let limit = place_limit(service, &group);
         let rate_share = SettledShare::with_base(u64::from(limit.max_per_second));
         Self {
@@ -123,8 +123,8 @@
             },
             group,
             longest_deadline: longest_deadline(service),
-            gained,
-            ownership_state: OwnershipState::begin(gained),
+            acquired,
+            ownership_state: OwnershipState::begin(acquired),
             registry: BackendRegistry::default(),
             queue: WaitQueue::default(),
             times: ServiceTimes::default(),
@@ -139,14 +139,14 @@
 
     /// Returns the revision by which this session owns the group.
     #[must_use]
-    pub const fn gained(&self) -> Revision {
-        self.gained.revision
+    pub const fn acquired(&self) -> Revision {
+        self.acquired.revision
     }
 
     /// Returns the revision up to which this session had seen the owners before.
     #[must_use]
     pub const fn seen_until(&self) -> Revision {
-        self.gained.seen_until
+        self.acquired.seen_until
     }
 
     /// Takes a new manifest's settings.
--- a/lib/src/ownership_state.rs
+++ b/lib/src/ownership_state.rs
@@ -32,7 +32,7 @@
     /// Another session may still dispatch.
     Unsettled {
         /// The revision under which this session became the owner.
-        gained: Revision,
+        acquired: Revision,
         /// Whether it is known what the old owner had left in flight.
         told: bool,
     },
@@ -51,20 +51,20 @@
 impl OwnershipState {
     /// Begins an ownership.
     #[must_use]
-    pub const fn begin(gained: Acquisition) -> Self {
+    pub const fn begin(acquired: Acquisition) -> Self {
         Self::Unsettled {
-            gained: gained.revision,
-            told: gained.nothing_before,
+            acquired: acquired.revision,
+            told: acquired.nothing_before,
         }
     }
 
     /// Notes that `settled` is settled; `longest` is the longest deadline of any
     /// request that may have been dispatched before.
     pub fn settle(&mut self, now: Instant, settled: Revision, longest: Duration) {
-        let Self::Unsettled { gained, told } = *self else {
+        let Self::Unsettled { acquired, told } = *self else {
             return;
         };
-        if settled < gained {
+        if settled < acquired {
             return;
         }
         *self = if told {
