--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -32,8 +32,8 @@
 use crate::group_admission::GroupAdmission;
 use crate::group_admission::GroupContext;
 use crate::group_admission::Step;
-use crate::handover::GivenUp;
 use crate::handover::Handover;
+use crate::handover::ReleasedGroup;
 use crate::id::BackendName;
 use crate::id::Revision;
 use crate::id::SessionId;
@@ -510,7 +510,7 @@
         let Some(to) = owner.map(|owner| owner.id).filter(|id| *id != self.session) else {
             return effects;
         };
-        let given_up = GivenUp {
+        let given_up = ReleasedGroup {
             to,
             revision: self.view.revision,
             complete: group.knows_all(now),
