--- a/lib/tests/test_digest_pace.rs
+++ b/lib/tests/test_digest_pace.rs
@@ -28,14 +28,14 @@
 
 fn check(change: impl FnOnce(&mut Vec<GroupLoad>), after: Duration, due: bool) {
     let now = Instant::now();
-    let mut pace = DigestThrottle::default();
+    let mut throttle = DigestThrottle::default();
     let mut loads = vec![load()];
-    assert!(pace.is_due(now, &loads), "the first one is always due");
-    pace.note_sent(now, &loads);
+    assert!(throttle.is_due(now, &loads), "the first one is always due");
+    throttle.note_sent(now, &loads);
     change(&mut loads);
-    assert_eq!(pace.is_due(now + after, &loads), due);
-    pace.reset();
-    assert!(pace.is_due(now, &loads));
+    assert_eq!(throttle.is_due(now + after, &loads), due);
+    throttle.reset();
+    assert!(throttle.is_due(now, &loads));
 }
 
 macro_rules! pace_tests {
