--- a/lib/src/raft.rs
+++ b/lib/src/raft.rs
@@ -300,7 +300,7 @@
     /// new leader doesn't know what its predecessors committed until then, and what it says
     /// of it may lie far behind.
     #[must_use]
-    pub fn current_at(&self) -> Option<Instant> {
+    pub fn proven_current_at(&self) -> Option<Instant> {
         if self.log.term_at(self.commit) != Some(self.term()) {
             return None;
         }
