--- a/lib/src/fleet_record.rs
+++ b/lib/src/fleet_record.rs
@@ -144,7 +144,7 @@
 
     /// Returns whether it said in this life that it leaves.
     #[must_use]
-    pub fn drains_in(&self, life: &BackendLife) -> bool {
+    pub fn drains_in(&self, life: &BackendIncarnation) -> bool {
         self.born == life.born && self.state == BackendState::Draining
     }
 
@@ -157,7 +157,7 @@
 
 /// Names one life of a backend server.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct BackendLife {
+pub struct BackendIncarnation {
     /// The backend server.
     pub backend: BackendName,
     /// When it was born; earlier lives are meant too.
