--- a/lib/src/fleet_record.rs
+++ b/lib/src/fleet_record.rs
@@ -133,7 +133,7 @@
     /// 4 of 11 of one service took all of its requests, and of 555 requests to all services in
     /// the first 2 s with power 7 were in time (182 with this, one play each).
     #[must_use]
-    pub fn tells_more_than(&self, known: &Self) -> bool {
+    pub fn differs_materially_from(&self, known: &Self) -> bool {
         let told = |record: &Self| (record.born, record.state, record.address, record.slots);
         let is_warm_again = self.cold_for.is_zero() && !known.cold_for.is_zero();
         told(self) != told(known)
--- a/lib/tests/test_backend_life.rs
+++ b/lib/tests/test_backend_life.rs
@@ -204,7 +204,7 @@
     known.cold_for = Duration::from_secs(3);
     let mut said = known.clone();
     alter(&mut said);
-    assert_eq!(said.tells_more_than(&known), more);
+    assert_eq!(said.differs_materially_from(&known), more);
 }
 
 fn check(record: &BackendRecord, name: &str) -> Result<(), RecordProblem> {
--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -360,7 +360,7 @@
                 return None;
             }
         }
-        let changed = record.tells_more_than(known) || new_cold_spell;
+        let changed = record.differs_materially_from(known) || new_cold_spell;
         changed.then_some(BackendChange {
             backend,
             record,
