--- a/lib/src/crash_evidence.rs
+++ b/lib/src/crash_evidence.rs
@@ -111,7 +111,7 @@
             .backends
             .get(&life.backend)
             .is_some_and(|record| record.state == BackendState::Superseded);
-        is_superseded || self.is_outlived(&life.backend, life.born)
+        is_superseded || self.has_later_incarnation(&life.backend, life.born)
     }
 
     fn leaves(&self, life: &BackendIncarnation) -> bool {
