--- a/lib/src/cold_questions.rs
+++ b/lib/src/cold_questions.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use crate::direct_dispatch::Dispatcher;
-use crate::dispatch_ask::BackendKey;
+use crate::dispatch_request::BackendKey;
 use crate::id::BackendName;
 use crate::id::PlaceName;
 use crate::route_manifest::RouteService;
--- a/lib/src/dispatch_assess.rs
+++ b/lib/src/dispatch_assess.rs
@@ -9,9 +9,9 @@
 
 use crate::affinity::ObjectHash;
 use crate::direct_dispatch::Dispatcher;
-use crate::dispatch_ask::Ask;
-use crate::dispatch_ask::BackendKey;
 use crate::dispatch_pick::Candidate;
+use crate::dispatch_request::Ask;
+use crate::dispatch_request::BackendKey;
 use crate::dispatch_service::Service;
 use crate::id::RegionName;
 use crate::object_copies::MOST_COPIES;
--- a/lib/src/dispatch_service.rs
+++ b/lib/src/dispatch_service.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use crate::affinity::ObjectHash;
-use crate::dispatch_ask::BackendKey;
+use crate::dispatch_request::BackendKey;
 use crate::object_count::ObjectCount;
 use crate::resend_budget::ResendBudget;
 use crate::route_manifest::RouteService;
--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use heatherring_lib::affinity::ObjectHash;
-use heatherring_lib::dispatch_ask::COME_BACK_ELSEWHERE;
+use heatherring_lib::dispatch_request::COME_BACK_ELSEWHERE;
 use heatherring_lib::fleet_update::FleetView;
 use heatherring_lib::follow_lag::IN_FORCE_WITHIN;
 use heatherring_lib::home_regions;
--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use heatherring_lib::dispatch_ask::BackendKey;
-use heatherring_lib::dispatch_ask::COME_BACK_ELSEWHERE;
-use heatherring_lib::dispatch_ask::Refused as NoChoice;
-use heatherring_lib::dispatch_ask::RefusedReason;
-use heatherring_lib::dispatch_ask::SendOutcome;
+use heatherring_lib::dispatch_request::BackendKey;
+use heatherring_lib::dispatch_request::COME_BACK_ELSEWHERE;
+use heatherring_lib::dispatch_request::Refused as NoChoice;
+use heatherring_lib::dispatch_request::RefusedReason;
+use heatherring_lib::dispatch_request::SendOutcome;
 use heatherring_lib::outcome::Attempt;
 use heatherring_lib::outcome::Idempotent;
 use heatherring_lib::outcome::NotRun;
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -9,9 +9,9 @@
 
 use bytes::Bytes;
 use heatherring_lib::backend_load::LoadReport;
-use heatherring_lib::dispatch_ask::BackendKey;
-use heatherring_lib::dispatch_ask::Choice;
-use heatherring_lib::dispatch_ask::SendOutcome;
+use heatherring_lib::dispatch_request::BackendKey;
+use heatherring_lib::dispatch_request::Choice;
+use heatherring_lib::dispatch_request::SendOutcome;
 use heatherring_lib::fleet_update::FleetView;
 use heatherring_lib::outcome::Attempt;
 use heatherring_lib::outcome::MayHaveRun;
