--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -24,10 +24,10 @@
 use crate::dispatch_pick::Candidate;
 use crate::dispatch_pick::PickLimits;
 use crate::dispatch_policy::DispatchPolicy;
-use crate::dispatch_request::Ask;
 use crate::dispatch_request::BackendKey;
 use crate::dispatch_request::COME_BACK_ELSEWHERE;
 use crate::dispatch_request::Choice;
+use crate::dispatch_request::DispatchRequest;
 use crate::dispatch_request::Refused;
 use crate::dispatch_request::RefusedReason;
 use crate::dispatch_request::SendEnd;
@@ -290,7 +290,7 @@
     /// # Errors
     ///
     /// Tells why none was picked.
-    pub fn choose(&mut self, now: Instant, ask: &Ask<'_>) -> Result<Choice, Refused> {
+    pub fn choose(&mut self, now: Instant, ask: &DispatchRequest<'_>) -> Result<Choice, Refused> {
         let refuse = |reason| Refused {
             reason,
             come_back: COME_BACK.0,
@@ -498,7 +498,7 @@
 /// Returns whether a backend server would be picked if this entry VM went on.
 fn would_do_without_stop(
     now: Instant,
-    ask: &Ask<'_>,
+    ask: &DispatchRequest<'_>,
     candidates: &[Candidate],
     limits: PickLimits,
 ) -> bool {
--- a/lib/src/dispatch_assess.rs
+++ b/lib/src/dispatch_assess.rs
@@ -10,8 +10,8 @@
 use crate::affinity::ObjectHash;
 use crate::direct_dispatch::Dispatcher;
 use crate::dispatch_pick::Candidate;
-use crate::dispatch_request::Ask;
 use crate::dispatch_request::BackendKey;
+use crate::dispatch_request::DispatchRequest;
 use crate::dispatch_service::Service;
 use crate::id::RegionName;
 use crate::object_copies::MOST_COPIES;
@@ -46,7 +46,7 @@
         now: Instant,
         service: &Service,
         pace: PaceKey,
-        ask: &Ask<'_>,
+        ask: &DispatchRequest<'_>,
     ) -> Vec<Candidate> {
         let stable: Vec<BackendKey> = service
             .backends
@@ -81,7 +81,7 @@
         ranked: impl Iterator<Item = (BackendKey, usize)>,
         service: &Service,
         pace: PaceKey,
-        ask: &Ask<'_>,
+        ask: &DispatchRequest<'_>,
     ) -> Vec<Candidate> {
         ranked
             .filter(|(key, _)| self.is_allowed(now, *key, ask))
@@ -91,7 +91,7 @@
 
     /// Returns whether a backend server counts for the ranking: what changes from one
     /// request to the next doesn't, or objects would move to and fro.
-    fn is_stable(&self, now: Instant, key: BackendKey, ask: &Ask<'_>) -> bool {
+    fn is_stable(&self, now: Instant, key: BackendKey, ask: &DispatchRequest<'_>) -> bool {
         let backend = &self.backends[key];
         backend.usable
             && !backend.silent
@@ -99,7 +99,7 @@
             && !self.is_cold(now, backend)
     }
 
-    fn is_allowed(&self, now: Instant, key: BackendKey, ask: &Ask<'_>) -> bool {
+    fn is_allowed(&self, now: Instant, key: BackendKey, ask: &DispatchRequest<'_>) -> bool {
         let backend = &self.backends[key];
         ask.allows(&backend.region) && backend.health.is_reachable(now) && !ask.tried.contains(&key)
     }
@@ -129,7 +129,7 @@
         rank: usize,
         service: &Service,
         pace: PaceKey,
-        ask: &Ask<'_>,
+        ask: &DispatchRequest<'_>,
     ) -> Option<Candidate> {
         let backend = &self.backends[key];
         let is_cold = self.is_cold(now, backend);
--- a/lib/src/dispatch_request.rs
+++ b/lib/src/dispatch_request.rs
@@ -27,7 +27,7 @@
 
 /// Asks for a backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct DispatchRequest<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The route that the request came by.
@@ -52,7 +52,7 @@
     pub resend: bool,
 }
 
-impl Ask<'_> {
+impl DispatchRequest<'_> {
     /// Returns when the answer must be there to reach its caller.
     #[must_use]
     pub fn answer_by(&self) -> Instant {
--- a/lib/tests/dispatch_model/mod.rs
+++ b/lib/tests/dispatch_model/mod.rs
@@ -22,8 +22,8 @@
 use heatherring_lib::direct_dispatch::DispatchConfig;
 use heatherring_lib::direct_dispatch::Dispatcher;
 use heatherring_lib::dispatch_policy::DispatchPolicy;
-use heatherring_lib::dispatch_request::Ask;
 use heatherring_lib::dispatch_request::Choice;
+use heatherring_lib::dispatch_request::DispatchRequest;
 use heatherring_lib::dispatch_request::SendEnd;
 use heatherring_lib::dispatch_request::SendOutcome;
 use heatherring_lib::fleet_record::BackendRecord;
@@ -292,7 +292,7 @@
         let object = self.rng.random_range(0..self.plan.objects);
         let service = service();
         let route = route();
-        let ask = Ask {
+        let ask = DispatchRequest {
             service: &service,
             route: &route,
             latency_objective: self.plan.objective,
--- a/lib/tests/dispatch_model/probe.rs
+++ b/lib/tests/dispatch_model/probe.rs
@@ -8,8 +8,8 @@
 use heatherring_lib::direct_dispatch::DispatchConfig;
 use heatherring_lib::direct_dispatch::Dispatcher;
 use heatherring_lib::dispatch_policy::DispatchPolicy;
-use heatherring_lib::dispatch_request::Ask;
 use heatherring_lib::dispatch_request::Choice;
+use heatherring_lib::dispatch_request::DispatchRequest;
 use heatherring_lib::dispatch_request::Refused;
 use heatherring_lib::dispatch_request::SendEnd;
 use heatherring_lib::dispatch_request::SendOutcome;
@@ -89,7 +89,7 @@
     pub fn choose_or_refuse(&mut self, object: &str) -> Result<Choice, Refused> {
         let service = service();
         let route = route();
-        let ask = Ask {
+        let ask = DispatchRequest {
             service: &service,
             route: &route,
             latency_objective: Plan::look_up().objective,
--- a/lib/tests/test_cold_watch.rs
+++ b/lib/tests/test_cold_watch.rs
@@ -20,7 +20,7 @@
 use heatherring_lib::direct_dispatch::DispatchConfig;
 use heatherring_lib::direct_dispatch::Dispatcher;
 use heatherring_lib::dispatch_policy::DispatchPolicy;
-use heatherring_lib::dispatch_request::Ask;
+use heatherring_lib::dispatch_request::DispatchRequest;
 use heatherring_lib::dispatch_request::SendEnd;
 use heatherring_lib::dispatch_request::SendOutcome;
 use heatherring_lib::id::BackendName;
@@ -133,7 +133,7 @@
         let sender = number as usize % self.senders.len();
         let service = service();
         let route = route();
-        let ask = Ask {
+        let ask = DispatchRequest {
             service: &service,
             route: &route,
             latency_objective: Duration::from_secs(1),
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -12,10 +12,10 @@
 use heatherring_lib::cold_questions::ColdWord;
 use heatherring_lib::direct_dispatch::DispatchConfig;
 use heatherring_lib::direct_dispatch::Dispatcher;
-use heatherring_lib::dispatch_request::Ask;
 use heatherring_lib::dispatch_request::BackendKey;
 use heatherring_lib::dispatch_request::COME_BACK_ELSEWHERE;
 use heatherring_lib::dispatch_request::Choice;
+use heatherring_lib::dispatch_request::DispatchRequest;
 use heatherring_lib::dispatch_request::Refused;
 use heatherring_lib::dispatch_request::RefusedReason;
 use heatherring_lib::dispatch_request::SendEnd;
@@ -228,8 +228,8 @@
     }
 }
 
-fn borrowed(ask: &DispatchAsk) -> Ask<'_> {
-    Ask {
+fn borrowed(ask: &DispatchAsk) -> DispatchRequest<'_> {
+    DispatchRequest {
         service: &ask.service,
         route: &ask.route_name,
         latency_objective: ask.route.latency_objective,
