--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -30,7 +30,7 @@
 use crate::direct_admission::refuse;
 use crate::direct_context::DirectContext;
 use crate::direct_send::DirectAnswer;
-use crate::dispatch_task::DispatchAsk;
+use crate::dispatch_task::OwnedDispatchRequest;
 use crate::http_server::Arrival;
 use crate::http_server::Handler;
 use crate::metric;
@@ -178,7 +178,7 @@
                 Ok(attempt) => attempt,
                 Err(not_run) => return progress.end(not_run.into()),
             };
-            let ask = DispatchAsk {
+            let ask = OwnedDispatchRequest {
                 service: admitted.service.clone(),
                 route_name: admitted.req.asker.route.clone(),
                 route: Arc::clone(&admitted.route),
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -33,7 +33,7 @@
 
 /// Asks for a backend server.
 #[derive(Clone, Debug)]
-pub struct DispatchAsk {
+pub struct OwnedDispatchRequest {
     /// The service.
     pub service: ServiceName,
     /// The name of the route that the request came by.
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 enum Message {
     Choose {
-        ask: DispatchAsk,
+        ask: OwnedDispatchRequest,
         reply: oneshot::Sender<Result<Choice, Refused>>,
     },
     Ended(SendEnd),
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// Tells why none was picked.
-    pub async fn choose(&self, ask: DispatchAsk) -> Result<(Choice, SendGuard), Refused> {
+    pub async fn choose(&self, ask: OwnedDispatchRequest) -> Result<(Choice, SendGuard), Refused> {
         let (reply, answer) = oneshot::channel();
         let object = ask.object;
         // Sends fail only when the task has ended with its process.
@@ -228,7 +228,7 @@
     }
 }
 
-fn borrowed(ask: &DispatchAsk) -> DispatchRequest<'_> {
+fn borrowed(ask: &OwnedDispatchRequest) -> DispatchRequest<'_> {
     DispatchRequest {
         service: &ask.service,
         route: &ask.route_name,
