--- a/lib/src/cold_questions.rs
+++ b/lib/src/cold_questions.rs
@@ -14,7 +14,7 @@
 
 /// Holds a question to one backend server.
 #[derive(Clone, Debug)]
-pub struct ColdQuestion {
+pub struct ColdQuery {
     /// The backend server.
     pub backend: BackendKey,
     /// Its name: one life of one process.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct ColdWord {
     /// The question.
-    pub question: ColdQuestion,
+    pub question: ColdQuery,
     /// How much longer it stays cold; zero if it isn't.
     pub cold_for: Duration,
 }
@@ -47,7 +47,7 @@
     /// One answer tells of a whole place: an evacuation makes all of its backend servers
     /// cold. Asking all of them would cost more than the requests where control is lost to
     /// everybody.
-    pub fn cold_questions(&mut self, now: Instant) -> (Vec<ColdQuestion>, Instant) {
+    pub fn cold_questions(&mut self, now: Instant) -> (Vec<ColdQuery>, Instant) {
         let mut questions = Vec::new();
         for (place, members) in self.members_to_ask(now) {
             if !self.cold_watch.try_ask(now, &place) {
@@ -62,7 +62,7 @@
             let Some(service) = self.services.get(&backend.record.service) else {
                 continue;
             };
-            questions.push(ColdQuestion {
+            questions.push(ColdQuery {
                 backend: key,
                 name: backend.name.clone(),
                 address: backend.record.address,
--- a/lib/tests/test_cold_watch.rs
+++ b/lib/tests/test_cold_watch.rs
@@ -13,7 +13,7 @@
 use dispatch_model::service;
 use dispatch_model::view;
 use heatherring_lib::affinity::ObjectHash;
-use heatherring_lib::cold_questions::ColdQuestion;
+use heatherring_lib::cold_questions::ColdQuery;
 use heatherring_lib::cold_questions::ColdWord;
 use heatherring_lib::cold_watch::ALONE_AFTER;
 use heatherring_lib::cold_watch::ColdWatch;
@@ -41,7 +41,7 @@
     origin: Instant,
     now: Instant,
     senders: Vec<Dispatcher>,
-    questions: Vec<(usize, Instant, ColdQuestion)>,
+    questions: Vec<(usize, Instant, ColdQuery)>,
     running: Vec<(usize, Instant, SendEnd)>,
     cold_from: Option<Instant>,
     arrivals: BTreeMap<BackendName, Vec<Instant>>,
--- a/server/src/cold_questioner.rs
+++ b/server/src/cold_questioner.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use heatherring_lib::clock::Clock;
-use heatherring_lib::cold_questions::ColdQuestion;
+use heatherring_lib::cold_questions::ColdQuery;
 use heatherring_lib::cold_questions::ColdWord;
 use heatherring_lib::duration_text::whole_ms;
 use http::Request;
@@ -69,7 +69,7 @@
         }
     }
 
-    async fn ask(self, question: ColdQuestion) {
+    async fn ask(self, question: ColdQuery) {
         let asking = tokio::time::timeout(ANSWER_WITHIN, self.exchange(&question));
         let answer = asking.await.unwrap_or(Err(QuestionError::Late));
         match answer {
@@ -86,7 +86,7 @@
         }
     }
 
-    async fn exchange(&self, question: &ColdQuestion) -> Result<Duration, QuestionError> {
+    async fn exchange(&self, question: &ColdQuery) -> Result<Duration, QuestionError> {
         let connecting = self.pool.connect_within(
             question.address,
             question.service.max_connections,
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -8,7 +8,7 @@
 use heatherring_lib::affinity::ObjectHash;
 use heatherring_lib::backend_load::LoadReport;
 use heatherring_lib::clock::Clock;
-use heatherring_lib::cold_questions::ColdQuestion;
+use heatherring_lib::cold_questions::ColdQuery;
 use heatherring_lib::cold_questions::ColdWord;
 use heatherring_lib::direct_dispatch::DispatchConfig;
 use heatherring_lib::direct_dispatch::Dispatcher;
@@ -78,7 +78,7 @@
     Silent(BTreeSet<BackendName>),
     Control,
     ColdQuestions {
-        reply: oneshot::Sender<(Vec<ColdQuestion>, Instant)>,
+        reply: oneshot::Sender<(Vec<ColdQuery>, Instant)>,
     },
     ColdWord(ColdWord),
 }
@@ -155,7 +155,7 @@
 
     /// Returns which backend servers must be asked now whether they are cold, and when to
     /// ask next; nothing once the task has ended.
-    pub async fn cold_questions(&self) -> Option<(Vec<ColdQuestion>, Instant)> {
+    pub async fn cold_questions(&self) -> Option<(Vec<ColdQuery>, Instant)> {
         let (reply, answer) = oneshot::channel();
         let _ = self.tx.send(Message::ColdQuestions { reply });
         answer.await.ok()
