--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -77,7 +77,7 @@
     View(Arc<FleetView>),
     Silent(BTreeSet<BackendName>),
     Control,
-    ColdQuestions {
+    ColdQueries {
         reply: oneshot::Sender<(Vec<ColdQuery>, Instant)>,
     },
     ColdWord(ColdWord),
@@ -157,7 +157,7 @@
     /// ask next; nothing once the task has ended.
     pub async fn cold_questions(&self) -> Option<(Vec<ColdQuery>, Instant)> {
         let (reply, answer) = oneshot::channel();
-        let _ = self.tx.send(Message::ColdQuestions { reply });
+        let _ = self.tx.send(Message::ColdQueries { reply });
         answer.await.ok()
     }
 
@@ -219,7 +219,7 @@
             Message::View(view) => dispatcher.apply_view(now, &view),
             Message::Silent(silent) => dispatcher.apply_silent(silent),
             Message::Control => dispatcher.note_control(now),
-            Message::ColdQuestions { reply } => {
+            Message::ColdQueries { reply } => {
                 // An asker that has gone ends with the process.
                 let _ = reply.send(dispatcher.cold_questions(now));
             }
