--- a/lib/src/cold_questions.rs
+++ b/lib/src/cold_questions.rs
@@ -29,7 +29,7 @@
 
 /// Holds the answer.
 #[derive(Clone, Debug)]
-pub struct ColdWord {
+pub struct ColdReply {
     /// The question.
     pub question: ColdQuery,
     /// How much longer it stays cold; zero if it isn't.
@@ -88,7 +88,7 @@
     }
 
     /// Notes what a backend server answered.
-    pub fn note_cold_word(&mut self, now: Instant, word: &ColdWord) {
+    pub fn note_cold_word(&mut self, now: Instant, word: &ColdReply) {
         let Some(backend) = self.backends.get_mut(word.question.backend) else {
             return;
         };
--- a/lib/tests/test_cold_watch.rs
+++ b/lib/tests/test_cold_watch.rs
@@ -14,7 +14,7 @@
 use dispatch_model::view;
 use heatherring_lib::affinity::ObjectHash;
 use heatherring_lib::cold_questions::ColdQuery;
-use heatherring_lib::cold_questions::ColdWord;
+use heatherring_lib::cold_questions::ColdReply;
 use heatherring_lib::cold_watch::ALONE_AFTER;
 use heatherring_lib::cold_watch::ColdWatch;
 use heatherring_lib::direct_dispatch::DispatchConfig;
@@ -113,7 +113,7 @@
                 continue;
             }
             let cold_for = Duration::from_secs(if is_cold { 3 } else { 0 });
-            let word = ColdWord { question, cold_for };
+            let word = ColdReply { question, cold_for };
             self.senders[number].note_cold_word(self.now, &word);
         }
     }
--- a/server/src/cold_questioner.rs
+++ b/server/src/cold_questioner.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use heatherring_lib::clock::Clock;
 use heatherring_lib::cold_questions::ColdQuery;
-use heatherring_lib::cold_questions::ColdWord;
+use heatherring_lib::cold_questions::ColdReply;
 use heatherring_lib::duration_text::whole_ms;
 use http::Request;
 use http_body_util::Full;
@@ -77,7 +77,7 @@
                 if !cold_for.is_zero() {
                     log::info!(event = "backend_cold", backend = question.name.as_str(), cold_ms = whole_ms(cold_for); "a backend server says itself that it is cold; control is out of reach");
                 }
-                let word = ColdWord { question, cold_for };
+                let word = ColdReply { question, cold_for };
                 self.dispatch.note_cold_word(word);
             }
             Err(error) => {
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -9,7 +9,7 @@
 use heatherring_lib::backend_load::LoadReport;
 use heatherring_lib::clock::Clock;
 use heatherring_lib::cold_questions::ColdQuery;
-use heatherring_lib::cold_questions::ColdWord;
+use heatherring_lib::cold_questions::ColdReply;
 use heatherring_lib::direct_dispatch::DispatchConfig;
 use heatherring_lib::direct_dispatch::Dispatcher;
 use heatherring_lib::dispatch_request::BackendKey;
@@ -80,7 +80,7 @@
     ColdQueries {
         reply: oneshot::Sender<(Vec<ColdQuery>, Instant)>,
     },
-    ColdWord(ColdWord),
+    ColdReply(ColdReply),
 }
 
 /// Reaches the task.
@@ -162,8 +162,8 @@
     }
 
     /// Notes what a backend server answered.
-    pub fn note_cold_word(&self, word: ColdWord) {
-        let _ = self.tx.send(Message::ColdWord(word));
+    pub fn note_cold_word(&self, word: ColdReply) {
+        let _ = self.tx.send(Message::ColdReply(word));
     }
 
     /// Notes which backend servers control hasn't heard of lately.
@@ -223,7 +223,7 @@
                 // An asker that has gone ends with the process.
                 let _ = reply.send(dispatcher.cold_questions(now));
             }
-            Message::ColdWord(word) => dispatcher.note_cold_word(now, &word),
+            Message::ColdReply(word) => dispatcher.note_cold_word(now, &word),
         }
     }
 }
