--- a/lib/src/cold_questions.rs
+++ b/lib/src/cold_queries.rs
@@ -47,7 +47,7 @@
     /// One answer tells of a whole place: an evacuation makes all of its backend servers
     /// cold. Asking all of them would cost more than the requests where control is lost to
     /// everybody.
-    pub fn cold_questions(&mut self, now: Instant) -> (Vec<ColdQuery>, Instant) {
+    pub fn cold_queries(&mut self, now: Instant) -> (Vec<ColdQuery>, Instant) {
         let mut questions = Vec::new();
         for (place, members) in self.members_to_ask(now) {
             if !self.cold_watch.try_ask(now, &place) {
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod client_block_table;
 pub mod clock;
 pub mod cold_gate;
-pub mod cold_questions;
+pub mod cold_queries;
 pub mod cold_watch;
 pub mod command;
 mod config_document;
--- a/lib/tests/test_cold_watch.rs
+++ b/lib/tests/test_cold_watch.rs
@@ -13,8 +13,8 @@
 use dispatch_model::service;
 use dispatch_model::view;
 use heatherring_lib::affinity::ObjectHash;
-use heatherring_lib::cold_questions::ColdQuery;
-use heatherring_lib::cold_questions::ColdReply;
+use heatherring_lib::cold_queries::ColdQuery;
+use heatherring_lib::cold_queries::ColdReply;
 use heatherring_lib::cold_watch::ALONE_AFTER;
 use heatherring_lib::cold_watch::ColdWatch;
 use heatherring_lib::direct_dispatch::DispatchConfig;
@@ -101,7 +101,7 @@
 
     fn answer_questions(&mut self) {
         for (number, sender) in self.senders.iter_mut().enumerate() {
-            let (questions, _) = sender.cold_questions(self.now);
+            let (questions, _) = sender.cold_queries(self.now);
             let due = self.now + ANSWER_AFTER;
             let asked = questions.into_iter().map(|asked| (number, due, asked));
             self.questions.extend(asked);
--- a/server/src/cold_questioner.rs
+++ b/server/src/cold_questioner.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 use heatherring_lib::clock::Clock;
-use heatherring_lib::cold_questions::ColdQuery;
-use heatherring_lib::cold_questions::ColdReply;
+use heatherring_lib::cold_queries::ColdQuery;
+use heatherring_lib::cold_queries::ColdReply;
 use heatherring_lib::duration_text::whole_ms;
 use http::Request;
 use http_body_util::Full;
@@ -60,7 +60,7 @@
 impl ColdQuestioner {
     /// Asks what is due, for as long as the process runs.
     pub async fn run(self) {
-        while let Some((questions, next)) = self.dispatch.cold_questions().await {
+        while let Some((questions, next)) = self.dispatch.cold_queries().await {
             for question in questions {
                 tokio::spawn(self.clone().ask(question));
             }
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -8,8 +8,8 @@
 use heatherring_lib::affinity::ObjectHash;
 use heatherring_lib::backend_load::LoadReport;
 use heatherring_lib::clock::Clock;
-use heatherring_lib::cold_questions::ColdQuery;
-use heatherring_lib::cold_questions::ColdReply;
+use heatherring_lib::cold_queries::ColdQuery;
+use heatherring_lib::cold_queries::ColdReply;
 use heatherring_lib::direct_dispatch::DispatchConfig;
 use heatherring_lib::direct_dispatch::Dispatcher;
 use heatherring_lib::dispatch_request::BackendKey;
@@ -155,7 +155,7 @@
 
     /// Returns which backend servers must be asked now whether they are cold, and when to
     /// ask next; nothing once the task has ended.
-    pub async fn cold_questions(&self) -> Option<(Vec<ColdQuery>, Instant)> {
+    pub async fn cold_queries(&self) -> Option<(Vec<ColdQuery>, Instant)> {
         let (reply, answer) = oneshot::channel();
         let _ = self.tx.send(Message::ColdQueries { reply });
         answer.await.ok()
@@ -221,7 +221,7 @@
             Message::Control => dispatcher.note_control(now),
             Message::ColdQueries { reply } => {
                 // An asker that has gone ends with the process.
-                let _ = reply.send(dispatcher.cold_questions(now));
+                let _ = reply.send(dispatcher.cold_queries(now));
             }
             Message::ColdReply(word) => dispatcher.note_cold_word(now, &word),
         }
