--- a/lib/src/cold_queries.rs
+++ b/lib/src/cold_queries.rs
@@ -88,7 +88,7 @@
     }
 
     /// Notes what a backend server answered.
-    pub fn note_cold_word(&mut self, now: Instant, word: &ColdReply) {
+    pub fn note_cold_reply(&mut self, now: Instant, word: &ColdReply) {
         let Some(backend) = self.backends.get_mut(word.question.backend) else {
             return;
         };
--- a/lib/tests/test_cold_watch.rs
+++ b/lib/tests/test_cold_watch.rs
@@ -114,7 +114,7 @@
             }
             let cold_for = Duration::from_secs(if is_cold { 3 } else { 0 });
             let word = ColdReply { question, cold_for };
-            self.senders[number].note_cold_word(self.now, &word);
+            self.senders[number].note_cold_reply(self.now, &word);
         }
     }
 
--- a/server/src/cold_questioner.rs
+++ b/server/src/cold_questioner.rs
@@ -78,7 +78,7 @@
                     log::info!(event = "backend_cold", backend = question.name.as_str(), cold_ms = whole_ms(cold_for); "a backend server says itself that it is cold; control is out of reach");
                 }
                 let word = ColdReply { question, cold_for };
-                self.dispatch.note_cold_word(word);
+                self.dispatch.note_cold_reply(word);
             }
             Err(error) => {
                 log::debug!(event = "backend_unasked", backend = question.name.as_str(), error:% = error; "a backend server didn't say whether it is cold");
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -162,7 +162,7 @@
     }
 
     /// Notes what a backend server answered.
-    pub fn note_cold_word(&self, word: ColdReply) {
+    pub fn note_cold_reply(&self, word: ColdReply) {
         let _ = self.tx.send(Message::ColdReply(word));
     }
 
@@ -223,7 +223,7 @@
                 // An asker that has gone ends with the process.
                 let _ = reply.send(dispatcher.cold_queries(now));
             }
-            Message::ColdReply(word) => dispatcher.note_cold_word(now, &word),
+            Message::ColdReply(word) => dispatcher.note_cold_reply(now, &word),
         }
     }
 }
