--- a/server/src/cold_questioner.rs
+++ b/server/src/cold_questioner.rs
@@ -46,7 +46,7 @@
 
 /// Holds what the task works with.
 #[derive(Clone, Debug)]
-pub struct ColdQuestioner {
+pub struct ColdQuerier {
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// Says what is due.
@@ -57,7 +57,7 @@
     pub interface: Arc<dyn EntryInterface>,
 }
 
-impl ColdQuestioner {
+impl ColdQuerier {
     /// Asks what is due, for as long as the process runs.
     pub async fn run(self) {
         while let Some((questions, next)) = self.dispatch.cold_queries().await {
--- a/server/src/direct_process.rs
+++ b/server/src/direct_process.rs
@@ -29,7 +29,7 @@
 
 use crate::answer_body::AnswerBody;
 use crate::backend_pool::BackendPool;
-use crate::cold_questioner::ColdQuestioner;
+use crate::cold_questioner::ColdQuerier;
 use crate::crash_watch::CrashWatch;
 use crate::direct_admission::FIRST_VIEW_WAIT;
 use crate::direct_context::DirectContext;
@@ -153,7 +153,7 @@
         out_of_service: followed.out_of_service,
         keep: Duration::from_millis(settings.look_up_ms.into()),
     };
-    let questioner = ColdQuestioner {
+    let questioner = ColdQuerier {
         clock: Arc::clone(&clock),
         dispatch: dispatch.clone(),
         pool: pool.clone(),
