--- a/server/src/direct_process.rs
+++ b/server/src/direct_process.rs
@@ -29,7 +29,7 @@
 
 use crate::answer_body::AnswerBody;
 use crate::backend_pool::BackendPool;
-use crate::cold_questioner::ColdQuerier;
+use crate::cold_querier::ColdQuerier;
 use crate::crash_watch::CrashWatch;
 use crate::direct_admission::FIRST_VIEW_WAIT;
 use crate::direct_context::DirectContext;
