--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -25,9 +25,9 @@
 use crate::dispatch_pick::PickLimits;
 use crate::dispatch_policy::DispatchPolicy;
 use crate::dispatch_request::BackendKey;
-use crate::dispatch_request::COME_BACK_ELSEWHERE;
 use crate::dispatch_request::Choice;
 use crate::dispatch_request::DispatchRequest;
+use crate::dispatch_request::RETRY_ELSEWHERE_AFTER;
 use crate::dispatch_request::Refused;
 use crate::dispatch_request::RefusedReason;
 use crate::dispatch_request::SendEnd;
@@ -365,7 +365,7 @@
     fn elsewhere(&mut self, reason: RefusedReason) -> Refused {
         Refused {
             reason,
-            come_back: self.spread(COME_BACK_ELSEWHERE),
+            come_back: self.spread(RETRY_ELSEWHERE_AFTER),
             considered: 0,
             shortest_wait: None,
         }
--- a/lib/src/dispatch_request.rs
+++ b/lib/src/dispatch_request.rs
@@ -18,7 +18,7 @@
 
 /// When a caller is told to come back that another entry VM can serve at once. It has yet to
 /// pick that one, and connects anew.
-pub const COME_BACK_ELSEWHERE: Duration = Duration::from_millis(100);
+pub const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(100);
 
 new_key_type! {
     /// Identifies a backend server within one dispatcher.
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -5,7 +5,7 @@
 use dispatch_model::Model;
 use dispatch_model::Plan;
 use dispatch_model::Probe;
-use heatherring_lib::dispatch_request::COME_BACK_ELSEWHERE;
+use heatherring_lib::dispatch_request::RETRY_ELSEWHERE_AFTER;
 use heatherring_lib::dispatch_request::RefusedReason;
 use heatherring_lib::dispatch_request::SendOutcome;
 use heatherring_lib::planned_stop::PlannedStop;
@@ -298,7 +298,7 @@
     );
     // Others have room; whoever comes back soon may still be answered in time, and those refused
     // together don't come back together.
-    let soon = COME_BACK_ELSEWHERE.mul_f64(0.75)..=COME_BACK_ELSEWHERE.mul_f64(1.25);
+    let soon = RETRY_ELSEWHERE_AFTER.mul_f64(0.75)..=RETRY_ELSEWHERE_AFTER.mul_f64(1.25);
     let times: BTreeSet<Duration> = full.iter().map(|no_choice| no_choice.come_back).collect();
     assert!(times.iter().all(|time| soon.contains(time)), "{times:?}");
     assert!(times.len() > full.len() / 2, "{times:?}");
--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use heatherring_lib::dispatch_request::BackendKey;
-use heatherring_lib::dispatch_request::COME_BACK_ELSEWHERE;
+use heatherring_lib::dispatch_request::RETRY_ELSEWHERE_AFTER;
 use heatherring_lib::dispatch_request::Refused as NoChoice;
 use heatherring_lib::dispatch_request::RefusedReason;
 use heatherring_lib::dispatch_request::SendOutcome;
@@ -312,7 +312,7 @@
 
 /// Refuses what the entry VM can't finish before it ends.
 fn leaving() -> NotRun {
-    refuse(NotRunReason::Leaving).with_retry_after(COME_BACK_ELSEWHERE)
+    refuse(NotRunReason::Leaving).with_retry_after(RETRY_ELSEWHERE_AFTER)
 }
 
 fn no_choice_refusal(attempt: Attempt<Unsent>, no_choice: NoChoice) -> Refused {
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -13,9 +13,9 @@
 use heatherring_lib::direct_dispatch::DispatchConfig;
 use heatherring_lib::direct_dispatch::Dispatcher;
 use heatherring_lib::dispatch_request::BackendKey;
-use heatherring_lib::dispatch_request::COME_BACK_ELSEWHERE;
 use heatherring_lib::dispatch_request::Choice;
 use heatherring_lib::dispatch_request::DispatchRequest;
+use heatherring_lib::dispatch_request::RETRY_ELSEWHERE_AFTER;
 use heatherring_lib::dispatch_request::Refused;
 use heatherring_lib::dispatch_request::RefusedReason;
 use heatherring_lib::dispatch_request::SendEnd;
@@ -112,7 +112,7 @@
         let _ = self.tx.send(Message::Choose { ask, reply });
         let choice = answer.await.unwrap_or(Err(Refused {
             reason: RefusedReason::NoBackend,
-            come_back: COME_BACK_ELSEWHERE,
+            come_back: RETRY_ELSEWHERE_AFTER,
             considered: 0,
             shortest_wait: None,
         }))?;
