--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -293,7 +293,7 @@
     pub fn choose(&mut self, now: Instant, ask: &DispatchRequest<'_>) -> Result<Choice, Refused> {
         let refuse = |reason| Refused {
             reason,
-            come_back: COME_BACK.0,
+            retry_after: COME_BACK.0,
             considered: 0,
             shortest_wait: None,
         };
@@ -365,7 +365,7 @@
     fn elsewhere(&mut self, reason: RefusedReason) -> Refused {
         Refused {
             reason,
-            come_back: self.spread(RETRY_ELSEWHERE_AFTER),
+            retry_after: self.spread(RETRY_ELSEWHERE_AFTER),
             considered: 0,
             shortest_wait: None,
         }
@@ -378,7 +378,7 @@
             reason: RefusedReason::NoRoom,
             considered: with_data.len(),
             shortest_wait: shortest_wait(with_data.into_iter()),
-            come_back: self.spread(wait.unwrap_or(COME_BACK.0).clamp(COME_BACK.0, COME_BACK.1)),
+            retry_after: self.spread(wait.unwrap_or(COME_BACK.0).clamp(COME_BACK.0, COME_BACK.1)),
         }
     }
 
--- a/lib/src/dispatch_request.rs
+++ b/lib/src/dispatch_request.rs
@@ -100,7 +100,7 @@
     /// Why.
     pub reason: RefusedReason,
     /// When to come back.
-    pub come_back: Duration,
+    pub retry_after: Duration,
     /// Backend servers that are taken to have the data.
     pub considered: usize,
     /// Shortest wait that one of them offered.
--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -252,12 +252,12 @@
         metric::limit(ruling);
         match ruling {
             Ruling::Run => Ok(attempt),
-            Ruling::OverLimit { come_back } => Err(attempt
+            Ruling::OverLimit { retry_after } => Err(attempt
                 .refuse(NotRunReason::TeamLimit)
-                .with_retry_after(come_back)),
-            Ruling::Unconfirmed { come_back } => Err(attempt
+                .with_retry_after(retry_after)),
+            Ruling::Unconfirmed { retry_after } => Err(attempt
                 .refuse(NotRunReason::LimitUnconfirmed)
-                .with_retry_after(come_back)),
+                .with_retry_after(retry_after)),
         }
     }
 }
--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -327,7 +327,7 @@
         }
     };
     let not_run = attempt.refuse(reason);
-    not_run.with_retry_after(no_choice.come_back).into()
+    not_run.with_retry_after(no_choice.retry_after).into()
 }
 
 /// Builds the answer to a request that got none of a backend server. It is sent at once,
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -112,7 +112,7 @@
         let _ = self.tx.send(Message::Choose { ask, reply });
         let choice = answer.await.unwrap_or(Err(Refused {
             reason: RefusedReason::NoBackend,
-            come_back: RETRY_ELSEWHERE_AFTER,
+            retry_after: RETRY_ELSEWHERE_AFTER,
             considered: 0,
             shortest_wait: None,
         }))?;
