--- a/lib/src/service_pace.rs
+++ b/lib/src/service_pace.rs
@@ -174,7 +174,7 @@
 
 /// Follows the times of all routes of one service.
 #[derive(Clone, Debug, Default)]
-pub struct ServicePace {
+pub struct ServiceLatency {
     routes: SlotMap<PaceKey, KnownRoute>,
     by_name: BTreeMap<RouteName, PaceKey>,
     mean: Option<f64>,
@@ -189,7 +189,7 @@
     asked_at: u64,
 }
 
-impl ServicePace {
+impl ServiceLatency {
     /// Returns the times of a route; they start from its latency objective.
     pub fn route(&mut self, name: &RouteName, objective: Duration) -> PaceKey {
         self.turn += 1;
--- a/lib/tests/test_service_pace.rs
+++ b/lib/tests/test_service_pace.rs
@@ -4,7 +4,7 @@
 
 use heatherring_lib::id::RouteName;
 use heatherring_lib::service_pace::RoutePace;
-use heatherring_lib::service_pace::ServicePace;
+use heatherring_lib::service_pace::ServiceLatency;
 use rstest::rstest;
 
 /// The latency objective of the routes here; their times differ from it in both directions.
@@ -65,7 +65,7 @@
 /// as expected, always.
 #[test]
 fn test_service_pace_keeps_routes_apart() {
-    let mut pace = ServicePace::default();
+    let mut pace = ServiceLatency::default();
     let (check, proof) = (RouteName::new("check"), RouteName::new("proof"));
     for _ in 0..100 {
         let key = pace.route(&check, Duration::from_millis(250));
@@ -84,7 +84,7 @@
 /// way whose route was dropped meanwhile does no harm.
 #[test]
 fn test_service_pace_keeps_a_bounded_number_of_routes() {
-    let mut pace = ServicePace::default();
+    let mut pace = ServiceLatency::default();
     let first = pace.route(&RouteName::new("first"), OBJECTIVE);
     let used = RouteName::new("used");
     let key = pace.route(&used, OBJECTIVE);
