--- a/lib/src/service_pace.rs
+++ b/lib/src/service_pace.rs
@@ -50,7 +50,7 @@
 
 /// Follows the times of one route at one service.
 #[derive(Clone, Copy, Debug)]
-pub struct RoutePace {
+pub struct RouteLatency {
     warm: Estimate,
     cold: Estimate,
     /// Time that half of the requests stay below, whatever was expected of them.
@@ -110,7 +110,7 @@
     }
 }
 
-impl RoutePace {
+impl RouteLatency {
     /// Starts from the route's latency objective.
     #[must_use]
     pub fn new(objective: Duration) -> Self {
@@ -184,7 +184,7 @@
 #[derive(Clone, Debug)]
 struct KnownRoute {
     name: RouteName,
-    pace: RoutePace,
+    pace: RouteLatency,
     /// Number of the latest request.
     asked_at: u64,
 }
@@ -202,7 +202,7 @@
         }
         let key = self.routes.insert(KnownRoute {
             name: name.clone(),
-            pace: RoutePace::new(objective),
+            pace: RouteLatency::new(objective),
             asked_at: self.turn,
         });
         self.by_name.insert(name.clone(), key);
--- a/lib/tests/test_service_pace.rs
+++ b/lib/tests/test_service_pace.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use heatherring_lib::id::RouteName;
-use heatherring_lib::service_pace::RoutePace;
+use heatherring_lib::service_pace::RouteLatency;
 use heatherring_lib::service_pace::ServiceLatency;
 use rstest::rstest;
 
 /// The latency objective of the routes here; their times differ from it in both directions.
 const OBJECTIVE: Duration = Duration::from_millis(500);
 
-fn observe(pace: &mut RoutePace, millis: u64, times: u32) {
+fn observe(pace: &mut RouteLatency, millis: u64, times: u32) {
     for _ in 0..times {
         pace.observe(Duration::from_millis(millis));
     }
@@ -23,7 +23,7 @@
 #[case::middle(192, 640)]
 #[case::long(350, 1_400)]
 fn test_service_pace_tells_kinds_apart(#[case] warm: u64, #[case] cold: u64) {
-    let mut pace = RoutePace::new(OBJECTIVE);
+    let mut pace = RouteLatency::new(OBJECTIVE);
     observe(&mut pace, cold, 20);
     for _ in 0..60 {
         observe(&mut pace, warm, 3);
@@ -43,7 +43,7 @@
 /// Cause: the estimate with data at hand rose above the one without, which nothing corrected.
 #[test]
 fn test_service_pace_expects_more_without_data() {
-    let mut pace = RoutePace::new(OBJECTIVE);
+    let mut pace = RouteLatency::new(OBJECTIVE);
     for _ in 0..100 {
         observe(&mut pace, 350, 1);
         assert!(pace.expected(false) > 1.9 * pace.expected(true));
@@ -53,7 +53,7 @@
 /// One outlier doesn't move an estimate far once there have been some observations.
 #[test]
 fn test_service_pace_bears_an_outlier() {
-    let mut pace = RoutePace::new(OBJECTIVE);
+    let mut pace = RouteLatency::new(OBJECTIVE);
     observe(&mut pace, 90, 50);
     observe(&mut pace, 9_000, 1);
     assert!(pace.expected(true) < 0.1, "{pace:?}");
