--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -45,7 +45,7 @@
 use crate::link_queue::LinkQueue;
 use crate::region_moves::RegionMoves;
 use crate::request_rank::RankShares;
-use crate::service_pace::PaceKey;
+use crate::service_pace::RouteLatencyKey;
 
 /// Least and longest time after which a caller that was refused is told to come back. What
 /// waits at busy backend servers takes some hundred milliseconds; whoever comes back before
@@ -275,7 +275,7 @@
     }
 
     /// Notes how long an answer that was passed on as it came took from its head to its end.
-    pub fn note_streamed(&mut self, key: BackendKey, pace: PaceKey, took: Duration) {
+    pub fn note_streamed(&mut self, key: BackendKey, pace: RouteLatencyKey, took: Duration) {
         let service = self
             .backends
             .get(key)
@@ -396,7 +396,7 @@
         &mut self,
         now: Instant,
         best: &Candidate,
-        pace: PaceKey,
+        pace: RouteLatencyKey,
         max_connections: u32,
     ) -> Choice {
         let backend = &mut self.backends[best.backend];
--- a/lib/src/dispatch_assess.rs
+++ b/lib/src/dispatch_assess.rs
@@ -17,7 +17,7 @@
 use crate::object_copies::MOST_COPIES;
 use crate::object_rank;
 use crate::object_rank::Member;
-use crate::service_pace::PaceKey;
+use crate::service_pace::RouteLatencyKey;
 
 /// Delay to another region and back that is assumed before one was measured; the larger
 /// part of what the users' regions have (70 and 110 ms).
@@ -45,7 +45,7 @@
         &self,
         now: Instant,
         service: &Service,
-        pace: PaceKey,
+        pace: RouteLatencyKey,
         ask: &DispatchRequest<'_>,
     ) -> Vec<Candidate> {
         let stable: Vec<BackendKey> = service
@@ -80,7 +80,7 @@
         now: Instant,
         ranked: impl Iterator<Item = (BackendKey, usize)>,
         service: &Service,
-        pace: PaceKey,
+        pace: RouteLatencyKey,
         ask: &DispatchRequest<'_>,
     ) -> Vec<Candidate> {
         ranked
@@ -128,7 +128,7 @@
         key: BackendKey,
         rank: usize,
         service: &Service,
-        pace: PaceKey,
+        pace: RouteLatencyKey,
         ask: &DispatchRequest<'_>,
     ) -> Option<Candidate> {
         let backend = &self.backends[key];
--- a/lib/src/dispatch_request.rs
+++ b/lib/src/dispatch_request.rs
@@ -14,7 +14,7 @@
 use crate::id::RouteName;
 use crate::id::ServiceName;
 use crate::request_rank::RequestRank;
-use crate::service_pace::PaceKey;
+use crate::service_pace::RouteLatencyKey;
 
 /// When a caller is told to come back that another entry VM can serve at once. It has yet to
 /// pick that one, and connects anew.
@@ -73,7 +73,7 @@
     /// The backend server.
     pub backend: BackendKey,
     /// The times of its route.
-    pub pace: PaceKey,
+    pub pace: RouteLatencyKey,
     /// The request in flight.
     pub send: SendKey,
     /// Its name.
--- a/lib/src/service_pace.rs
+++ b/lib/src/service_pace.rs
@@ -165,7 +165,7 @@
 
 new_key_type! {
     /// Identifies the times of one route among those of a service.
-    pub struct PaceKey;
+    pub struct RouteLatencyKey;
 }
 
 /// Routes whose times one service keeps. Names of routes change with the manifest; the one
@@ -175,8 +175,8 @@
 /// Follows the times of all routes of one service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceLatency {
-    routes: SlotMap<PaceKey, KnownRoute>,
-    by_name: BTreeMap<RouteName, PaceKey>,
+    routes: SlotMap<RouteLatencyKey, KnownRoute>,
+    by_name: BTreeMap<RouteName, RouteLatencyKey>,
     mean: Option<f64>,
     turn: u64,
 }
@@ -191,7 +191,7 @@
 
 impl ServiceLatency {
     /// Returns the times of a route; they start from its latency objective.
-    pub fn route(&mut self, name: &RouteName, objective: Duration) -> PaceKey {
+    pub fn route(&mut self, name: &RouteName, objective: Duration) -> RouteLatencyKey {
         self.turn += 1;
         if let Some(key) = self.by_name.get(name) {
             self.routes[*key].asked_at = self.turn;
@@ -221,7 +221,7 @@
     /// Returns the time that a request of a route is expected to run, in seconds; the mean of
     /// the service for a route that was dropped.
     #[must_use]
-    pub fn expected(&self, route: PaceKey, warm: bool) -> f64 {
+    pub fn expected(&self, route: RouteLatencyKey, warm: bool) -> f64 {
         let known = self.routes.get(route);
         known.map_or_else(|| self.mean(), |known| known.pace.expected(warm))
     }
@@ -229,13 +229,13 @@
     /// Returns the time that half of a route's requests stay below until the last byte of their
     /// answers, in seconds; the mean of the service for a route that was dropped.
     #[must_use]
-    pub fn until_end(&self, route: PaceKey) -> f64 {
+    pub fn until_end(&self, route: RouteLatencyKey) -> f64 {
         let known = self.routes.get(route);
         known.map_or_else(|| self.mean(), |known| known.pace.until_end())
     }
 
     /// Notes how long an answer that was passed on as it came took from its head to its end.
-    pub fn observe_tail(&mut self, route: PaceKey, took: Duration) {
+    pub fn observe_tail(&mut self, route: RouteLatencyKey, took: Duration) {
         if let Some(known) = self.routes.get_mut(route) {
             known.pace.tail.note_end(took.as_secs_f64());
         }
@@ -254,7 +254,7 @@
     }
 
     /// Notes how long a request ran that didn't have to wait.
-    pub fn observe(&mut self, route: PaceKey, took: Duration) {
+    pub fn observe(&mut self, route: RouteLatencyKey, took: Duration) {
         let before = self.mean();
         let Some(known) = self.routes.get_mut(route) else {
             return;
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -27,7 +27,7 @@
 use heatherring_lib::id::ServiceName;
 use heatherring_lib::request_rank::RequestRank;
 use heatherring_lib::route_manifest::Route;
-use heatherring_lib::service_pace::PaceKey;
+use heatherring_lib::service_pace::RouteLatencyKey;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
@@ -71,7 +71,7 @@
     },
     Streamed {
         backend: BackendKey,
-        pace: PaceKey,
+        pace: RouteLatencyKey,
         took: Duration,
     },
     View(Arc<FleetView>),
@@ -135,7 +135,7 @@
     }
 
     /// Notes how long an answer that was passed on as it came took from its head to its end.
-    pub fn note_streamed(&self, backend: BackendKey, pace: PaceKey, took: Duration) {
+    pub fn note_streamed(&self, backend: BackendKey, pace: RouteLatencyKey, took: Duration) {
         let _ = self.tx.send(Message::Streamed {
             backend,
             pace,
