--- a/lib/src/backend_load.rs
+++ b/lib/src/backend_load.rs
@@ -12,7 +12,7 @@
 use slotmap::SlotMap;
 use slotmap::new_key_type;
 
-use crate::service_pace::RouteLatencyKey;
+use crate::service_latency::RouteLatencyKey;
 
 /// Time in which half of what reports said of others' requests is forgotten. Requests of
 /// others go on coming after those that a report counted are over, so this is longer than
--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -45,7 +45,7 @@
 use crate::link_queue::LinkQueue;
 use crate::region_moves::RegionMoves;
 use crate::request_rank::RankShares;
-use crate::service_pace::RouteLatencyKey;
+use crate::service_latency::RouteLatencyKey;
 
 /// Least and longest time after which a caller that was refused is told to come back. What
 /// waits at busy backend servers takes some hundred milliseconds; whoever comes back before
--- a/lib/src/dispatch_assess.rs
+++ b/lib/src/dispatch_assess.rs
@@ -17,7 +17,7 @@
 use crate::object_copies::MOST_COPIES;
 use crate::object_rank;
 use crate::object_rank::Member;
-use crate::service_pace::RouteLatencyKey;
+use crate::service_latency::RouteLatencyKey;
 
 /// Delay to another region and back that is assumed before one was measured; the larger
 /// part of what the users' regions have (70 and 110 ms).
--- a/lib/src/dispatch_request.rs
+++ b/lib/src/dispatch_request.rs
@@ -14,7 +14,7 @@
 use crate::id::RouteName;
 use crate::id::ServiceName;
 use crate::request_rank::RequestRank;
-use crate::service_pace::RouteLatencyKey;
+use crate::service_latency::RouteLatencyKey;
 
 /// When a caller is told to come back that another entry VM can serve at once. It has yet to
 /// pick that one, and connects anew.
--- a/lib/src/dispatch_service.rs
+++ b/lib/src/dispatch_service.rs
@@ -9,7 +9,7 @@
 use crate::object_count::ObjectCount;
 use crate::resend_budget::ResendBudget;
 use crate::route_manifest::RouteService;
-use crate::service_pace::ServiceLatency;
+use crate::service_latency::ServiceLatency;
 
 /// Share of the requests that may make a further copy of their object. Each takes three times
 /// the room of a request whose data are at hand. Without a bound, all entry VMs copy what is
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -112,7 +112,7 @@
 pub mod retry_budget;
 pub mod route_check;
 pub mod route_manifest;
-pub mod service_pace;
+pub mod service_latency;
 pub mod service_time;
 pub mod session_relay;
 pub mod session_tracker;
--- a/lib/tests/test_service_pace.rs
+++ b/lib/tests/test_service_pace.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use heatherring_lib::id::RouteName;
-use heatherring_lib::service_pace::RouteLatency;
-use heatherring_lib::service_pace::ServiceLatency;
+use heatherring_lib::service_latency::RouteLatency;
+use heatherring_lib::service_latency::ServiceLatency;
 use rstest::rstest;
 
 /// The latency objective of the routes here; their times differ from it in both directions.
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -21,7 +21,7 @@
 use heatherring_lib::outcome::UnknownReason;
 use heatherring_lib::outcome::Unsent;
 use heatherring_lib::request_fingerprint::RequestTag;
-use heatherring_lib::service_pace::RouteLatencyKey;
+use heatherring_lib::service_latency::RouteLatencyKey;
 use http::HeaderMap;
 use http::Method;
 use http::Request;
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -27,7 +27,7 @@
 use heatherring_lib::id::ServiceName;
 use heatherring_lib::request_rank::RequestRank;
 use heatherring_lib::route_manifest::Route;
-use heatherring_lib::service_pace::RouteLatencyKey;
+use heatherring_lib::service_latency::RouteLatencyKey;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
