--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -141,4 +141,4 @@
 pub mod wait_queue;
 pub mod wall_anchor;
 pub mod warm_up;
-pub mod weighted_turns;
+pub mod weighted_round_robin;
--- a/lib/tests/test_shares.rs
+++ b/lib/tests/test_shares.rs
@@ -8,7 +8,7 @@
 use heatherring_lib::cold_gate;
 use heatherring_lib::cold_gate::ColdGate;
 use heatherring_lib::resend_budget::ResendBudget;
-use heatherring_lib::weighted_turns::WeightedRoundRobin;
+use heatherring_lib::weighted_round_robin::WeightedRoundRobin;
 use rstest::rstest;
 
 /// Symptom: a backend server that has just started crashes under its first requests.
--- a/server/src/direct_context.rs
+++ b/server/src/direct_context.rs
@@ -10,7 +10,7 @@
 use heatherring_lib::fleet_update::FleetView;
 use heatherring_lib::id::RouteName;
 use heatherring_lib::id::VmName;
-use heatherring_lib::weighted_turns::WeightedRoundRobin;
+use heatherring_lib::weighted_round_robin::WeightedRoundRobin;
 use tokio::sync::watch;
 
 use crate::crash_watch::CrashWatch;
