--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -23,8 +23,8 @@
 pub use crate::admission_event::ViewStep;
 use crate::announcement::Announcement;
 use crate::announcement::AnnouncementError;
+use crate::backend_registry::BackendEndpoint;
 use crate::backend_registry::HeldSlot;
-use crate::backend_registry::Placed;
 use crate::drain;
 use crate::drain::DrainDecision;
 use crate::drain::DrainInputs;
@@ -369,7 +369,7 @@
             .unwrap_or_else(|| Err(refused(NotRunReason::NotOwner, TICK_INTERVAL)))
     }
 
-    fn dispatch(&mut self, now: Instant, offer: Offer, placed: Placed) -> Dispatch {
+    fn dispatch(&mut self, now: Instant, offer: Offer, placed: BackendEndpoint) -> Dispatch {
         let deadline = offer.deadline;
         let gained = self
             .groups
@@ -576,7 +576,7 @@
     NotRun::proved(reason).with_retry_after(retry_after)
 }
 
-fn disconnect(gone: Placed) -> Effect {
+fn disconnect(gone: BackendEndpoint) -> Effect {
     Effect::Disconnect {
         backend: gone.backend,
         address: gone.address,
--- a/lib/src/backend_registry.rs
+++ b/lib/src/backend_registry.rs
@@ -88,7 +88,7 @@
 
 /// Names the server chosen for a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Placed {
+pub struct BackendEndpoint {
     /// The server.
     pub backend: BackendName,
     /// Its address.
@@ -167,7 +167,12 @@
     ///
     /// The one with the smallest share of its slots in use; among equals the one used
     /// last, whose connection is open and whose caches are warm.
-    pub fn place(&mut self, now: Instant, warm_up: Duration, idempotent: bool) -> Option<Placed> {
+    pub fn place(
+        &mut self,
+        now: Instant,
+        warm_up: Duration,
+        idempotent: bool,
+    ) -> Option<BackendEndpoint> {
         let name = self
             .servers
             .iter()
@@ -187,7 +192,7 @@
         server.peak = server.peak.max(server.in_flight);
         server.last_used = Some(now);
         server.circuit.note_sent();
-        Some(Placed {
+        Some(BackendEndpoint {
             address: server.announcement.address,
             backend: name,
         })
@@ -243,13 +248,13 @@
 
     /// Forgets what is over: held slots, and servers that have lapsed and run nothing.
     /// Returns the servers forgotten.
-    pub fn forget(&mut self, now: Instant) -> Vec<Placed> {
+    pub fn forget(&mut self, now: Instant) -> Vec<BackendEndpoint> {
         self.held.retain(|held| now < held.until);
         let mut gone = Vec::new();
         self.servers.retain(|name, server| {
             let keep = server.in_flight > 0 || server.age(now) < LEAVING_STICKS;
             if !keep {
-                gone.push(Placed {
+                gone.push(BackendEndpoint {
                     backend: name.clone(),
                     address: server.announcement.address,
                 });
@@ -272,8 +277,8 @@
     }
 
     /// Returns all servers.
-    pub fn all(&self) -> impl Iterator<Item = Placed> {
-        self.servers.iter().map(|(name, server)| Placed {
+    pub fn all(&self) -> impl Iterator<Item = BackendEndpoint> {
+        self.servers.iter().map(|(name, server)| BackendEndpoint {
             backend: name.clone(),
             address: server.announcement.address,
         })
--- a/lib/src/group_admission.rs
+++ b/lib/src/group_admission.rs
@@ -8,10 +8,10 @@
 use crate::admission_event::RequestToken;
 use crate::announcement::Announcement;
 use crate::announcement::REPEAT_MS;
+use crate::backend_registry::BackendEndpoint;
 use crate::backend_registry::BackendRegistry;
 use crate::backend_registry::HeldSlot;
 use crate::backend_registry::LAPSE;
-use crate::backend_registry::Placed;
 use crate::id::BackendName;
 use crate::id::PlaceName;
 use crate::id::Revision;
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
     /// It runs at this server.
-    Place(Placed),
+    Place(BackendEndpoint),
     /// It waits.
     Wait,
 }
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug)]
 pub enum Step {
     /// It runs at this server.
-    Place(Offer, Placed),
+    Place(Offer, BackendEndpoint),
     /// It is refused.
     Refuse(RequestToken, NotRun),
 }
@@ -344,7 +344,7 @@
     }
 
     /// Forgets what has lapsed; returns the servers that are gone.
-    pub fn forget(&mut self, now: Instant) -> Vec<Placed> {
+    pub fn forget(&mut self, now: Instant) -> Vec<BackendEndpoint> {
         self.registry.forget(now)
     }
 
@@ -354,7 +354,7 @@
     }
 
     /// Returns all backend servers.
-    pub fn backends(&self) -> impl Iterator<Item = Placed> {
+    pub fn backends(&self) -> impl Iterator<Item = BackendEndpoint> {
         self.registry.all()
     }
 
@@ -466,7 +466,7 @@
         Some(Step::Place(offer, placed?))
     }
 
-    fn try_place(&mut self, cx: &GroupContext<'_>, offer: &Offer) -> Option<Placed> {
+    fn try_place(&mut self, cx: &GroupContext<'_>, offer: &Offer) -> Option<BackendEndpoint> {
         if !self.place_has_room(cx.now) {
             return None;
         }
