--- a/lib/src/backend_registry.rs
+++ b/lib/src/backend_registry.rs
@@ -148,7 +148,7 @@
 
     /// Returns the slots of all ready servers, before ramps, back-off and doubts.
     #[must_use]
-    pub fn believed(&self, now: Instant) -> u32 {
+    pub fn ready_slots(&self, now: Instant) -> u32 {
         self.servers
             .values()
             .filter(|server| server.takes_work(now))
