--- a/lib/src/group_admission.rs
+++ b/lib/src/group_admission.rs
@@ -385,8 +385,8 @@
     pub fn load(&mut self, now: Instant) -> GroupLoad {
         let open = self.tenure.active_since(now).is_some() && !self.place_drained;
         let usable = if open { self.usable(now) } else { 0 };
-        let believed = self.registry.believed(now);
-        let warm = usable * 100 / believed.max(usable).max(1);
+        let ready_slots = self.registry.ready_slots(now);
+        let warm = usable * 100 / ready_slots.max(usable).max(1);
         GroupLoad {
             group: self.group.clone(),
             slots: usable,
