--- a/lib/src/dispatch_assess.rs
+++ b/lib/src/dispatch_assess.rs
@@ -151,11 +151,11 @@
         } else {
             1.0
         };
-        let service_time = service.pace.expected(pace, warm) * factor * slowness;
+        let service_time = service.latency.expected(pace, warm) * factor * slowness;
         let objective = ask.latency_objective.as_secs_f64();
-        let wait = ahead * service.pace.mean() * factor * slowness / slots;
+        let wait = ahead * service.latency.mean() * factor * slowness / slots;
         let (fault, risk) = if policy.fault_marks {
-            let cold = service.pace.expected(pace, false);
+            let cold = service.latency.expected(pace, false);
             let fault = backend.fault(now, wait, cold, objective);
             (fault, backend.risk(now, objective))
         } else {
@@ -168,7 +168,7 @@
             fault,
             risk: risk + tie_break(rank),
             load: there / slots,
-            slow_above: service.pace.expected(pace, known_warm) * factor * SLOW_MARGIN,
+            slow_above: service.latency.expected(pace, known_warm) * factor * SLOW_MARGIN,
             warm,
             near: backend.region == self.cfg.region,
             region: backend.region_hash,
