--- a/lib/src/backend_load.rs
+++ b/lib/src/backend_load.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Expectation {
     /// The times of its route.
-    pub pace: RouteLatencyKey,
+    pub latency_key: RouteLatencyKey,
     /// Whether its data were expected to be at hand.
     pub warm: bool,
     /// Whether it was expected to wait.
--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -275,13 +275,13 @@
     }
 
     /// Notes how long an answer that was passed on as it came took from its head to its end.
-    pub fn note_streamed(&mut self, key: BackendKey, pace: RouteLatencyKey, took: Duration) {
+    pub fn note_streamed(&mut self, key: BackendKey, latency_key: RouteLatencyKey, took: Duration) {
         let service = self
             .backends
             .get(key)
             .map(|backend| &backend.record.service);
         if let Some(service) = service.and_then(|name| self.services.get_mut(name)) {
-            service.latency.observe_tail(pace, took);
+            service.latency.observe_tail(latency_key, took);
         }
     }
 
@@ -307,7 +307,7 @@
         } else {
             &shared
         };
-        let pace = service.latency.route(route, ask.latency_objective);
+        let latency_key = service.latency.route(route, ask.latency_objective);
         let may_move = self.moves.may_move(now);
         let service = &self.services[ask.service];
         let left = ask.answer_by().saturating_duration_since(now).as_secs_f64();
@@ -319,7 +319,7 @@
         if !self.link.has_room(now, self.under_way, wait_share) {
             return Err(self.elsewhere(RefusedReason::LinkFull));
         }
-        let candidates = self.candidates(now, service, pace, ask);
+        let candidates = self.candidates(now, service, latency_key, ask);
         let settled = dispatch_pick::settled_region(&candidates);
         let limits = PickLimits {
             left,
@@ -332,7 +332,7 @@
         };
         let max_connections = service.known.max_connections;
         let best = dispatch_pick::pick(&candidates, &limits);
-        let until_end = service.latency.until_end(pace);
+        let until_end = service.latency.until_end(latency_key);
         let best = best.filter(|best| ask.answers_until.is_none() || best.wait + until_end <= left);
         if !candidates.is_empty() {
             self.rank_shares.note(now, ask.rank, best.is_some());
@@ -358,7 +358,7 @@
         }
         let moved = settled.is_some_and(|region| region != best.region);
         self.moves.note(now, moved);
-        Ok(self.begin(now, &best, pace, max_connections))
+        Ok(self.begin(now, &best, latency_key, max_connections))
     }
 
     /// Refuses what another entry VM can serve at once.
@@ -396,14 +396,14 @@
         &mut self,
         now: Instant,
         best: &Candidate,
-        pace: RouteLatencyKey,
+        latency_key: RouteLatencyKey,
         max_connections: u32,
     ) -> Choice {
         let backend = &mut self.backends[best.backend];
         backend.cold_gate.note_sent(now);
         let report_age = backend.load.report_age(now);
         let expectation = Expectation {
-            pace,
+            latency_key,
             warm: best.warm,
             queued: best.wait > 0.0,
             slow_above: seconds(best.slow_above),
@@ -412,7 +412,7 @@
         self.under_way += 1;
         Choice {
             backend: best.backend,
-            pace,
+            latency_key,
             send,
             name: backend.name.clone(),
             born: backend.record.born,
@@ -473,7 +473,7 @@
                     .health
                     .note_answer(now, took, send.expected.slow_above);
                 if let Some(service) = self.services.get_mut(&backend.record.service) {
-                    service.latency.observe(send.expected.pace, took);
+                    service.latency.observe(send.expected.latency_key, took);
                 }
             }
             SendOutcome::Faulty => {
--- a/lib/src/dispatch_assess.rs
+++ b/lib/src/dispatch_assess.rs
@@ -45,7 +45,7 @@
         &self,
         now: Instant,
         service: &Service,
-        pace: RouteLatencyKey,
+        latency_key: RouteLatencyKey,
         ask: &DispatchRequest<'_>,
     ) -> Vec<Candidate> {
         let stable: Vec<BackendKey> = service
@@ -56,15 +56,15 @@
             .collect();
         let Some(object) = ask.object.filter(|_| self.cfg.policy.homes) else {
             let all = stable.iter().map(|key| (*key, 0));
-            return self.assess(now, all, service, pace, ask);
+            return self.assess(now, all, service, latency_key, ask);
         };
         let ranked = self.ranked(&stable, object, service.objects.count());
-        let found = self.assess(now, ranked.into_iter(), service, pace, ask);
+        let found = self.assess(now, ranked.into_iter(), service, latency_key, ask);
         if !found.is_empty() {
             return found;
         }
         let all = stable.iter().map(|key| (*key, SPARE_RANK));
-        let found = self.assess(now, all, service, pace, ask);
+        let found = self.assess(now, all, service, latency_key, ask);
         if !found.is_empty() {
             return found;
         }
@@ -72,7 +72,13 @@
             let backend = &self.backends[**key];
             backend.usable && self.is_cold(now, backend)
         });
-        self.assess(now, cold.map(|key| (*key, SPARE_RANK)), service, pace, ask)
+        self.assess(
+            now,
+            cold.map(|key| (*key, SPARE_RANK)),
+            service,
+            latency_key,
+            ask,
+        )
     }
 
     fn assess(
@@ -80,12 +86,12 @@
         now: Instant,
         ranked: impl Iterator<Item = (BackendKey, usize)>,
         service: &Service,
-        pace: RouteLatencyKey,
+        latency_key: RouteLatencyKey,
         ask: &DispatchRequest<'_>,
     ) -> Vec<Candidate> {
         ranked
             .filter(|(key, _)| self.is_allowed(now, *key, ask))
-            .filter_map(|(key, rank)| self.candidate(now, key, rank, service, pace, ask))
+            .filter_map(|(key, rank)| self.candidate(now, key, rank, service, latency_key, ask))
             .collect()
     }
 
@@ -128,7 +134,7 @@
         key: BackendKey,
         rank: usize,
         service: &Service,
-        pace: RouteLatencyKey,
+        latency_key: RouteLatencyKey,
         ask: &DispatchRequest<'_>,
     ) -> Option<Candidate> {
         let backend = &self.backends[key];
@@ -151,11 +157,11 @@
         } else {
             1.0
         };
-        let service_time = service.latency.expected(pace, warm) * factor * slowness;
+        let service_time = service.latency.expected(latency_key, warm) * factor * slowness;
         let objective = ask.latency_objective.as_secs_f64();
         let wait = ahead * service.latency.mean() * factor * slowness / slots;
         let (fault, risk) = if policy.fault_marks {
-            let cold = service.latency.expected(pace, false);
+            let cold = service.latency.expected(latency_key, false);
             let fault = backend.fault(now, wait, cold, objective);
             (fault, backend.risk(now, objective))
         } else {
@@ -168,7 +174,7 @@
             fault,
             risk: risk + tie_break(rank),
             load: there / slots,
-            slow_above: service.latency.expected(pace, known_warm) * factor * SLOW_MARGIN,
+            slow_above: service.latency.expected(latency_key, known_warm) * factor * SLOW_MARGIN,
             warm,
             near: backend.region == self.cfg.region,
             region: backend.region_hash,
--- a/lib/src/dispatch_request.rs
+++ b/lib/src/dispatch_request.rs
@@ -73,7 +73,7 @@
     /// The backend server.
     pub backend: BackendKey,
     /// The times of its route.
-    pub pace: RouteLatencyKey,
+    pub latency_key: RouteLatencyKey,
     /// The request in flight.
     pub send: SendKey,
     /// Its name.
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -374,7 +374,7 @@
                 keep,
                 dispatch: self.dispatch.clone(),
                 backend: choice.backend,
-                pace: choice.pace,
+                latency_key: choice.latency_key,
                 began: Instant::now(),
             });
             let body = answer_body::relay(body, req.give_up, end);
@@ -422,7 +422,7 @@
     keep: Duration,
     dispatch: DispatchHandle,
     backend: BackendKey,
-    pace: RouteLatencyKey,
+    latency_key: RouteLatencyKey,
     /// When its head had come.
     began: Instant,
 }
@@ -432,7 +432,8 @@
         self.pool.give_back_for(self.connection, self.keep);
         self.followed.answered();
         let took = self.began.elapsed();
-        self.dispatch.note_streamed(self.backend, self.pace, took);
+        self.dispatch
+            .note_streamed(self.backend, self.latency_key, took);
     }
 
     fn broken(self: Box<Self>) {
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -71,7 +71,7 @@
     },
     Streamed {
         backend: BackendKey,
-        pace: RouteLatencyKey,
+        latency_key: RouteLatencyKey,
         took: Duration,
     },
     View(Arc<FleetView>),
@@ -135,10 +135,10 @@
     }
 
     /// Notes how long an answer that was passed on as it came took from its head to its end.
-    pub fn note_streamed(&self, backend: BackendKey, pace: RouteLatencyKey, took: Duration) {
+    pub fn note_streamed(&self, backend: BackendKey, latency_key: RouteLatencyKey, took: Duration) {
         let _ = self.tx.send(Message::Streamed {
             backend,
-            pace,
+            latency_key,
             took,
         });
     }
@@ -213,9 +213,9 @@
             Message::Connected { backend, took } => dispatcher.note_connected(backend, took),
             Message::Streamed {
                 backend,
-                pace,
+                latency_key,
                 took,
-            } => dispatcher.note_streamed(backend, pace, took),
+            } => dispatcher.note_streamed(backend, latency_key, took),
             Message::View(view) => dispatcher.apply_view(now, &view),
             Message::Silent(silent) => dispatcher.apply_silent(silent),
             Message::Control => dispatcher.note_control(now),
