--- a/lib/src/service_latency.rs
+++ b/lib/src/service_latency.rs
@@ -184,7 +184,7 @@
 #[derive(Clone, Debug)]
 struct KnownRoute {
     name: RouteName,
-    pace: RouteLatency,
+    latency: RouteLatency,
     /// Number of the latest request.
     asked_at: u64,
 }
@@ -202,7 +202,7 @@
         }
         let key = self.routes.insert(KnownRoute {
             name: name.clone(),
-            pace: RouteLatency::new(objective),
+            latency: RouteLatency::new(objective),
             asked_at: self.turn,
         });
         self.by_name.insert(name.clone(), key);
@@ -223,7 +223,7 @@
     #[must_use]
     pub fn expected(&self, route: RouteLatencyKey, warm: bool) -> f64 {
         let known = self.routes.get(route);
-        known.map_or_else(|| self.mean(), |known| known.pace.expected(warm))
+        known.map_or_else(|| self.mean(), |known| known.latency.expected(warm))
     }
 
     /// Returns the time that half of a route's requests stay below until the last byte of their
@@ -231,13 +231,13 @@
     #[must_use]
     pub fn until_end(&self, route: RouteLatencyKey) -> f64 {
         let known = self.routes.get(route);
-        known.map_or_else(|| self.mean(), |known| known.pace.until_end())
+        known.map_or_else(|| self.mean(), |known| known.latency.until_end())
     }
 
     /// Notes how long an answer that was passed on as it came took from its head to its end.
     pub fn observe_tail(&mut self, route: RouteLatencyKey, took: Duration) {
         if let Some(known) = self.routes.get_mut(route) {
-            known.pace.tail.note_end(took.as_secs_f64());
+            known.latency.tail.note_end(took.as_secs_f64());
         }
     }
 
@@ -248,7 +248,10 @@
         self.mean.unwrap_or_else(|| {
             #[expect(clippy::cast_precision_loss, reason = "64 at most")]
             let count = self.routes.len().max(1) as f64;
-            let expected = self.routes.values().map(|known| known.pace.expected(true));
+            let expected = self
+                .routes
+                .values()
+                .map(|known| known.latency.expected(true));
             expected.sum::<f64>() / count
         })
     }
@@ -259,8 +262,8 @@
         let Some(known) = self.routes.get_mut(route) else {
             return;
         };
-        known.pace.observe(took);
-        let took = took.as_secs_f64().min(known.pace.expected(false));
+        known.latency.observe(took);
+        let took = took.as_secs_f64().min(known.latency.expected(false));
         self.mean = Some(before + (took - before) * STEP);
     }
 }
