--- a/lib/src/raft.rs
+++ b/lib/src/raft.rs
@@ -19,7 +19,6 @@
 use crate::id::ReplicaId;
 use crate::id::Revision;
 use crate::id::Term;
-use crate::raft_answers::SentAnswers;
 use crate::raft_config::DurableState;
 use crate::raft_config::RaftConfig;
 use crate::raft_config::RaftError;
@@ -41,6 +40,7 @@
 use crate::raft_message::MessageKind;
 use crate::raft_pending::PendingProposals;
 use crate::raft_progress::LeaderCx;
+use crate::raft_sent_replies::SentAnswers;
 
 /// Time after which a replica that doesn't campaign asks for its next tick.
 const IDLE_WAKE: Duration = Duration::from_mins(1);
@@ -300,7 +300,7 @@
     /// new leader doesn't know what its predecessors committed until then, and what it says
     /// of it may lie far behind.
     #[must_use]
-    pub fn current_at(&self) -> Option<Instant> {
+    pub fn proven_current_at(&self) -> Option<Instant> {
         if self.log.term_at(self.commit) != Some(self.term()) {
             return None;
         }
--- a/lib/tests/raft_network/mod.rs
+++ b/lib/tests/raft_network/mod.rs
@@ -304,7 +304,7 @@
     /// Checks that a replica knows everything that was confirmed before the moment for which it
     /// says that it is current.
     fn check_proof(&self, raft: &Raft) {
-        let Some(proved_at) = raft.current_at() else {
+        let Some(proved_at) = raft.proven_current_at() else {
             return;
         };
         let before = self.confirmed.partition_point(|(at, _)| *at < proved_at);
--- a/lib/tests/test_raft_proof.rs
+++ b/lib/tests/test_raft_proof.rs
@@ -42,7 +42,7 @@
             }
             for follower in &followers {
                 let raft = network.raft(*follower);
-                let proved = raft.current_at().expect("it was current once");
+                let proved = raft.proven_current_at().expect("it was current once");
                 let age = network.time().saturating_duration_since(proved);
                 assert!(age < PROOF_AGE, "seed {seed}, {follower:?}: {age:?}");
             }
@@ -58,12 +58,12 @@
     let follower = (1..=3).map(id).find(|id| *id != leader).unwrap();
     network.run(PAUSE);
     network.cut(leader, follower);
-    let before = network.raft(follower).current_at();
+    let before = network.raft(follower).proven_current_at();
     for _ in 0..20 {
         network.propose(leader);
         network.run(PAUSE);
     }
-    assert_eq!(network.raft(follower).current_at(), before);
+    assert_eq!(network.raft(follower).proven_current_at(), before);
 }
 
 /// Guards against a replica that says that it is current on the word of a replaced leader.
--- a/server/src/fleet_picture.rs
+++ b/server/src/fleet_picture.rs
@@ -64,7 +64,7 @@
 impl FleetPublisher {
     /// Shows the present state; wakes readers only if something changed.
     pub fn publish(&self, raft: &Raft, state: &ControlState) {
-        self.proved_at.send_replace(raft.current_at());
+        self.proved_at.send_replace(raft.proven_current_at());
         let leads = raft.role() == Role::Leader;
         self.picture.send_if_modified(|picture| {
             let fleet_changed = !Arc::ptr_eq(&picture.fleet, state.fleet());
--- a/server/src/node_repair.rs
+++ b/server/src/node_repair.rs
@@ -103,7 +103,7 @@
         question_only: bool,
     ) -> Result<bool, NodeError> {
         let now = self.clock.now();
-        let proved = self.raft.current_at();
+        let proved = self.raft.proven_current_at();
         let proved = proved.is_some_and(|at| now.saturating_duration_since(at) < PROOF_AGE);
         if self.raft.role() != Role::Leader || !proved {
             return Err(NodeError::Refused {
