--- a/lib/src/cold_queries.rs
+++ b/lib/src/cold_queries.rs
@@ -38,8 +38,8 @@
 
 impl Dispatcher {
     /// Notes that control is in reach and that all it knows has been applied.
-    pub fn note_control(&mut self, now: Instant) {
-        self.cold_watch.note_control(now);
+    pub fn note_control_contact(&mut self, now: Instant) {
+        self.cold_watch.note_control_contact(now);
     }
 
     /// Returns the questions that are due, one to each place at most, and when to ask next.
--- a/lib/src/cold_watch.rs
+++ b/lib/src/cold_watch.rs
@@ -56,7 +56,7 @@
     }
 
     /// Notes that control is in reach: everything that it knows has been applied.
-    pub fn note_control(&mut self, now: Instant) {
+    pub fn note_control_contact(&mut self, now: Instant) {
         self.control_at = now;
         self.places.clear();
     }
--- a/lib/tests/dispatch_model/mod.rs
+++ b/lib/tests/dispatch_model/mod.rs
@@ -309,7 +309,7 @@
             resend: false,
         };
         let now = self.at();
-        self.dispatchers[entry].note_control(now);
+        self.dispatchers[entry].note_control_contact(now);
         let counted = self.counts(self.now);
         self.result.asked += u32::from(counted);
         let Ok(choice) = self.dispatchers[entry].choose(now, &ask) else {
--- a/lib/tests/dispatch_model/probe.rs
+++ b/lib/tests/dispatch_model/probe.rs
@@ -61,7 +61,7 @@
 
     pub fn pass(&mut self, time: Duration) {
         self.now += time;
-        self.dispatcher.note_control(self.now);
+        self.dispatcher.note_control_contact(self.now);
     }
 
     /// Has the entry VM stop.
--- a/lib/tests/test_cold_watch.rs
+++ b/lib/tests/test_cold_watch.rs
@@ -209,7 +209,7 @@
     for _ in 0..10 {
         region.play(Duration::from_millis(800));
         for sender in &mut region.senders {
-            sender.note_control(region.now);
+            sender.note_control_contact(region.now);
         }
         assert!(region.questions.is_empty());
     }
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -149,7 +149,7 @@
     }
 
     /// Notes that control is in reach and that all it knows has been applied.
-    pub fn note_control(&self) {
+    pub fn note_control_contact(&self) {
         let _ = self.tx.send(Message::Control);
     }
 
@@ -218,7 +218,7 @@
             } => dispatcher.note_streamed(backend, latency_key, took),
             Message::View(view) => dispatcher.apply_view(now, &view),
             Message::Silent(silent) => dispatcher.apply_silent(silent),
-            Message::Control => dispatcher.note_control(now),
+            Message::Control => dispatcher.note_control_contact(now),
             Message::ColdQueries { reply } => {
                 // An asker that has gone ends with the process.
                 let _ = reply.send(dispatcher.cold_queries(now));
