--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -116,7 +116,7 @@
         trace.team.clone_from(&asker.team);
         let team = asker.team_in(&teams);
         let own_homes = team.map_or(&[][..], |team| &team.home_regions);
-        let homes = home_regions::common(own_homes, &route.home_regions)
+        let homes = home_regions::intersection(own_homes, &route.home_regions)
             .ok_or_else(|| refuse(NotRunReason::NoCommonHome))?;
         let rank = RequestRank {
             team: team.and_then(|team| team.priority),
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -291,7 +291,7 @@
     /// of the one before. The connection may hang rather than break.
     async fn outlived(&self, choice: &Choice) {
         let mut view = self.view.clone();
-        let outlived = view.wait_for(|view| view.is_outlived(&choice.name, choice.born));
+        let outlived = view.wait_for(|view| view.has_later_incarnation(&choice.name, choice.born));
         if outlived.await.is_err() {
             std::future::pending::<()>().await;
         }
