--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -18,9 +18,9 @@
 use crate::replica_choice::ReplicaChoice;
 use crate::replica_choice::ReplicaSite;
 use crate::replica_choice::Useless;
-use crate::replica_patience::ANSWER_WITHIN;
-use crate::replica_patience::LATE_AFTER;
-use crate::replica_patience::ReplicaPatience;
+use crate::replica_timeout::ANSWER_WITHIN;
+use crate::replica_timeout::LATE_AFTER;
+use crate::replica_timeout::ReplicaPatience;
 
 /// Pause before others are asked, after none was of use.
 const NEXT_PAUSE: Duration = Duration::from_millis(50);
@@ -47,7 +47,7 @@
     /// Ask a replica whether it is of use.
     Try(SocketAddr),
     /// Ask the replica that is followed for news, in place of what was asked of it before. It
-    /// may hold its answer back for [`HOLD`](crate::replica_patience::HOLD).
+    /// may hold its answer back for [`HOLD`](crate::replica_timeout::HOLD).
     Ask(SocketAddr),
     /// Wait no longer for the answer of a replica that isn't needed.
     Drop(SocketAddr),
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -16,7 +16,7 @@
 use heatherring_lib::replica_choice::ReplicaChoice;
 use heatherring_lib::replica_choice::ReplicaSite;
 use heatherring_lib::replica_choice::Useless;
-use heatherring_lib::replica_patience::HOLD;
+use heatherring_lib::replica_timeout::HOLD;
 
 /// Age up to which a replica's last proof that it is current counts.
 const PROOF_AGE: Duration = Duration::from_millis(950);
--- a/lib/tests/test_replica_timeout.rs
+++ b/lib/tests/test_replica_timeout.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use heatherring_lib::replica_patience::ANSWER_WITHIN;
-use heatherring_lib::replica_patience::HOLD;
-use heatherring_lib::replica_patience::LATE_AFTER;
-use heatherring_lib::replica_patience::ReplicaPatience;
+use heatherring_lib::replica_timeout::ANSWER_WITHIN;
+use heatherring_lib::replica_timeout::HOLD;
+use heatherring_lib::replica_timeout::LATE_AFTER;
+use heatherring_lib::replica_timeout::ReplicaPatience;
 
 /// Guards against seconds without a view while replicas are still dark after a loss of power.
 #[test]
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -26,7 +26,7 @@
 use heatherring_lib::presence::Absent;
 use heatherring_lib::replica_choice::ReplicaChoice;
 use heatherring_lib::replica_choice::ReplicaSite;
-use heatherring_lib::replica_patience::HOLD;
+use heatherring_lib::replica_timeout::HOLD;
 use heatherring_lib::request_fingerprint::FingerprintKey;
 use tokio::sync::watch;
 use tonic::transport::Channel;
