--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -20,7 +20,7 @@
 use crate::replica_choice::Useless;
 use crate::replica_timeout::ANSWER_WITHIN;
 use crate::replica_timeout::LATE_AFTER;
-use crate::replica_timeout::ReplicaPatience;
+use crate::replica_timeout::ReplicaTimeout;
 
 /// Pause before others are asked, after none was of use.
 const NEXT_PAUSE: Duration = Duration::from_millis(50);
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 pub struct FollowPlan {
     choice: ReplicaChoice,
-    patience: ReplicaPatience,
+    patience: ReplicaTimeout,
     followed: Option<Followed>,
     trials: Vec<Trial>,
     aim: Aim,
@@ -123,7 +123,7 @@
     pub fn new(choice: ReplicaChoice, now: Instant, seed: u64) -> Self {
         Self {
             choice,
-            patience: ReplicaPatience::default(),
+            patience: ReplicaTimeout::default(),
             followed: None,
             trials: Vec::new(),
             aim: Aim::Search,
--- a/lib/src/replica_timeout.rs
+++ b/lib/src/replica_timeout.rs
@@ -21,13 +21,13 @@
 
 /// Says how long to wait for the first answer of a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct ReplicaPatience {
+pub struct ReplicaTimeout {
     /// It doubles while nobody answers: a link that is full delays every answer, and changing
     /// replicas helps nobody then.
     first: Duration,
 }
 
-impl Default for ReplicaPatience {
+impl Default for ReplicaTimeout {
     fn default() -> Self {
         Self {
             first: FIRST_ANSWER,
@@ -35,7 +35,7 @@
     }
 }
 
-impl ReplicaPatience {
+impl ReplicaTimeout {
     /// Returns for how long the first answer of a replica is awaited.
     #[must_use]
     pub const fn first(&self) -> Duration {
--- a/lib/tests/test_replica_timeout.rs
+++ b/lib/tests/test_replica_timeout.rs
@@ -5,12 +5,12 @@
 use heatherring_lib::replica_timeout::ANSWER_WITHIN;
 use heatherring_lib::replica_timeout::HOLD;
 use heatherring_lib::replica_timeout::LATE_AFTER;
-use heatherring_lib::replica_timeout::ReplicaPatience;
+use heatherring_lib::replica_timeout::ReplicaTimeout;
 
 /// Guards against seconds without a view while replicas are still dark after a loss of power.
 #[test]
 fn test_dark_replicas_hold_an_entry_vm_up_for_a_moment() {
-    let mut patience = ReplicaPatience::default();
+    let mut patience = ReplicaTimeout::default();
     let mut waited = Duration::ZERO;
     for _ in 0..2 {
         waited += patience.first();
@@ -22,7 +22,7 @@
 /// Guards against an entry VM that changes replicas for ever since its link is full.
 #[test]
 fn test_a_full_link_is_borne() {
-    let mut patience = ReplicaPatience::default();
+    let mut patience = ReplicaTimeout::default();
     for _ in 0..6 {
         patience.note_silence();
     }
