--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -47,7 +47,7 @@
     /// Ask a replica whether it is of use.
     Try(SocketAddr),
     /// Ask the replica that is followed for news, in place of what was asked of it before. It
-    /// may hold its answer back for [`HOLD`](crate::replica_timeout::HOLD).
+    /// may hold its answer back for [`LONG_POLL_HOLD`](crate::replica_timeout::LONG_POLL_HOLD).
     Ask(SocketAddr),
     /// Wait no longer for the answer of a replica that isn't needed.
     Drop(SocketAddr),
--- a/lib/src/replica_timeout.rs
+++ b/lib/src/replica_timeout.rs
@@ -4,13 +4,13 @@
 
 /// Time for which a replica may hold its answer back while there is nothing new. It is also
 /// the time between two heartbeats of an entry VM when nothing happens.
-pub const HOLD: Duration = Duration::from_millis(800);
+pub const LONG_POLL_HOLD: Duration = Duration::from_millis(800);
 
 /// Time after which a replica's answer is late, and others are asked beside: a way there and back
 /// between regions, 110 ms, and a busy moment.
 pub const LATE_AFTER: Duration = Duration::from_secs(1);
 
-/// Time after which a replica counts as silent: [`HOLD`] and four ways there and back between
+/// Time after which a replica counts as silent: [`LONG_POLL_HOLD`] and four ways there and back between
 /// regions, 110 ms each.
 pub const ANSWER_WITHIN: Duration = Duration::from_millis(1_250);
 
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -16,7 +16,7 @@
 use heatherring_lib::replica_choice::ReplicaChoice;
 use heatherring_lib::replica_choice::ReplicaSite;
 use heatherring_lib::replica_choice::Useless;
-use heatherring_lib::replica_timeout::HOLD;
+use heatherring_lib::replica_timeout::LONG_POLL_HOLD;
 
 /// Age up to which a replica's last proof that it is current counts.
 const PROOF_AGE: Duration = Duration::from_millis(950);
@@ -299,7 +299,7 @@
     /// Returns what a replica replies to a question that arrives at `at`, and when.
     fn reply(&self, replica: usize, at: Duration, to_news: bool) -> Option<(Duration, Reply)> {
         let mut at = self.world.acts_at(replica, at)?;
-        let held_until = if to_news { at + HOLD } else { at };
+        let held_until = if to_news { at + LONG_POLL_HOLD } else { at };
         loop {
             if self.world.is_in(replica, Trouble::Killed, at) {
                 return Some((at, Reply::Refused));
--- a/lib/tests/test_replica_timeout.rs
+++ b/lib/tests/test_replica_timeout.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use heatherring_lib::replica_timeout::ANSWER_WITHIN;
-use heatherring_lib::replica_timeout::HOLD;
 use heatherring_lib::replica_timeout::LATE_AFTER;
+use heatherring_lib::replica_timeout::LONG_POLL_HOLD;
 use heatherring_lib::replica_timeout::ReplicaTimeout;
 
 /// Guards against seconds without a view while replicas are still dark after a loss of power.
@@ -29,5 +29,5 @@
     assert!(patience.first() > Duration::from_secs(1));
     patience.note_answer();
     assert!(patience.first() < Duration::from_millis(500));
-    assert!(HOLD < LATE_AFTER && LATE_AFTER < ANSWER_WITHIN);
+    assert!(LONG_POLL_HOLD < LATE_AFTER && LATE_AFTER < ANSWER_WITHIN);
 }
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -26,7 +26,7 @@
 use heatherring_lib::presence::Absent;
 use heatherring_lib::replica_choice::ReplicaChoice;
 use heatherring_lib::replica_choice::ReplicaSite;
-use heatherring_lib::replica_timeout::HOLD;
+use heatherring_lib::replica_timeout::LONG_POLL_HOLD;
 use heatherring_lib::request_fingerprint::FingerprintKey;
 use tokio::sync::watch;
 use tonic::transport::Channel;
@@ -278,7 +278,7 @@
             ready,
             applied_revision: view.revision.0,
             known_presence: self.known_presence,
-            wait_ms: u32::try_from(HOLD.as_millis()).unwrap_or(u32::MAX),
+            wait_ms: u32::try_from(LONG_POLL_HOLD.as_millis()).unwrap_or(u32::MAX),
             known_replicas: self.known_replicas,
             list_only: false,
             known_quarantine: self.known_quarantine,
