--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -18,7 +18,7 @@
 use crate::replica_choice::ReplicaChoice;
 use crate::replica_choice::ReplicaSite;
 use crate::replica_choice::Useless;
-use crate::replica_timeout::ANSWER_WITHIN;
+use crate::replica_timeout::ANSWER_TIMEOUT;
 use crate::replica_timeout::LATE_AFTER;
 use crate::replica_timeout::ReplicaTimeout;
 
@@ -153,7 +153,7 @@
             None => self.trials_end,
             Some(followed) => match followed.question {
                 Question::Planned(at) => at,
-                Question::Asked(at) if followed.has_searched => at + ANSWER_WITHIN,
+                Question::Asked(at) if followed.has_searched => at + ANSWER_TIMEOUT,
                 Question::Asked(at) => at + LATE_AFTER,
             },
         };
@@ -269,7 +269,7 @@
             replica, question, ..
         }) = self.followed
             && let Question::Asked(at) = question
-            && at + ANSWER_WITHIN <= now
+            && at + ANSWER_TIMEOUT <= now
         {
             self.followed = None;
             self.search_at = now;
--- a/lib/src/replica_timeout.rs
+++ b/lib/src/replica_timeout.rs
@@ -12,7 +12,7 @@
 
 /// Time after which a replica counts as silent: [`LONG_POLL_HOLD`] and four ways there and back between
 /// regions, 110 ms each.
-pub const ANSWER_WITHIN: Duration = Duration::from_millis(1_250);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_250);
 
 /// Time for which the first answer of a replica is awaited: a connection and a question, each
 /// a way there and back of 110 ms at most. A replica that is dark or cut off answers nothing,
@@ -49,6 +49,6 @@
 
     /// Notes that there was none in time.
     pub fn note_silence(&mut self) {
-        self.first = (self.first * 2).min(ANSWER_WITHIN);
+        self.first = (self.first * 2).min(ANSWER_TIMEOUT);
     }
 }
