--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -19,7 +19,7 @@
 use crate::replica_choice::ReplicaSite;
 use crate::replica_choice::Useless;
 use crate::replica_timeout::ANSWER_TIMEOUT;
-use crate::replica_timeout::LATE_AFTER;
+use crate::replica_timeout::HEDGE_AFTER;
 use crate::replica_timeout::ReplicaTimeout;
 
 /// Pause before others are asked, after none was of use.
@@ -154,7 +154,7 @@
             Some(followed) => match followed.question {
                 Question::Planned(at) => at,
                 Question::Asked(at) if followed.has_searched => at + ANSWER_TIMEOUT,
-                Question::Asked(at) => at + LATE_AFTER,
+                Question::Asked(at) => at + HEDGE_AFTER,
             },
         };
         let waiting = self.trials.iter().filter(|trial| !trial.has_begun);
@@ -170,7 +170,7 @@
         if let Some(followed) = self.followed {
             match followed.question {
                 Question::Planned(at) if at <= now => self.ask(now, &mut steps),
-                Question::Asked(at) if at + LATE_AFTER <= now && !followed.has_searched => {
+                Question::Asked(at) if at + HEDGE_AFTER <= now && !followed.has_searched => {
                     self.followed = Some(Followed {
                         has_searched: true,
                         ..followed
--- a/lib/src/replica_timeout.rs
+++ b/lib/src/replica_timeout.rs
@@ -8,7 +8,7 @@
 
 /// Time after which a replica's answer is late, and others are asked beside: a way there and back
 /// between regions, 110 ms, and a busy moment.
-pub const LATE_AFTER: Duration = Duration::from_secs(1);
+pub const HEDGE_AFTER: Duration = Duration::from_secs(1);
 
 /// Time after which a replica counts as silent: [`LONG_POLL_HOLD`] and four ways there and back between
 /// regions, 110 ms each.
