--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -282,7 +282,7 @@
                 steps.push(FollowStep::GiveUp(trial.replica));
             }
             if self.aim == Aim::Search {
-                self.patience.note_silence();
+                self.patience.note_timeout();
             }
             self.search_at = now + NEXT_PAUSE;
         }
--- a/lib/src/replica_timeout.rs
+++ b/lib/src/replica_timeout.rs
@@ -48,7 +48,7 @@
     }
 
     /// Notes that there was none in time.
-    pub fn note_silence(&mut self) {
+    pub fn note_timeout(&mut self) {
         self.first = (self.first * 2).min(ANSWER_TIMEOUT);
     }
 }
--- a/lib/tests/test_replica_timeout.rs
+++ b/lib/tests/test_replica_timeout.rs
@@ -14,7 +14,7 @@
     let mut waited = Duration::ZERO;
     for _ in 0..2 {
         waited += patience.first();
-        patience.note_silence();
+        patience.note_timeout();
     }
     assert!(waited < Duration::from_secs(1), "{waited:?}");
 }
@@ -24,7 +24,7 @@
 fn test_a_full_link_is_borne() {
     let mut patience = ReplicaTimeout::default();
     for _ in 0..6 {
-        patience.note_silence();
+        patience.note_timeout();
     }
     assert!(patience.first() > Duration::from_secs(1));
     patience.note_answer();
