--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -17,7 +17,7 @@
 
 use crate::replica_choice::ReplicaChoice;
 use crate::replica_choice::ReplicaSite;
-use crate::replica_choice::Useless;
+use crate::replica_choice::Unusable;
 use crate::replica_timeout::ANSWER_TIMEOUT;
 use crate::replica_timeout::HEDGE_AFTER;
 use crate::replica_timeout::ReplicaTimeout;
@@ -64,7 +64,7 @@
         is_news: bool,
     },
     /// It isn't.
-    Useless(Useless),
+    Unusable(Unusable),
 }
 
 /// Holds the replica that is followed.
@@ -210,7 +210,7 @@
                 self.follow(now, replica, &mut steps);
             }
             FollowAnswer::Useful { .. } => {}
-            FollowAnswer::Useless(why) => self.note_useless(now, replica, why),
+            FollowAnswer::Unusable(why) => self.note_useless(now, replica, why),
         }
         self.begin_trials(now, &mut steps);
         steps
@@ -273,12 +273,12 @@
         {
             self.followed = None;
             self.search_at = now;
-            self.set_aside(now, replica, Useless::Silent);
+            self.set_aside(now, replica, Unusable::Silent);
             steps.push(FollowStep::GiveUp(replica));
         }
         if !self.trials.is_empty() && self.trials_end <= now {
             for trial in std::mem::take(&mut self.trials) {
-                self.set_aside(now, trial.replica, Useless::Silent);
+                self.set_aside(now, trial.replica, Unusable::Silent);
                 steps.push(FollowStep::GiveUp(trial.replica));
             }
             if self.aim == Aim::Search {
@@ -349,7 +349,7 @@
         }
     }
 
-    fn note_useless(&mut self, now: Instant, replica: SocketAddr, why: Useless) {
+    fn note_useless(&mut self, now: Instant, replica: SocketAddr, why: Unusable) {
         self.set_aside(now, replica, why);
         self.trials.retain(|trial| trial.replica != replica);
         if self.followed() == Some(replica) {
@@ -360,7 +360,7 @@
         }
     }
 
-    fn set_aside(&mut self, now: Instant, replica: SocketAddr, why: Useless) {
+    fn set_aside(&mut self, now: Instant, replica: SocketAddr, why: Unusable) {
         let draw = self.rng.random();
         self.choice.set_aside(replica, now, why, draw);
     }
--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -121,7 +121,7 @@
 
 /// Says why a replica was of no use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Useless {
+pub enum Unusable {
     /// It answered that it can't prove that it is current.
     NotCurrent,
     /// It gave no answer that can be used.
@@ -288,13 +288,13 @@
 
     /// Sets a replica aside that was of no use. `draw` is drawn from 0 to 1 by each entry VM:
     /// all of a failure domain are set back at the same moment, and must not come back in one.
-    pub fn set_aside(&mut self, address: SocketAddr, now: Instant, why: Useless, draw: f64) {
+    pub fn set_aside(&mut self, address: SocketAddr, now: Instant, why: Unusable, draw: f64) {
         let Some(known) = self.known.get_mut(&address) else {
             return;
         };
         let (first, longest) = match why {
-            Useless::NotCurrent => (ASIDE_NOT_CURRENT, LONGEST_NOT_CURRENT),
-            Useless::Silent => (ASIDE_SILENT, LONGEST_SILENT),
+            Unusable::NotCurrent => (ASIDE_NOT_CURRENT, LONGEST_NOT_CURRENT),
+            Unusable::Silent => (ASIDE_SILENT, LONGEST_SILENT),
         };
         let doubled = 1_u32 << known.useless.min(8);
         known.useless = known.useless.saturating_add(1);
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -15,7 +15,7 @@
 use heatherring_lib::id::VmName;
 use heatherring_lib::replica_choice::ReplicaChoice;
 use heatherring_lib::replica_choice::ReplicaSite;
-use heatherring_lib::replica_choice::Useless;
+use heatherring_lib::replica_choice::Unusable;
 use heatherring_lib::replica_timeout::LONG_POLL_HOLD;
 
 /// Age up to which a replica's last proof that it is current counts.
@@ -243,17 +243,17 @@
         };
         self.coming.remove(&address);
         let answer = match coming.reply {
-            Reply::Refused => FollowAnswer::Useless(Useless::Silent),
-            Reply::Told { current: false, .. } => FollowAnswer::Useless(Useless::NotCurrent),
+            Reply::Refused => FollowAnswer::Unusable(Unusable::Silent),
+            Reply::Told { current: false, .. } => FollowAnswer::Unusable(Unusable::NotCurrent),
             Reply::Told { applied, .. } if coming.to_news && applied < self.applied => {
-                FollowAnswer::Useless(Useless::NotCurrent)
+                FollowAnswer::Unusable(Unusable::NotCurrent)
             }
             Reply::Told { applied, .. } => FollowAnswer::Useful {
                 is_news: coming.to_news && self.apply(applied),
             },
         };
         self.connected
-            .insert(address, answer != FollowAnswer::Useless(Useless::Silent));
+            .insert(address, answer != FollowAnswer::Unusable(Unusable::Silent));
         let steps = self.plan.answered(self.base + self.now, address, answer);
         self.carry_out(steps);
     }
--- a/server/src/follow_calls.rs
+++ b/server/src/follow_calls.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use heatherring_lib::replica_choice::Useless;
+use heatherring_lib::replica_choice::Unusable;
 use snafu::ResultExt;
 use snafu::Snafu;
 use tokio::task::AbortHandle;
@@ -34,10 +34,10 @@
 }
 
 impl FollowError {
-    pub const fn useless(&self) -> Useless {
+    pub const fn useless(&self) -> Unusable {
         match self {
-            Self::NotCurrent => Useless::NotCurrent,
-            _ => Useless::Silent,
+            Self::NotCurrent => Unusable::NotCurrent,
+            _ => Unusable::Silent,
         }
     }
 }
