--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -232,7 +232,7 @@
         });
         let answer = match &taken {
             Ok(is_news) => FollowAnswer::Useful { is_news: *is_news },
-            Err(error) => FollowAnswer::Unusable(error.useless()),
+            Err(error) => FollowAnswer::Unusable(error.unusable_reason()),
         };
         let steps = self.plan.answered(self.setup.clock.now(), replica, answer);
         if let Err(error) = &taken {
--- a/server/src/follow_calls.rs
+++ b/server/src/follow_calls.rs
@@ -34,7 +34,7 @@
 }
 
 impl FollowError {
-    pub const fn useless(&self) -> Unusable {
+    pub const fn unusable_reason(&self) -> Unusable {
         match self {
             Self::NotCurrent => Unusable::NotCurrent,
             _ => Unusable::Silent,
