--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -143,7 +143,7 @@
     place: Option<PlaceName>,
     weight: u64,
     /// How often in a row it was of no use.
-    useless: u32,
+    failures_in_row: u32,
     aside_until: Option<Instant>,
     /// Until when a farther replica that is of use isn't left for it.
     return_at: Option<Instant>,
@@ -187,7 +187,7 @@
             distance,
             place,
             weight: weight(self.vm.as_str(), address),
-            useless: before.map_or(0, |before| before.useless),
+            failures_in_row: before.map_or(0, |before| before.failures_in_row),
             aside_until: before.and_then(|before| before.aside_until),
             return_at: before.and_then(|before| before.return_at),
         }
@@ -280,7 +280,7 @@
     /// Notes that a replica was of use.
     pub fn note_use(&mut self, address: SocketAddr) {
         if let Some(known) = self.known.get_mut(&address) {
-            known.useless = 0;
+            known.failures_in_row = 0;
             known.aside_until = None;
             known.return_at = None;
         }
@@ -296,8 +296,8 @@
             Unusable::NotCurrent => (ASIDE_NOT_CURRENT, LONGEST_NOT_CURRENT),
             Unusable::Silent => (ASIDE_SILENT, LONGEST_SILENT),
         };
-        let doubled = 1_u32 << known.useless.min(8);
-        known.useless = known.useless.saturating_add(1);
+        let doubled = 1_u32 << known.failures_in_row.min(8);
+        known.failures_in_row = known.failures_in_row.saturating_add(1);
         let aside = (first * doubled).min(longest);
         let spread = 1.0 + draw.clamp(0.0, 1.0);
         known.aside_until = Some(now + aside.mul_f64(spread));
