--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -273,12 +273,12 @@
         {
             self.followed = None;
             self.search_at = now;
-            self.set_aside(now, replica, Unusable::Silent);
+            self.set_aside(now, replica, Unusable::Unresponsive);
             steps.push(FollowStep::GiveUp(replica));
         }
         if !self.trials.is_empty() && self.trials_end <= now {
             for trial in std::mem::take(&mut self.trials) {
-                self.set_aside(now, trial.replica, Unusable::Silent);
+                self.set_aside(now, trial.replica, Unusable::Unresponsive);
                 steps.push(FollowStep::GiveUp(trial.replica));
             }
             if self.aim == Aim::Search {
--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -125,7 +125,7 @@
     /// It answered that it can't prove that it is current.
     NotCurrent,
     /// It gave no answer that can be used.
-    Silent,
+    Unresponsive,
 }
 
 /// Picks the replica to follow.
@@ -294,7 +294,7 @@
         };
         let (first, longest) = match why {
             Unusable::NotCurrent => (ASIDE_NOT_CURRENT, LONGEST_NOT_CURRENT),
-            Unusable::Silent => (ASIDE_SILENT, LONGEST_SILENT),
+            Unusable::Unresponsive => (ASIDE_SILENT, LONGEST_SILENT),
         };
         let doubled = 1_u32 << known.failures_in_row.min(8);
         known.failures_in_row = known.failures_in_row.saturating_add(1);
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -243,7 +243,7 @@
         };
         self.coming.remove(&address);
         let answer = match coming.reply {
-            Reply::Refused => FollowAnswer::Unusable(Unusable::Silent),
+            Reply::Refused => FollowAnswer::Unusable(Unusable::Unresponsive),
             Reply::Told { current: false, .. } => FollowAnswer::Unusable(Unusable::NotCurrent),
             Reply::Told { applied, .. } if coming.to_news && applied < self.applied => {
                 FollowAnswer::Unusable(Unusable::NotCurrent)
@@ -252,8 +252,10 @@
                 is_news: coming.to_news && self.apply(applied),
             },
         };
-        self.connected
-            .insert(address, answer != FollowAnswer::Unusable(Unusable::Silent));
+        self.connected.insert(
+            address,
+            answer != FollowAnswer::Unusable(Unusable::Unresponsive),
+        );
         let steps = self.plan.answered(self.base + self.now, address, answer);
         self.carry_out(steps);
     }
--- a/lib/tests/test_replica_choice.rs
+++ b/lib/tests/test_replica_choice.rs
@@ -77,7 +77,7 @@
     let mut taken = BTreeMap::new();
     for vm in 0..90 {
         let mut choice = choice(vm, 4);
-        choice.set_aside(address(4), now, Unusable::Silent, 0.5);
+        choice.set_aside(address(4), now, Unusable::Unresponsive, 0.5);
         *taken.entry(choice.pick(now).unwrap()).or_insert(0) += 1;
         for near in [3, 5, 10] {
             choice.set_aside(address(near), now, Unusable::NotCurrent, 0.5);
@@ -87,7 +87,7 @@
         for n in 0..24 {
             let at = now + Duration::from_millis(n);
             let next = choice.pick(at).unwrap();
-            choice.set_aside(next, at, Unusable::Silent, 0.0);
+            choice.set_aside(next, at, Unusable::Unresponsive, 0.0);
             asked.push(next);
         }
         asked.sort_unstable();
@@ -106,7 +106,12 @@
     let mut back_at = Vec::new();
     for vm in 0..20_u32 {
         let mut choice = choice(0, 4);
-        choice.set_aside(address(4), now, Unusable::Silent, f64::from(vm) / 20.0);
+        choice.set_aside(
+            address(4),
+            now,
+            Unusable::Unresponsive,
+            f64::from(vm) / 20.0,
+        );
         let farther = choice.pick(now).unwrap();
         choice.note_use(farther);
         assert_eq!(choice.nearer_than(farther, now), None);
@@ -150,7 +155,7 @@
         );
         // One that is of no use any more may be left for it at once.
         let later = now + Duration::from_millis(300);
-        choice.set_aside(farther, later, Unusable::Silent, draw);
+        choice.set_aside(farther, later, Unusable::Unresponsive, draw);
         assert_eq!(choice.pick(later), Some(address(4)));
     }
 }
@@ -158,7 +163,7 @@
 /// However often it was silent, a replica is asked again within 4 s: a region that was cut off
 /// has its own replicas back by then.
 #[rstest]
-#[case::silent(Unusable::Silent, 4_000)]
+#[case::silent(Unusable::Unresponsive, 4_000)]
 #[case::not_current(Unusable::NotCurrent, 1_000)]
 fn test_no_replica_is_set_aside_for_long(#[case] why: Unusable, #[case] millis: u64) {
     let now = Instant::now();
@@ -195,11 +200,11 @@
         let from_first = choice.pick_spread(now, Some(address(4)), 1);
         assert_eq!(place_of(from_first[0]) / 3, 1);
         assert_ne!(place_of(from_first[0]), 4);
-        choice.set_aside(address(4), now, Unusable::Silent, 0.5);
+        choice.set_aside(address(4), now, Unusable::Unresponsive, 0.5);
         let without = choice.pick_spread(now, None, 12);
         assert!(!without.contains(&address(4)));
         for n in 0..12 {
-            choice.set_aside(address(n), now, Unusable::Silent, 0.5);
+            choice.set_aside(address(n), now, Unusable::Unresponsive, 0.5);
         }
         assert_eq!(
             choice.pick_spread(now, None, 3).len(),
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -204,7 +204,7 @@
                 }
                 FollowStep::GiveUp(replica) => {
                     self.asking.leave(replica);
-                    self.note_useless(replica, &FollowError::Silent);
+                    self.note_useless(replica, &FollowError::Unresponsive);
                 }
             }
         }
--- a/server/src/follow_calls.rs
+++ b/server/src/follow_calls.rs
@@ -22,7 +22,7 @@
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum FollowError {
     #[snafu(display("no answer in time"))]
-    Silent,
+    Unresponsive,
     #[snafu(display("{}", source.message()))]
     Call { source: Box<tonic::Status> },
     #[snafu(display("the replica can't prove that it is current"))]
@@ -37,7 +37,7 @@
     pub const fn unusable_reason(&self) -> Unusable {
         match self {
             Self::NotCurrent => Unusable::NotCurrent,
-            _ => Unusable::Silent,
+            _ => Unusable::Unresponsive,
         }
     }
 }
