--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FollowAnswer {
     /// The replica is of use.
-    Useful {
+    Usable {
         /// Whether it told anything new.
         is_news: bool,
     },
@@ -203,13 +203,13 @@
         let mut steps = Vec::new();
         let is_followed = self.followed() == Some(replica);
         match answer {
-            FollowAnswer::Useful { is_news } if is_followed => {
+            FollowAnswer::Usable { is_news } if is_followed => {
                 self.note_useful(now, replica, is_news, &mut steps);
             }
-            FollowAnswer::Useful { .. } if self.is_tried(replica) => {
+            FollowAnswer::Usable { .. } if self.is_tried(replica) => {
                 self.follow(now, replica, &mut steps);
             }
-            FollowAnswer::Useful { .. } => {}
+            FollowAnswer::Usable { .. } => {}
             FollowAnswer::Unusable(why) => self.note_useless(now, replica, why),
         }
         self.begin_trials(now, &mut steps);
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -248,7 +248,7 @@
             Reply::Told { applied, .. } if coming.to_news && applied < self.applied => {
                 FollowAnswer::Unusable(Unusable::NotCurrent)
             }
-            Reply::Told { applied, .. } => FollowAnswer::Useful {
+            Reply::Told { applied, .. } => FollowAnswer::Usable {
                 is_news: coming.to_news && self.apply(applied),
             },
         };
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -231,7 +231,7 @@
             Question::News => self.take(replica, asked.at, &reply),
         });
         let answer = match &taken {
-            Ok(is_news) => FollowAnswer::Useful { is_news: *is_news },
+            Ok(is_news) => FollowAnswer::Usable { is_news: *is_news },
             Err(error) => FollowAnswer::Unusable(error.unusable_reason()),
         };
         let steps = self.plan.answered(self.setup.clock.now(), replica, answer);
