--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -57,7 +57,7 @@
 
 /// Says what came of a question.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum FollowAnswer {
+pub enum FollowOutcome {
     /// The replica is of use.
     Usable {
         /// Whether it told anything new.
@@ -198,19 +198,19 @@
         &mut self,
         now: Instant,
         replica: SocketAddr,
-        answer: FollowAnswer,
+        answer: FollowOutcome,
     ) -> Vec<FollowStep> {
         let mut steps = Vec::new();
         let is_followed = self.followed() == Some(replica);
         match answer {
-            FollowAnswer::Usable { is_news } if is_followed => {
+            FollowOutcome::Usable { is_news } if is_followed => {
                 self.note_useful(now, replica, is_news, &mut steps);
             }
-            FollowAnswer::Usable { .. } if self.is_tried(replica) => {
+            FollowOutcome::Usable { .. } if self.is_tried(replica) => {
                 self.follow(now, replica, &mut steps);
             }
-            FollowAnswer::Usable { .. } => {}
-            FollowAnswer::Unusable(why) => self.note_useless(now, replica, why),
+            FollowOutcome::Usable { .. } => {}
+            FollowOutcome::Unusable(why) => self.note_useless(now, replica, why),
         }
         self.begin_trials(now, &mut steps);
         steps
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use heatherring_lib::follow_plan::FollowAnswer;
+use heatherring_lib::follow_plan::FollowOutcome;
 use heatherring_lib::follow_plan::FollowPlan;
 use heatherring_lib::follow_plan::FollowStep;
 use heatherring_lib::id::PlaceName;
@@ -243,18 +243,18 @@
         };
         self.coming.remove(&address);
         let answer = match coming.reply {
-            Reply::Refused => FollowAnswer::Unusable(Unusable::Unresponsive),
-            Reply::Told { current: false, .. } => FollowAnswer::Unusable(Unusable::NotCurrent),
+            Reply::Refused => FollowOutcome::Unusable(Unusable::Unresponsive),
+            Reply::Told { current: false, .. } => FollowOutcome::Unusable(Unusable::NotCurrent),
             Reply::Told { applied, .. } if coming.to_news && applied < self.applied => {
-                FollowAnswer::Unusable(Unusable::NotCurrent)
+                FollowOutcome::Unusable(Unusable::NotCurrent)
             }
-            Reply::Told { applied, .. } => FollowAnswer::Usable {
+            Reply::Told { applied, .. } => FollowOutcome::Usable {
                 is_news: coming.to_news && self.apply(applied),
             },
         };
         self.connected.insert(
             address,
-            answer != FollowAnswer::Unusable(Unusable::Unresponsive),
+            answer != FollowOutcome::Unusable(Unusable::Unresponsive),
         );
         let steps = self.plan.answered(self.base + self.now, address, answer);
         self.carry_out(steps);
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -16,7 +16,7 @@
 use heatherring_lib::fleet_record::EntryRecord;
 use heatherring_lib::fleet_update::FleetUpdate;
 use heatherring_lib::fleet_update::FleetView;
-use heatherring_lib::follow_plan::FollowAnswer;
+use heatherring_lib::follow_plan::FollowOutcome;
 use heatherring_lib::follow_plan::FollowPlan;
 use heatherring_lib::follow_plan::FollowStep;
 use heatherring_lib::id::PlaceName;
@@ -231,8 +231,8 @@
             Question::News => self.take(replica, asked.at, &reply),
         });
         let answer = match &taken {
-            Ok(is_news) => FollowAnswer::Usable { is_news: *is_news },
-            Err(error) => FollowAnswer::Unusable(error.unusable_reason()),
+            Ok(is_news) => FollowOutcome::Usable { is_news: *is_news },
+            Err(error) => FollowOutcome::Unusable(error.unusable_reason()),
         };
         let steps = self.plan.answered(self.setup.clock.now(), replica, answer);
         if let Err(error) = &taken {
