--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -61,7 +61,7 @@
     /// The replica is of use.
     Usable {
         /// Whether it told anything new.
-        is_news: bool,
+        has_changes: bool,
     },
     /// It isn't.
     Unusable(Unusable),
@@ -203,8 +203,8 @@
         let mut steps = Vec::new();
         let is_followed = self.followed() == Some(replica);
         match answer {
-            FollowOutcome::Usable { is_news } if is_followed => {
-                self.note_useful(now, replica, is_news, &mut steps);
+            FollowOutcome::Usable { has_changes } if is_followed => {
+                self.note_useful(now, replica, has_changes, &mut steps);
             }
             FollowOutcome::Usable { .. } if self.is_tried(replica) => {
                 self.follow(now, replica, &mut steps);
@@ -292,7 +292,7 @@
         &mut self,
         now: Instant,
         replica: SocketAddr,
-        is_news: bool,
+        has_changes: bool,
         steps: &mut Vec<FollowStep>,
     ) {
         self.patience.note_answer();
@@ -301,7 +301,7 @@
             self.drop_trials(now, steps);
         }
         self.try_nearer(now, replica);
-        if !is_news {
+        if !has_changes {
             self.ask(now, steps);
         } else if let Some(followed) = &mut self.followed {
             followed.question = Question::Planned(now + NEWS_PAUSE);
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -249,7 +249,7 @@
                 FollowOutcome::Unusable(Unusable::NotCurrent)
             }
             Reply::Told { applied, .. } => FollowOutcome::Usable {
-                is_news: coming.to_news && self.apply(applied),
+                has_changes: coming.to_news && self.apply(applied),
             },
         };
         self.connected.insert(
@@ -261,12 +261,12 @@
     }
 
     fn apply(&mut self, applied: usize) -> bool {
-        let is_news = applied > self.applied;
+        let has_changes = applied > self.applied;
         for change in self.applied..applied {
             self.in_force[change] = Some(self.now);
         }
         self.applied = self.applied.max(applied);
-        is_news
+        has_changes
     }
 
     fn carry_out(&mut self, steps: Vec<FollowStep>) {
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -231,7 +231,9 @@
             Question::News => self.take(replica, asked.at, &reply),
         });
         let answer = match &taken {
-            Ok(is_news) => FollowOutcome::Usable { is_news: *is_news },
+            Ok(has_changes) => FollowOutcome::Usable {
+                has_changes: *has_changes,
+            },
             Err(error) => FollowOutcome::Unusable(error.unusable_reason()),
         };
         let steps = self.plan.answered(self.setup.clock.now(), replica, answer);
@@ -297,20 +299,20 @@
         }
         self.note_regained(address);
         self.learn(reply)?;
-        let mut is_news = self.apply_verdicts(reply)?;
+        let mut has_changes = self.apply_verdicts(reply)?;
         if !reply.update_encoded.is_empty() {
             self.apply(address, reply)?;
-            is_news = true;
+            has_changes = true;
         }
         if !reply.absent_encoded.is_empty() {
             self.apply_absent(reply.presence_number, decode(&reply.absent_encoded)?);
-            is_news = true;
+            has_changes = true;
         }
         self.setup.dispatch.note_control_contact();
         self.heard.send_replace(self.setup.clock.now());
         self.proved
             .send_replace(moved(asked, reply.proved_after_ms));
-        Ok(is_news)
+        Ok(has_changes)
     }
 
     /// Takes over the verdicts on requests, before the view: an entry VM that has just started
