--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FollowStep {
     /// Ask a replica whether it is of use.
-    Try(SocketAddr),
+    Probe(SocketAddr),
     /// Ask the replica that is followed for news, in place of what was asked of it before. It
     /// may hold its answer back for [`LONG_POLL_HOLD`](crate::replica_timeout::LONG_POLL_HOLD).
     Ask(SocketAddr),
@@ -258,7 +258,7 @@
         for trial in &mut self.trials {
             if !trial.has_begun && trial.begins_at <= now {
                 trial.has_begun = true;
-                steps.push(FollowStep::Try(trial.replica));
+                steps.push(FollowStep::Probe(trial.replica));
             }
         }
     }
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -272,7 +272,7 @@
     fn carry_out(&mut self, steps: Vec<FollowStep>) {
         for step in steps {
             match step {
-                FollowStep::Try(address) => self.ask(address, false),
+                FollowStep::Probe(address) => self.ask(address, false),
                 FollowStep::Ask(address) => self.ask(address, true),
                 FollowStep::Drop(address) | FollowStep::GiveUp(address) => {
                     self.coming.remove(&address);
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -191,7 +191,7 @@
     fn carry_out(&mut self, steps: Vec<FollowStep>) {
         for step in steps {
             match step {
-                FollowStep::Try(replica) => self.ask(replica, Question::Use),
+                FollowStep::Probe(replica) => self.ask(replica, Question::Use),
                 FollowStep::Ask(replica) => {
                     self.note_followed(replica);
                     self.ask(replica, Question::News);
