--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -48,7 +48,7 @@
     Probe(SocketAddr),
     /// Ask the replica that is followed for news, in place of what was asked of it before. It
     /// may hold its answer back for [`LONG_POLL_HOLD`](crate::replica_timeout::LONG_POLL_HOLD).
-    Ask(SocketAddr),
+    Poll(SocketAddr),
     /// Wait no longer for the answer of a replica that isn't needed.
     Drop(SocketAddr),
     /// Wait no longer for the answer of a replica, which gave none in time.
@@ -224,7 +224,7 @@
         if let Some(followed) = &mut self.followed {
             followed.question = Question::Asked(now);
             followed.has_searched = false;
-            steps.push(FollowStep::Ask(followed.replica));
+            steps.push(FollowStep::Poll(followed.replica));
         }
     }
 
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -273,7 +273,7 @@
         for step in steps {
             match step {
                 FollowStep::Probe(address) => self.ask(address, false),
-                FollowStep::Ask(address) => self.ask(address, true),
+                FollowStep::Poll(address) => self.ask(address, true),
                 FollowStep::Drop(address) | FollowStep::GiveUp(address) => {
                     self.coming.remove(&address);
                     self.connected.remove(&address);
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -192,7 +192,7 @@
         for step in steps {
             match step {
                 FollowStep::Probe(replica) => self.ask(replica, Question::Use),
-                FollowStep::Ask(replica) => {
+                FollowStep::Poll(replica) => {
                     self.note_followed(replica);
                     self.ask(replica, Question::News);
                 }
