--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -50,7 +50,7 @@
     /// may hold its answer back for [`LONG_POLL_HOLD`](crate::replica_timeout::LONG_POLL_HOLD).
     Poll(SocketAddr),
     /// Wait no longer for the answer of a replica that isn't needed.
-    Drop(SocketAddr),
+    Cancel(SocketAddr),
     /// Wait no longer for the answer of a replica, which gave none in time.
     GiveUp(SocketAddr),
 }
@@ -326,7 +326,7 @@
         self.drop_trials(now, steps);
         if let Some(left) = self.followed.take() {
             self.pass_over(now, left.replica);
-            steps.push(FollowStep::Drop(left.replica));
+            steps.push(FollowStep::Cancel(left.replica));
         }
         self.patience.note_answer();
         self.choice.note_use(replica);
@@ -344,7 +344,7 @@
         for trial in std::mem::take(&mut self.trials) {
             if trial.has_begun {
                 self.pass_over(now, trial.replica);
-                steps.push(FollowStep::Drop(trial.replica));
+                steps.push(FollowStep::Cancel(trial.replica));
             }
         }
     }
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -196,7 +196,7 @@
                     self.note_followed(replica);
                     self.ask(replica, Question::News);
                 }
-                FollowStep::Drop(replica) => {
+                FollowStep::Cancel(replica) => {
                     if self.following == Some(replica) {
                         self.note_left(format!("{replica}: left for another"));
                     }
