--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -52,7 +52,7 @@
     /// Wait no longer for the answer of a replica that isn't needed.
     Cancel(SocketAddr),
     /// Wait no longer for the answer of a replica, which gave none in time.
-    GiveUp(SocketAddr),
+    TimedOut(SocketAddr),
 }
 
 /// Says what came of a question.
@@ -274,12 +274,12 @@
             self.followed = None;
             self.search_at = now;
             self.set_aside(now, replica, Unusable::Unresponsive);
-            steps.push(FollowStep::GiveUp(replica));
+            steps.push(FollowStep::TimedOut(replica));
         }
         if !self.trials.is_empty() && self.trials_end <= now {
             for trial in std::mem::take(&mut self.trials) {
                 self.set_aside(now, trial.replica, Unusable::Unresponsive);
-                steps.push(FollowStep::GiveUp(trial.replica));
+                steps.push(FollowStep::TimedOut(trial.replica));
             }
             if self.aim == Aim::Search {
                 self.patience.note_timeout();
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -274,7 +274,7 @@
             match step {
                 FollowStep::Probe(address) => self.ask(address, false),
                 FollowStep::Poll(address) => self.ask(address, true),
-                FollowStep::Cancel(address) | FollowStep::GiveUp(address) => {
+                FollowStep::Cancel(address) | FollowStep::TimedOut(address) => {
                     self.coming.remove(&address);
                     self.connected.remove(&address);
                 }
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -202,7 +202,7 @@
                     }
                     self.asking.leave(replica);
                 }
-                FollowStep::GiveUp(replica) => {
+                FollowStep::TimedOut(replica) => {
                     self.asking.leave(replica);
                     self.note_useless(replica, &FollowError::Unresponsive);
                 }
