--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -187,7 +187,7 @@
     }
 
     /// Has the replica that is followed asked at once: what it is told has changed.
-    pub fn hurry(&mut self, now: Instant) -> Vec<FollowStep> {
+    pub fn poll_now(&mut self, now: Instant) -> Vec<FollowStep> {
         let mut steps = Vec::new();
         self.ask(now, &mut steps);
         steps
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -175,7 +175,7 @@
                 () = tokio::time::sleep(wake) => {}
                 // Control must learn at once that this entry VM begins or ceases to serve.
                 Ok(()) = self.setup.ready.changed() => {
-                    let steps = self.plan.hurry(self.setup.clock.now());
+                    let steps = self.plan.poll_now(self.setup.clock.now());
                     self.carry_out(steps);
                 }
                 Ok(()) = self.setup.seeds.changed() => self.learn_seeds(),
