--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -273,12 +273,12 @@
         {
             self.followed = None;
             self.search_at = now;
-            self.set_aside(now, replica, Unusable::Unresponsive);
+            self.back_off(now, replica, Unusable::Unresponsive);
             steps.push(FollowStep::TimedOut(replica));
         }
         if !self.trials.is_empty() && self.trials_end <= now {
             for trial in std::mem::take(&mut self.trials) {
-                self.set_aside(now, trial.replica, Unusable::Unresponsive);
+                self.back_off(now, trial.replica, Unusable::Unresponsive);
                 steps.push(FollowStep::TimedOut(trial.replica));
             }
             if self.aim == Aim::Search {
@@ -350,7 +350,7 @@
     }
 
     fn note_useless(&mut self, now: Instant, replica: SocketAddr, why: Unusable) {
-        self.set_aside(now, replica, why);
+        self.back_off(now, replica, why);
         self.trials.retain(|trial| trial.replica != replica);
         if self.followed() == Some(replica) {
             self.followed = None;
@@ -360,9 +360,9 @@
         }
     }
 
-    fn set_aside(&mut self, now: Instant, replica: SocketAddr, why: Unusable) {
+    fn back_off(&mut self, now: Instant, replica: SocketAddr, why: Unusable) {
         let draw = self.rng.random();
-        self.choice.set_aside(replica, now, why, draw);
+        self.choice.back_off(replica, now, why, draw);
     }
 
     fn pass_over(&mut self, now: Instant, replica: SocketAddr) {
--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -288,7 +288,7 @@
 
     /// Sets a replica aside that was of no use. `draw` is drawn from 0 to 1 by each entry VM:
     /// all of a failure domain are set back at the same moment, and must not come back in one.
-    pub fn set_aside(&mut self, address: SocketAddr, now: Instant, why: Unusable, draw: f64) {
+    pub fn back_off(&mut self, address: SocketAddr, now: Instant, why: Unusable, draw: f64) {
         let Some(known) = self.known.get_mut(&address) else {
             return;
         };
--- a/lib/tests/test_replica_choice.rs
+++ b/lib/tests/test_replica_choice.rs
@@ -77,17 +77,17 @@
     let mut taken = BTreeMap::new();
     for vm in 0..90 {
         let mut choice = choice(vm, 4);
-        choice.set_aside(address(4), now, Unusable::Unresponsive, 0.5);
+        choice.back_off(address(4), now, Unusable::Unresponsive, 0.5);
         *taken.entry(choice.pick(now).unwrap()).or_insert(0) += 1;
         for near in [3, 5, 10] {
-            choice.set_aside(address(near), now, Unusable::NotCurrent, 0.5);
+            choice.back_off(address(near), now, Unusable::NotCurrent, 0.5);
         }
         assert_ne!(place_of(choice.pick(now).unwrap()) / 3, 1);
         let mut asked = Vec::new();
         for n in 0..24 {
             let at = now + Duration::from_millis(n);
             let next = choice.pick(at).unwrap();
-            choice.set_aside(next, at, Unusable::Unresponsive, 0.0);
+            choice.back_off(next, at, Unusable::Unresponsive, 0.0);
             asked.push(next);
         }
         asked.sort_unstable();
@@ -106,7 +106,7 @@
     let mut back_at = Vec::new();
     for vm in 0..20_u32 {
         let mut choice = choice(0, 4);
-        choice.set_aside(
+        choice.back_off(
             address(4),
             now,
             Unusable::Unresponsive,
@@ -139,7 +139,7 @@
     let now = Instant::now();
     for draw in [0.0, 0.5, 1.0] {
         let mut choice = choice(0, 4);
-        choice.set_aside(address(4), now, Unusable::NotCurrent, draw);
+        choice.back_off(address(4), now, Unusable::NotCurrent, draw);
         let farther = choice.pick(now).unwrap();
         choice.note_use(farther);
         for millis in [200, 600, 1_000, 1_900] {
@@ -155,7 +155,7 @@
         );
         // One that is of no use any more may be left for it at once.
         let later = now + Duration::from_millis(300);
-        choice.set_aside(farther, later, Unusable::Unresponsive, draw);
+        choice.back_off(farther, later, Unusable::Unresponsive, draw);
         assert_eq!(choice.pick(later), Some(address(4)));
     }
 }
@@ -169,7 +169,7 @@
     let now = Instant::now();
     let mut choice = choice(0, 4);
     for _ in 0..40 {
-        choice.set_aside(address(4), now, why, 1.0);
+        choice.back_off(address(4), now, why, 1.0);
     }
     assert_eq!(
         choice.pick(now + Duration::from_millis(millis)),
@@ -200,11 +200,11 @@
         let from_first = choice.pick_spread(now, Some(address(4)), 1);
         assert_eq!(place_of(from_first[0]) / 3, 1);
         assert_ne!(place_of(from_first[0]), 4);
-        choice.set_aside(address(4), now, Unusable::Unresponsive, 0.5);
+        choice.back_off(address(4), now, Unusable::Unresponsive, 0.5);
         let without = choice.pick_spread(now, None, 12);
         assert!(!without.contains(&address(4)));
         for n in 0..12 {
-            choice.set_aside(address(n), now, Unusable::Unresponsive, 0.5);
+            choice.back_off(address(n), now, Unusable::Unresponsive, 0.5);
         }
         assert_eq!(
             choice.pick_spread(now, None, 3).len(),
