--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -325,7 +325,7 @@
         self.trials.retain(|trial| trial.replica != replica);
         self.drop_trials(now, steps);
         if let Some(left) = self.followed.take() {
-            self.pass_over(now, left.replica);
+            self.defer_return(now, left.replica);
             steps.push(FollowStep::Cancel(left.replica));
         }
         self.patience.note_answer();
@@ -343,7 +343,7 @@
     fn drop_trials(&mut self, now: Instant, steps: &mut Vec<FollowStep>) {
         for trial in std::mem::take(&mut self.trials) {
             if trial.has_begun {
-                self.pass_over(now, trial.replica);
+                self.defer_return(now, trial.replica);
                 steps.push(FollowStep::Cancel(trial.replica));
             }
         }
@@ -365,8 +365,8 @@
         self.choice.back_off(replica, now, why, draw);
     }
 
-    fn pass_over(&mut self, now: Instant, replica: SocketAddr) {
+    fn defer_return(&mut self, now: Instant, replica: SocketAddr) {
         let draw = self.rng.random();
-        self.choice.pass_over(replica, now, draw);
+        self.choice.defer_return(replica, now, draw);
     }
 }
--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -271,7 +271,7 @@
 
     /// Notes that another replica was preferred to the one at `address`, which may be of use.
     /// `draw` is drawn from 0 to 1.
-    pub fn pass_over(&mut self, address: SocketAddr, now: Instant, draw: f64) {
+    pub fn defer_return(&mut self, address: SocketAddr, now: Instant, draw: f64) {
         if let Some(known) = self.known.get_mut(&address) {
             known.return_at = Some(now + LONGEST_SILENT.mul_f64(1.0 + draw.clamp(0.0, 1.0)));
         }
--- a/lib/tests/test_replica_choice.rs
+++ b/lib/tests/test_replica_choice.rs
@@ -220,7 +220,7 @@
     let now = Instant::now();
     let mut choice = choice(0, 4);
     let farther = address(0);
-    choice.pass_over(address(4), now, 0.5);
+    choice.defer_return(address(4), now, 0.5);
     let after = |millis| now + Duration::from_millis(millis);
     assert_eq!(choice.nearer_than(farther, after(1_900)), None);
     assert_eq!(choice.nearer_than(farther, after(4_000)), Some(address(4)));
