--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -296,7 +296,7 @@
         steps: &mut Vec<FollowStep>,
     ) {
         self.patience.note_answer();
-        self.choice.note_use(replica);
+        self.choice.note_usable(replica);
         if self.aim == Aim::Search {
             self.drop_trials(now, steps);
         }
@@ -329,7 +329,7 @@
             steps.push(FollowStep::Cancel(left.replica));
         }
         self.patience.note_answer();
-        self.choice.note_use(replica);
+        self.choice.note_usable(replica);
         self.followed = Some(Followed {
             replica,
             question: Question::Planned(now + NEARER_FIRST),
--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -278,7 +278,7 @@
     }
 
     /// Notes that a replica was of use.
-    pub fn note_use(&mut self, address: SocketAddr) {
+    pub fn note_usable(&mut self, address: SocketAddr) {
         if let Some(known) = self.known.get_mut(&address) {
             known.failures_in_row = 0;
             known.aside_until = None;
--- a/lib/tests/test_replica_choice.rs
+++ b/lib/tests/test_replica_choice.rs
@@ -113,7 +113,7 @@
             f64::from(vm) / 20.0,
         );
         let farther = choice.pick(now).unwrap();
-        choice.note_use(farther);
+        choice.note_usable(farther);
         assert_eq!(choice.nearer_than(farther, now), None);
         let step = |n: &u64| {
             choice
@@ -141,7 +141,7 @@
         let mut choice = choice(0, 4);
         choice.back_off(address(4), now, Unusable::NotCurrent, draw);
         let farther = choice.pick(now).unwrap();
-        choice.note_use(farther);
+        choice.note_usable(farther);
         for millis in [200, 600, 1_000, 1_900] {
             assert_eq!(
                 choice.nearer_than(farther, now + Duration::from_millis(millis)),
