--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -85,7 +85,7 @@
 
 /// Returns where a backend server called `name` in the place `here` should announce itself: at
 /// the nearest of the replicas that take announcements; those equally near share all evenly.
-pub fn announce_at<'a>(
+pub fn nearest_announcement_address<'a>(
     regions: &BTreeMap<PlaceName, RegionName>,
     here: &PlaceName,
     name: &BackendName,
--- a/lib/tests/test_replica_choice.rs
+++ b/lib/tests/test_replica_choice.rs
@@ -14,7 +14,7 @@
 use heatherring_lib::replica_choice::ReplicaChoice;
 use heatherring_lib::replica_choice::ReplicaSite;
 use heatherring_lib::replica_choice::Unusable;
-use heatherring_lib::replica_choice::announce_at;
+use heatherring_lib::replica_choice::nearest_announcement_address;
 use rstest::rstest;
 
 /// Three regions of three places; the first place of each has a second replica.
@@ -257,7 +257,7 @@
         .collect();
     let at = |n: usize, from: &[ReplicaOrigin]| {
         let name = BackendName::new(format!("backend-{n}"));
-        announce_at(&regions(), &place(0), &name, from.iter())
+        nearest_announcement_address(&regions(), &place(0), &name, from.iter())
     };
     let first = (0..200)
         .filter(|n| at(*n, &origins) == Some(address(0)))
--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -468,12 +468,16 @@
     /// replica. Left to themselves, heartbeats go to the few replicas that backend servers know
     /// from their settings, two thirds of them across regions where there are three.
     #[must_use]
-    pub fn announce_at(&self, backend: &BackendName, place: &PlaceName) -> Option<SocketAddr> {
+    pub fn nearest_announcement_address(
+        &self,
+        backend: &BackendName,
+        place: &PlaceName,
+    ) -> Option<SocketAddr> {
         let regions = &self.inner.settings.as_ref()?.places;
         let replicas = self.inner.presence.view().replicas;
         let reporting = replicas.iter().filter(|known| known.reports);
         let origins = reporting.map(|known| &known.origin);
-        replica_choice::announce_at(regions, place, backend, origins)
+        replica_choice::nearest_announcement_address(regions, place, backend, origins)
     }
 
     fn keep_look_ups(&self) -> Duration {
