--- a/lib/src/head_watch.rs
+++ b/lib/src/head_watch.rs
@@ -24,7 +24,7 @@
 
 /// Follows what a connection's parser is handed, and remembers what it may yet ask about.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct HeadWatch {
+pub struct HeadScanner {
     /// Bytes to come of a body whose length is known.
     body_left: u64,
     line: LineStart,
@@ -34,7 +34,7 @@
     at_end: bool,
 }
 
-impl HeadWatch {
+impl HeadScanner {
     /// Returns how many of `bytes`, which come next, are to be handed on in one piece.
     pub fn piece(&mut self, bytes: &[u8]) -> usize {
         if self.body_left > 0 {
--- a/server/src/pipeline_io.rs
+++ b/server/src/pipeline_io.rs
@@ -4,7 +4,7 @@
 //! connections reads the requests, and another writes the answers: [`RequestBytes`] is what
 //! the first sees, [`AnswerBytes`] what the second does. What the first would write and what
 //! the second reads never leaves the process. A single parser, the first connection's, thus
-//! decides where each request ends; [`HeadWatch`] follows what it is handed.
+//! decides where each request ends; [`HeadScanner`] follows what it is handed.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 use bytes::Bytes;
 use heatherring_lib::clock::Clock;
 use heatherring_lib::head_watch::HeadFraming;
-use heatherring_lib::head_watch::HeadWatch;
+use heatherring_lib::head_watch::HeadScanner;
 use http::HeaderValue;
 use http::Method;
 use http::Request;
@@ -113,7 +113,7 @@
 #[derive(Debug)]
 pub(crate) struct Progress {
     state: Mutex<ProgressState>,
-    heads: Mutex<HeadWatch>,
+    heads: Mutex<HeadScanner>,
     clock: Arc<dyn Clock>,
 }
 
@@ -189,7 +189,7 @@
         self.heads().take_head(body_length)
     }
 
-    fn heads(&self) -> MutexGuard<'_, HeadWatch> {
+    fn heads(&self) -> MutexGuard<'_, HeadScanner> {
         self.heads.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -243,7 +243,7 @@
     }
 }
 
-/// Reads what a caller sends, and hands it on in the pieces that [`HeadWatch`] cuts.
+/// Reads what a caller sends, and hands it on in the pieces that [`HeadScanner`] cuts.
 #[derive(Debug)]
 pub(crate) struct RequestBytes {
     /// What was read of the connection and isn't handed on yet.
