--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -55,7 +55,7 @@
 pub mod follow_plan;
 pub mod group_admission;
 pub mod handover;
-pub mod head_watch;
+pub mod head_scanner;
 pub mod heard_report;
 pub mod home_regions;
 pub mod host_value;
--- a/lib/tests/test_head_scanner.rs
+++ b/lib/tests/test_head_scanner.rs
@@ -1,7 +1,7 @@
 //! What is known of the heads that a connection's parser takes.
 
-use heatherring_lib::head_watch::HeadFraming;
-use heatherring_lib::head_watch::HeadScanner;
+use heatherring_lib::head_scanner::HeadFraming;
+use heatherring_lib::head_scanner::HeadScanner;
 use proptest::collection::vec;
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::any;
