--- a/lib/src/head_scanner.rs
+++ b/lib/src/head_scanner.rs
@@ -36,7 +36,7 @@
 
 impl HeadScanner {
     /// Returns how many of `bytes`, which come next, are to be handed on in one piece.
-    pub fn piece(&mut self, bytes: &[u8]) -> usize {
+    pub fn next_piece(&mut self, bytes: &[u8]) -> usize {
         if self.body_left > 0 {
             let left = usize::try_from(self.body_left).unwrap_or(usize::MAX);
             let taken = bytes.len().min(left);
--- a/lib/tests/test_head_scanner.rs
+++ b/lib/tests/test_head_scanner.rs
@@ -16,7 +16,7 @@
     while at < bytes.len() {
         let read = cuts.iter().copied().find(|cut| *cut > at);
         let read = read.unwrap_or(bytes.len()).min(bytes.len());
-        let taken = watch.piece(&bytes[at..read]);
+        let taken = watch.next_piece(&bytes[at..read]);
         assert!(
             taken > 0,
             "a piece without bytes is the end of a connection"
@@ -67,7 +67,7 @@
         let mut at = 0;
         while at < head.len() {
             let read = if at < cut { cut } else { head.len() };
-            at += watch.piece(&head[at..read]);
+            at += watch.next_piece(&head[at..read]);
         }
         assert_eq!(watch.take_head(body_length), framing, "cut at {cut}");
     }
@@ -78,11 +78,11 @@
 #[test]
 fn test_a_head_that_ends_within_a_piece_is_unknown() {
     let mut watch = HeadScanner::default();
-    assert_eq!(watch.piece(b"GET / HTTP/1.1\r\nhost: a\r\n"), 25);
+    assert_eq!(watch.next_piece(b"GET / HTTP/1.1\r\nhost: a\r\n"), 25);
     assert_eq!(watch.take_head(None), HeadFraming::Unknown);
-    assert_eq!(watch.piece(b"\r\nxyz"), 2);
+    assert_eq!(watch.next_piece(b"\r\nxyz"), 2);
     assert_eq!(watch.take_head(Some(3)), HeadFraming::Plain);
-    assert_eq!(watch.piece(b"xy"), 2);
+    assert_eq!(watch.next_piece(b"xy"), 2);
     assert_eq!(watch.take_head(None), HeadFraming::Unknown);
 }
 
@@ -152,7 +152,7 @@
                 let left = &request.as_bytes()[at..];
                 let read = later.iter().find(|cut| **cut > at).map_or(left.len(), |cut| cut - at);
                 // The parser of chunks, too, takes what it is handed up to their end at most.
-                at += watch.piece(&left[..read.min(left.len())]);
+                at += watch.next_piece(&left[..read.min(left.len())]);
             }
             from += request.len();
         }
--- a/server/src/pipeline_io.rs
+++ b/server/src/pipeline_io.rs
@@ -271,7 +271,7 @@
         let this = self.get_mut();
         if this.rest.has_remaining() {
             let room = this.rest.len().min(buf.remaining());
-            let taken = this.progress.heads().piece(&this.rest[..room]);
+            let taken = this.progress.heads().next_piece(&this.rest[..room]);
             buf.put_slice(&this.rest.split_to(taken));
             return Poll::Ready(Ok(()));
         }
@@ -282,7 +282,7 @@
                 Ok(bytes) => {
                     this.progress.note_read(bytes);
                     let read = &buf.filled()[before..];
-                    let taken = this.progress.heads().piece(read);
+                    let taken = this.progress.heads().next_piece(read);
                     this.rest = Bytes::copy_from_slice(&read[taken..]);
                     buf.set_filled(before + taken);
                     return Poll::Ready(Ok(()));
