--- a/lib/src/head_scanner.rs
+++ b/lib/src/head_scanner.rs
@@ -69,7 +69,7 @@
 
     /// Says what the head says that the parser has just taken. `body_length` is what it makes
     /// of it: nothing if there are chunks.
-    pub fn take_head(&mut self, body_length: Option<u64>) -> HeadFraming {
+    pub fn finish_head(&mut self, body_length: Option<u64>) -> HeadFraming {
         if !self.at_end || self.body_left > 0 {
             return HeadFraming::Unknown;
         }
--- a/lib/tests/test_head_scanner.rs
+++ b/lib/tests/test_head_scanner.rs
@@ -69,7 +69,7 @@
             let read = if at < cut { cut } else { head.len() };
             at += watch.next_piece(&head[at..read]);
         }
-        assert_eq!(watch.take_head(body_length), framing, "cut at {cut}");
+        assert_eq!(watch.finish_head(body_length), framing, "cut at {cut}");
     }
 }
 
@@ -79,11 +79,11 @@
 fn test_a_head_that_ends_within_a_piece_is_unknown() {
     let mut watch = HeadScanner::default();
     assert_eq!(watch.next_piece(b"GET / HTTP/1.1\r\nhost: a\r\n"), 25);
-    assert_eq!(watch.take_head(None), HeadFraming::Unknown);
+    assert_eq!(watch.finish_head(None), HeadFraming::Unknown);
     assert_eq!(watch.next_piece(b"\r\nxyz"), 2);
-    assert_eq!(watch.take_head(Some(3)), HeadFraming::Plain);
+    assert_eq!(watch.finish_head(Some(3)), HeadFraming::Plain);
     assert_eq!(watch.next_piece(b"xy"), 2);
-    assert_eq!(watch.take_head(None), HeadFraming::Unknown);
+    assert_eq!(watch.finish_head(None), HeadFraming::Unknown);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -146,7 +146,7 @@
                 Kind::Both => HeadFraming::LengthAndEncoding,
                 _ => HeadFraming::Plain,
             };
-            assert_eq!(watch.take_head(*body_length), framing);
+            assert_eq!(watch.finish_head(*body_length), framing);
             let mut at = head;
             while at < request.len() {
                 let left = &request.as_bytes()[at..];
--- a/server/src/pipeline_io.rs
+++ b/server/src/pipeline_io.rs
@@ -185,8 +185,8 @@
 
     /// Says how the head that was just taken announces the end of its body, of which the HTTP
     /// library makes `body_length`. To be asked before anything behind the head is read.
-    pub fn take_head(&self, body_length: Option<u64>) -> HeadFraming {
-        self.heads().take_head(body_length)
+    pub fn finish_head(&self, body_length: Option<u64>) -> HeadFraming {
+        self.heads().finish_head(body_length)
     }
 
     fn heads(&self) -> MutexGuard<'_, HeadScanner> {
