--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -13,13 +13,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::heard_report::Heard;
-use crate::heard_report::OwnHeard;
-use crate::heard_report::PresenceReport;
-use crate::heard_report::ReplicaOrigin;
 use crate::id::BackendName;
 use crate::id::VmName;
 use crate::numbered_set::SetUpdate;
+use crate::presence_report::Heard;
+use crate::presence_report::OwnHeard;
+use crate::presence_report::PresenceReport;
+use crate::presence_report::ReplicaOrigin;
 
 /// Silence after which a backend server counts as lost. Heartbeats come every 1.5 s or so,
 /// may be a second late and take half a second to be passed on.
--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -12,11 +12,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::heard_report::ReplicaOrigin;
 use crate::id::BackendName;
 use crate::id::PlaceName;
 use crate::id::RegionName;
 use crate::id::VmName;
+use crate::presence_report::ReplicaOrigin;
 use crate::rendezvous;
 
 /// Time for which a replica isn't asked that answered that it can't prove to be current, doubled
--- a/lib/tests/test_presence.rs
+++ b/lib/tests/test_presence.rs
@@ -5,8 +5,6 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use heatherring_lib::heard_report::PresenceReport;
-use heatherring_lib::heard_report::ReplicaOrigin;
 use heatherring_lib::id::BackendName;
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::VmName;
@@ -14,6 +12,8 @@
 use heatherring_lib::presence::ENTRY_SILENCE;
 use heatherring_lib::presence::Presence;
 use heatherring_lib::presence::REPORT_INTERVAL;
+use heatherring_lib::presence_report::PresenceReport;
+use heatherring_lib::presence_report::ReplicaOrigin;
 
 /// Time between two heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(1_500);
--- a/lib/tests/test_replica_choice.rs
+++ b/lib/tests/test_replica_choice.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use heatherring_lib::heard_report::ReplicaOrigin;
 use heatherring_lib::id::BackendName;
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::RegionName;
 use heatherring_lib::id::VmName;
+use heatherring_lib::presence_report::ReplicaOrigin;
 use heatherring_lib::replica_choice::ReplicaChoice;
 use heatherring_lib::replica_choice::ReplicaSite;
 use heatherring_lib::replica_choice::Unusable;
--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use heatherring_lib::clock::Clock;
-use heatherring_lib::heard_report::ReplicaOrigin;
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::RegionName;
 use heatherring_lib::manifest_text::MAX_MANIFEST_BYTES;
+use heatherring_lib::presence_report::ReplicaOrigin;
 use heatherring_lib::settings::ControlSettings;
 use heatherring_lib::settings::FormationSettings;
 use snafu::ResultExt;
