--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -16,7 +16,7 @@
 use crate::id::BackendName;
 use crate::id::VmName;
 use crate::numbered_set::SetUpdate;
-use crate::presence_report::Heard;
+use crate::presence_report::HeartbeatSource;
 use crate::presence_report::OwnHeard;
 use crate::presence_report::PresenceReport;
 use crate::presence_report::ReplicaOrigin;
@@ -78,7 +78,7 @@
 struct Peer {
     life: u64,
     number: u64,
-    heard: BTreeSet<Heard>,
+    heard: BTreeSet<HeartbeatSource>,
     origin: Option<ReplicaOrigin>,
     at: Instant,
 }
@@ -96,10 +96,10 @@
     }
 
     /// Lets go of those whom an update removes, and returns them.
-    fn removed_by(&mut self, update: &SetUpdate<Heard>) -> Vec<Heard> {
-        let mut removed: Vec<Heard> = update.removed.clone();
+    fn removed_by(&mut self, update: &SetUpdate<HeartbeatSource>) -> Vec<HeartbeatSource> {
+        let mut removed: Vec<HeartbeatSource> = update.removed.clone();
         if update.whole {
-            let heard: BTreeSet<&Heard> = update.added.iter().collect();
+            let heard: BTreeSet<&HeartbeatSource> = update.added.iter().collect();
             let gone = self.heard.iter().filter(|known| !heard.contains(known));
             removed.extend(gone.cloned());
         }
@@ -135,7 +135,7 @@
     /// Notes a heartbeat of a backend server. Returns whether it had been silent.
     pub fn hear_backend(&mut self, now: Instant, backend: &BackendName) -> bool {
         let silent = self.is_silent(now, backend);
-        let heard = Heard::Backend(backend.clone());
+        let heard = HeartbeatSource::Backend(backend.clone());
         if self.own.hear(now, &heard) {
             self.add(now, &heard);
         }
@@ -144,7 +144,7 @@
 
     /// Notes a heartbeat of an entry VM. Returns whether anything but the time is new.
     pub fn hear_entry(&mut self, now: Instant, vm: &VmName, life: u64, ready: bool) -> bool {
-        let heard = |life, ready| Heard::Entry {
+        let heard = |life, ready| HeartbeatSource::Entry {
             vm: vm.clone(),
             life,
             ready,
@@ -196,7 +196,7 @@
         peer.number = report.heard.number;
         let removed = peer.removed_by(&report.heard);
         let added = report.heard.added.iter().zip(&report.began_ms);
-        let added: Vec<(&Heard, &u32)> = added
+        let added: Vec<(&HeartbeatSource, &u32)> = added
             .filter(|(heard, _)| peer.heard.insert((*heard).clone()))
             .collect();
         for heard in removed {
@@ -287,9 +287,9 @@
         says_so || self.entry_silence(now, vm) >= ENTRY_SILENCE
     }
 
-    fn add(&mut self, began: Instant, heard: &Heard) {
+    fn add(&mut self, began: Instant, heard: &HeartbeatSource) {
         match heard {
-            Heard::Backend(backend) => {
+            HeartbeatSource::Backend(backend) => {
                 let unheard = Standing {
                     holders: 0,
                     last: began,
@@ -297,7 +297,7 @@
                 let standing = self.backends.entry(backend.clone()).or_insert(unheard);
                 standing.holders += 1;
             }
-            Heard::Entry { vm, life, ready } => {
+            HeartbeatSource::Entry { vm, life, ready } => {
                 let said = EntryStanding {
                     life: *life,
                     ready: *ready,
@@ -317,10 +317,12 @@
         }
     }
 
-    fn remove(&mut self, heard: &Heard, last: Instant) {
+    fn remove(&mut self, heard: &HeartbeatSource, last: Instant) {
         let standing = match heard {
-            Heard::Backend(backend) => self.backends.get_mut(backend),
-            Heard::Entry { vm, .. } => self.entries.get_mut(vm).map(|entry| &mut entry.standing),
+            HeartbeatSource::Backend(backend) => self.backends.get_mut(backend),
+            HeartbeatSource::Entry { vm, .. } => {
+                self.entries.get_mut(vm).map(|entry| &mut entry.standing)
+            }
         };
         if let Some(standing) = standing {
             standing.holders = standing.holders.saturating_sub(1);
--- a/lib/src/presence_report.rs
+++ b/lib/src/presence_report.rs
@@ -31,7 +31,7 @@
 
 /// Names one who sends heartbeats, with what it says of itself.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub enum Heard {
+pub enum HeartbeatSource {
     /// A backend server.
     Backend(BackendName),
     /// An entry VM.
@@ -45,7 +45,7 @@
     },
 }
 
-impl Heard {
+impl HeartbeatSource {
     /// Returns for how long one counts as heard after a heartbeat.
     pub(crate) const fn heard_for(&self) -> Duration {
         match self {
@@ -77,7 +77,7 @@
     /// Number of the last change that the receiver is taken to know.
     pub base: u64,
     /// Who began and who ceased to be heard since, or all.
-    pub heard: SetUpdate<Heard>,
+    pub heard: SetUpdate<HeartbeatSource>,
     /// For each of those that began, milliseconds since then.
     pub began_ms: Vec<u32>,
 }
@@ -92,8 +92,8 @@
 #[derive(Debug)]
 pub struct OwnHeard {
     life: u64,
-    set: NumberedSet<Heard>,
-    times: BTreeMap<Heard, Times>,
+    set: NumberedSet<HeartbeatSource>,
+    times: BTreeMap<HeartbeatSource, Times>,
 }
 
 impl OwnHeard {
@@ -108,7 +108,7 @@
     }
 
     /// Notes a heartbeat; returns whether it is the first one of late.
-    pub fn hear(&mut self, now: Instant, heard: &Heard) -> bool {
+    pub fn hear(&mut self, now: Instant, heard: &HeartbeatSource) -> bool {
         if let Some(times) = self.times.get_mut(heard) {
             times.last = now;
             return false;
@@ -123,18 +123,18 @@
     }
 
     /// Drops one who says something else of itself now; returns whether it was heard.
-    pub fn drop_heard(&mut self, heard: &Heard) -> bool {
+    pub fn drop_heard(&mut self, heard: &HeartbeatSource) -> bool {
         self.times.remove(heard);
         self.set.remove(heard)
     }
 
     /// Drops whoever hasn't been heard for a while, and returns who that is and when each was
     /// heard last.
-    pub fn expire(&mut self, now: Instant) -> Vec<(Heard, Instant)> {
-        let is_over = |heard: &Heard, times: &Times| {
+    pub fn expire(&mut self, now: Instant) -> Vec<(HeartbeatSource, Instant)> {
+        let is_over = |heard: &HeartbeatSource, times: &Times| {
             now.saturating_duration_since(times.last) >= heard.heard_for()
         };
-        let expired: Vec<(Heard, Instant)> = self
+        let expired: Vec<(HeartbeatSource, Instant)> = self
             .times
             .iter()
             .filter(|(heard, times)| is_over(heard, times))
