--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -17,7 +17,7 @@
 use crate::id::VmName;
 use crate::numbered_set::SetUpdate;
 use crate::presence_report::HeartbeatSource;
-use crate::presence_report::OwnHeard;
+use crate::presence_report::LocalHeartbeats;
 use crate::presence_report::PresenceReport;
 use crate::presence_report::ReplicaOrigin;
 
@@ -112,7 +112,7 @@
 #[derive(Debug)]
 pub struct Presence {
     began: Instant,
-    own: OwnHeard,
+    own: LocalHeartbeats,
     backends: BTreeMap<BackendName, Standing>,
     entries: BTreeMap<VmName, EntryStanding>,
     peers: BTreeMap<VmName, Peer>,
@@ -125,7 +125,7 @@
     pub fn new(now: Instant, life: u64) -> Self {
         Self {
             began: now,
-            own: OwnHeard::new(life),
+            own: LocalHeartbeats::new(life),
             backends: BTreeMap::new(),
             entries: BTreeMap::new(),
             peers: BTreeMap::new(),
--- a/lib/src/presence_report.rs
+++ b/lib/src/presence_report.rs
@@ -90,13 +90,13 @@
 
 /// Holds whom this replica hears itself.
 #[derive(Debug)]
-pub struct OwnHeard {
+pub struct LocalHeartbeats {
     life: u64,
     set: NumberedSet<HeartbeatSource>,
     times: BTreeMap<HeartbeatSource, Times>,
 }
 
-impl OwnHeard {
+impl LocalHeartbeats {
     /// Starts without having heard of anybody; `life` is drawn at random.
     #[must_use]
     pub fn new(life: u64) -> Self {
