--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -200,7 +200,7 @@
             .filter(|(heard, _)| peer.heard.insert((*heard).clone()))
             .collect();
         for heard in removed {
-            self.remove(&heard, earlier(now, heard.heard_for()));
+            self.remove(&heard, earlier(now, heard.heartbeat_timeout()));
         }
         for (heard, began_ms) in added {
             let began = earlier(now, Duration::from_millis((*began_ms).into()));
--- a/lib/src/presence_report.rs
+++ b/lib/src/presence_report.rs
@@ -47,7 +47,7 @@
 
 impl HeartbeatSource {
     /// Returns for how long one counts as heard after a heartbeat.
-    pub(crate) const fn heard_for(&self) -> Duration {
+    pub(crate) const fn heartbeat_timeout(&self) -> Duration {
         match self {
             Self::Backend(_) => BACKEND_HEARD_FOR,
             Self::Entry { .. } => ENTRY_HEARD_FOR,
@@ -132,7 +132,7 @@
     /// heard last.
     pub fn expire(&mut self, now: Instant) -> Vec<(HeartbeatSource, Instant)> {
         let is_over = |heard: &HeartbeatSource, times: &Times| {
-            now.saturating_duration_since(times.last) >= heard.heard_for()
+            now.saturating_duration_since(times.last) >= heard.heartbeat_timeout()
         };
         let expired: Vec<(HeartbeatSource, Instant)> = self
             .times
