--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -133,7 +133,7 @@
     }
 
     /// Notes a heartbeat of a backend server. Returns whether it had been silent.
-    pub fn hear_backend(&mut self, now: Instant, backend: &BackendName) -> bool {
+    pub fn record_backend_heartbeat(&mut self, now: Instant, backend: &BackendName) -> bool {
         let silent = self.is_silent(now, backend);
         let heard = HeartbeatSource::Backend(backend.clone());
         if self.own.hear(now, &heard) {
--- a/lib/tests/test_presence.rs
+++ b/lib/tests/test_presence.rs
@@ -52,7 +52,7 @@
     let mut here = Presence::new(start, 1);
     let mut there = Presence::new(start, 2);
     let heard_at = start + Duration::from_secs(10);
-    there.hear_backend(heard_at, &backend);
+    there.record_backend_heartbeat(heard_at, &backend);
     let told_at = heard_at + REPORT_INTERVAL;
     report(
         &mut there,
@@ -74,7 +74,7 @@
     let backend = BackendName::new("backend-1");
     let mut here = Presence::new(start, 1);
     let mut there = Presence::new(start, 2);
-    there.hear_backend(start, &backend);
+    there.record_backend_heartbeat(start, &backend);
     report(&mut there, &mut here, start, start);
     for millis in [2_000, 3_999, 4_000] {
         let now = start + Duration::from_millis(millis);
@@ -152,12 +152,12 @@
     let names = ["backend-1", "backend-2", "backend-3"].map(BackendName::new);
     let mut there = Presence::new(start, 2);
     let mut here = Presence::new(start, 1);
-    there.hear_backend(start, &names[0]);
+    there.record_backend_heartbeat(start, &names[0]);
     let known = here.take_in(start, &peer, &there.report(start, 0, &origin()));
-    there.hear_backend(start, &names[1]);
+    there.record_backend_heartbeat(start, &names[1]);
     // A lost answer: the same changes are told again, along with later ones.
     let first = there.report(start, known, &origin());
-    there.hear_backend(start, &names[2]);
+    there.record_backend_heartbeat(start, &names[2]);
     let second = there.report(start, known, &origin());
     here.take_in(start, &peer, &first);
     let known = here.take_in(start, &peer, &second);
@@ -207,7 +207,7 @@
         let gone = if step > 60 { 20 } else { 0 };
         if is_beat {
             for backend in backends.iter().skip(gone) {
-                replica.hear_backend(now, backend);
+                replica.record_backend_heartbeat(now, backend);
             }
         }
         for entry in &entries {
--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -306,7 +306,7 @@
         }
         self.inner
             .presence
-            .hear_backend(announcement.backend.clone());
+            .record_backend_heartbeat(announcement.backend.clone());
         let draining = announcement.record.state == BackendState::Draining;
         let Some(change) = self.change_of(&fleet, announcement).await else {
             return Ok(());
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -115,7 +115,7 @@
 
 impl PresenceHandle {
     /// Notes a heartbeat of a backend server.
-    pub fn hear_backend(&self, backend: BackendName) {
+    pub fn record_backend_heartbeat(&self, backend: BackendName) {
         // The task ends only with the process.
         let _ = self.tx.send(Message::Backend(backend));
     }
@@ -238,7 +238,7 @@
         let now = self.setup.clock.now();
         match message {
             Message::Backend(backend) => {
-                if self.presence.hear_backend(now, &backend) {
+                if self.presence.record_backend_heartbeat(now, &backend) {
                     self.publish(now);
                 }
             }
