--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -143,7 +143,13 @@
     }
 
     /// Notes a heartbeat of an entry VM. Returns whether anything but the time is new.
-    pub fn hear_entry(&mut self, now: Instant, vm: &VmName, life: u64, ready: bool) -> bool {
+    pub fn record_entry_heartbeat(
+        &mut self,
+        now: Instant,
+        vm: &VmName,
+        life: u64,
+        ready: bool,
+    ) -> bool {
         let heard = |life, ready| HeartbeatSource::Entry {
             vm: vm.clone(),
             life,
--- a/lib/tests/test_presence.rs
+++ b/lib/tests/test_presence.rs
@@ -108,12 +108,12 @@
     let start = Instant::now();
     let vm = VmName::new("entry-1");
     let mut presence = Presence::new(start, 1);
-    assert!(presence.hear_entry(start, &vm, 1, true));
+    assert!(presence.record_entry_heartbeat(start, &vm, 1, true));
     assert!(!presence.is_out_of_service(start, &vm));
     presence.expire(start + ENTRY_SILENCE);
     assert!(presence.is_out_of_service(start + ENTRY_SILENCE, &vm));
     let later = start + Duration::from_secs(1);
-    assert!(presence.hear_entry(later, &vm, 1, false));
+    assert!(presence.record_entry_heartbeat(later, &vm, 1, false));
     assert!(presence.is_out_of_service(later, &vm));
 }
 
@@ -130,9 +130,9 @@
     let mut first = Presence::new(start, 1);
     let mut second = Presence::new(start, 2);
     let mut third = Presence::new(start, 3);
-    first.hear_entry(start, &vm, 1, true);
+    first.record_entry_heartbeat(start, &vm, 1, true);
     let leaves_at = start + Duration::from_secs(1);
-    second.hear_entry(leaves_at, &vm, 1, false);
+    second.record_entry_heartbeat(leaves_at, &vm, 1, false);
     let now = leaves_at + Duration::from_millis(100);
     let told = second.report(now, 0, &origin());
     third.take_in(now, &VmName::new("control-2"), &told);
@@ -211,7 +211,7 @@
             }
         }
         for entry in &entries {
-            replica.hear_entry(now, entry, 1, true);
+            replica.record_entry_heartbeat(now, entry, 1, true);
         }
         replica.expire(now);
         let report: PresenceReport = replica.report(now, known, &origin());
--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -486,10 +486,10 @@
     }
 
     /// Notes a heartbeat of an entry VM, and has it enrolled if it is new.
-    pub fn hear_entry(&self, vm: &VmName, record: EntryRecord, ready: bool) {
+    pub fn record_entry_heartbeat(&self, vm: &VmName, record: EntryRecord, ready: bool) {
         self.inner
             .presence
-            .hear_entry(vm.clone(), record.life, ready);
+            .record_entry_heartbeat(vm.clone(), record.life, ready);
         if self.inner.picture.read().fleet.entry(vm) == Some(&record) {
             return;
         }
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -266,7 +266,8 @@
         let record: EntryRecord = decode(&request.record_encoded)?;
         let vm = VmName::new(request.vm.as_str());
         if self.control.is_current() {
-            self.control.hear_entry(&vm, record, request.ready);
+            self.control
+                .record_entry_heartbeat(&vm, record, request.ready);
             self.note_manifest();
             self.note_question(&vm, Revision(request.applied_revision));
             self.wait_for_news(&request).await;
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -121,7 +121,7 @@
     }
 
     /// Notes a heartbeat of an entry VM.
-    pub fn hear_entry(&self, vm: VmName, life: u64, ready: bool) {
+    pub fn record_entry_heartbeat(&self, vm: VmName, life: u64, ready: bool) {
         let _ = self.tx.send(Message::Entry { vm, life, ready });
     }
 
@@ -243,7 +243,7 @@
                 }
             }
             Message::Entry { vm, life, ready } => {
-                if self.presence.hear_entry(now, &vm, life, ready) {
+                if self.presence.record_entry_heartbeat(now, &vm, life, ready) {
                     self.publish(now);
                     self.report(now);
                 }
