--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -178,7 +178,7 @@
 
     /// Takes the report of another replica in. Returns the number of its changes up to which
     /// all is known here, for its next report.
-    pub fn take_in(&mut self, now: Instant, from: &VmName, report: &PresenceReport) -> u64 {
+    pub fn apply_report(&mut self, now: Instant, from: &VmName, report: &PresenceReport) -> u64 {
         if report.heard.whole
             && self
                 .peers
--- a/lib/tests/test_presence.rs
+++ b/lib/tests/test_presence.rs
@@ -35,7 +35,7 @@
         there.expire(now);
         here.expire(now);
         let report = there.report(now, known, &origin());
-        known = here.take_in(now, &peer, &report);
+        known = here.apply_report(now, &peer, &report);
         now += REPORT_INTERVAL;
     }
 }
@@ -96,9 +96,9 @@
     let start = Instant::now();
     let mut presence = Presence::new(start, 1);
     let report = Presence::new(start, 2).report(start, 0, &origin());
-    presence.take_in(start, &VmName::new("control-2"), &report);
+    presence.apply_report(start, &VmName::new("control-2"), &report);
     assert!(!presence.is_connected(start, 5));
-    presence.take_in(start, &VmName::new("control-3"), &report);
+    presence.apply_report(start, &VmName::new("control-3"), &report);
     assert!(presence.is_connected(start, 5));
     assert!(!presence.is_connected(start + Duration::from_secs(5), 5));
 }
@@ -135,9 +135,9 @@
     second.record_entry_heartbeat(leaves_at, &vm, 1, false);
     let now = leaves_at + Duration::from_millis(100);
     let told = second.report(now, 0, &origin());
-    third.take_in(now, &VmName::new("control-2"), &told);
+    third.apply_report(now, &VmName::new("control-2"), &told);
     let told = first.report(now, 0, &origin());
-    third.take_in(now, &VmName::new("control-1"), &told);
+    third.apply_report(now, &VmName::new("control-1"), &told);
     assert!(third.is_out_of_service(now, &vm));
 }
 
@@ -153,19 +153,19 @@
     let mut there = Presence::new(start, 2);
     let mut here = Presence::new(start, 1);
     there.record_backend_heartbeat(start, &names[0]);
-    let known = here.take_in(start, &peer, &there.report(start, 0, &origin()));
+    let known = here.apply_report(start, &peer, &there.report(start, 0, &origin()));
     there.record_backend_heartbeat(start, &names[1]);
     // A lost answer: the same changes are told again, along with later ones.
     let first = there.report(start, known, &origin());
     there.record_backend_heartbeat(start, &names[2]);
     let second = there.report(start, known, &origin());
-    here.take_in(start, &peer, &first);
-    let known = here.take_in(start, &peer, &second);
-    let known = here.take_in(start, &peer, &there.report(start, known, &origin()));
+    here.apply_report(start, &peer, &first);
+    let known = here.apply_report(start, &peer, &second);
+    let known = here.apply_report(start, &peer, &there.report(start, known, &origin()));
     let mut fresh = Presence::new(start, 4);
-    let refused = fresh.take_in(start, &peer, &there.report(start, known, &origin()));
+    let refused = fresh.apply_report(start, &peer, &there.report(start, known, &origin()));
     assert_eq!(refused, 0);
-    fresh.take_in(start, &peer, &there.report(start, refused, &origin()));
+    fresh.apply_report(start, &peer, &there.report(start, refused, &origin()));
     let later = start + BACKEND_SILENCE;
     for presence in [&here, &fresh] {
         assert!(names.iter().all(|name| !presence.is_silent(later, name)));
@@ -173,8 +173,8 @@
     // The replica starts again and hears nobody.
     let mut restarted = Presence::new(later, 5);
     restarted.expire(later);
-    let refused = here.take_in(later, &peer, &restarted.report(later, known, &origin()));
-    here.take_in(later, &peer, &restarted.report(later, refused, &origin()));
+    let refused = here.apply_report(later, &peer, &restarted.report(later, known, &origin()));
+    here.apply_report(later, &peer, &restarted.report(later, refused, &origin()));
     let silent_at = later + BACKEND_SILENCE;
     assert!(names.iter().all(|name| here.is_silent(silent_at, name)));
 }
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -313,7 +313,7 @@
         }
         let report = decode(&request.report_encoded)?;
         let from = VmName::new(request.vm);
-        let known = self.control.presence().take_in(from, report).await;
+        let known = self.control.presence().apply_report(from, report).await;
         Ok(Response::new(ReportReply { known }))
     }
 
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -127,7 +127,7 @@
 
     /// Takes the report of another replica in. Returns the number of its changes up to which
     /// all is known.
-    pub async fn take_in(&self, from: VmName, report: PresenceReport) -> u64 {
+    pub async fn apply_report(&self, from: VmName, report: PresenceReport) -> u64 {
         let (reply, answer) = oneshot::channel();
         let _ = self.tx.send(Message::Report {
             from,
@@ -253,7 +253,7 @@
                 report,
                 reply,
             } => {
-                let known = self.presence.take_in(now, &from, &report);
+                let known = self.presence.apply_report(now, &from, &report);
                 // The replica's call may have been given up meanwhile.
                 let _ = reply.send(known);
                 if !report.heard.added.is_empty() || !report.heard.removed.is_empty() {
