--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -245,7 +245,7 @@
     /// Returns whether enough of the `replicas` report for a verdict on anybody's
     /// silence: a majority with this one.
     #[must_use]
-    pub fn is_connected(&self, now: Instant, replicas: usize) -> bool {
+    pub fn has_majority(&self, now: Instant, replicas: usize) -> bool {
         let heard = self
             .peers
             .values()
--- a/lib/tests/test_presence.rs
+++ b/lib/tests/test_presence.rs
@@ -97,10 +97,10 @@
     let mut presence = Presence::new(start, 1);
     let report = Presence::new(start, 2).report(start, 0, &origin());
     presence.apply_report(start, &VmName::new("control-2"), &report);
-    assert!(!presence.is_connected(start, 5));
+    assert!(!presence.has_majority(start, 5));
     presence.apply_report(start, &VmName::new("control-3"), &report);
-    assert!(presence.is_connected(start, 5));
-    assert!(!presence.is_connected(start + Duration::from_secs(5), 5));
+    assert!(presence.has_majority(start, 5));
+    assert!(!presence.has_majority(start + Duration::from_secs(5), 5));
 }
 
 #[test]
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -288,7 +288,7 @@
         let picture = self.setup.picture.read();
         let verdicts = self
             .presence
-            .is_connected(now, picture.replicas.len())
+            .has_majority(now, picture.replicas.len())
             .then(|| self.verdicts(now, &picture.fleet));
         let replicas = self.replicas(now);
         self.view.send_if_modified(|view| {
@@ -394,7 +394,7 @@
     /// leads.
     fn forget(&self, now: Instant) {
         let picture = self.setup.picture.read();
-        if !picture.leads || !self.presence.is_connected(now, picture.replicas.len()) {
+        if !picture.leads || !self.presence.has_majority(now, picture.replicas.len()) {
             return;
         }
         let backends: Vec<BackendIncarnation> = picture
