--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -19,7 +19,7 @@
 use crate::presence_report::HeartbeatSource;
 use crate::presence_report::LocalHeartbeats;
 use crate::presence_report::PresenceReport;
-use crate::presence_report::ReplicaOrigin;
+use crate::presence_report::ReplicaEndpoints;
 
 /// Silence after which a backend server counts as lost. Heartbeats come every 1.5 s or so,
 /// may be a second late and take half a second to be passed on.
@@ -79,7 +79,7 @@
     life: u64,
     number: u64,
     heard: BTreeSet<HeartbeatSource>,
-    origin: Option<ReplicaOrigin>,
+    origin: Option<ReplicaEndpoints>,
     at: Instant,
 }
 
@@ -172,7 +172,7 @@
 
     /// Returns what to tell a replica that knows everything up to the change numbered `known`.
     #[must_use]
-    pub fn report(&self, now: Instant, known: u64, origin: &ReplicaOrigin) -> PresenceReport {
+    pub fn report(&self, now: Instant, known: u64, origin: &ReplicaEndpoints) -> PresenceReport {
         self.own.report(now, known, origin)
     }
 
@@ -255,7 +255,7 @@
 
     /// Returns where the other replicas are that were heard of, and whether each has reported
     /// lately.
-    pub fn origins(&self, now: Instant) -> impl Iterator<Item = (&ReplicaOrigin, bool)> {
+    pub fn origins(&self, now: Instant) -> impl Iterator<Item = (&ReplicaEndpoints, bool)> {
         self.peers.values().filter_map(move |peer| {
             let lately = now.saturating_duration_since(peer.at) < PEER_SILENCE;
             peer.origin.as_ref().map(|origin| (origin, lately))
--- a/lib/src/presence_report.rs
+++ b/lib/src/presence_report.rs
@@ -58,7 +58,7 @@
 /// Tells where a replica is, for entry VMs that look for a near one and backend servers that
 /// are told of one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ReplicaOrigin {
+pub struct ReplicaEndpoints {
     /// Where it takes messages of replicas and entry VMs.
     pub address: SocketAddr,
     /// Where backend servers announce themselves, if it takes that.
@@ -73,7 +73,7 @@
     /// Tells one life of the replica's process from another.
     pub life: u64,
     /// Where the replica is, along with a whole report.
-    pub origin: Option<ReplicaOrigin>,
+    pub origin: Option<ReplicaEndpoints>,
     /// Number of the last change that the receiver is taken to know.
     pub base: u64,
     /// Who began and who ceased to be heard since, or all.
@@ -149,7 +149,7 @@
     /// Returns the report for a replica that knows everything up to the change numbered
     /// `known`; 0 if it isn't known to know anything.
     #[must_use]
-    pub fn report(&self, now: Instant, known: u64, origin: &ReplicaOrigin) -> PresenceReport {
+    pub fn report(&self, now: Instant, known: u64, origin: &ReplicaEndpoints) -> PresenceReport {
         let heard = self.set.update_from(known);
         let began_ms = heard.added.iter().map(|heard| {
             let began = self.times.get(heard).map_or(now, |times| times.began);
--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -16,7 +16,7 @@
 use crate::id::PlaceName;
 use crate::id::RegionName;
 use crate::id::VmName;
-use crate::presence_report::ReplicaOrigin;
+use crate::presence_report::ReplicaEndpoints;
 use crate::rendezvous;
 
 /// Time for which a replica isn't asked that answered that it can't prove to be current, doubled
@@ -89,9 +89,9 @@
     regions: &BTreeMap<PlaceName, RegionName>,
     here: &PlaceName,
     name: &BackendName,
-    replicas: impl Iterator<Item = &'a ReplicaOrigin>,
+    replicas: impl Iterator<Item = &'a ReplicaEndpoints>,
 ) -> Option<SocketAddr> {
-    let rank = |replica: &&ReplicaOrigin| {
+    let rank = |replica: &&ReplicaEndpoints| {
         let weight = weight(name.as_str(), replica.address);
         (Distance::between(regions, here, &replica.place), weight)
     };
--- a/lib/tests/test_presence.rs
+++ b/lib/tests/test_presence.rs
@@ -13,13 +13,13 @@
 use heatherring_lib::presence::Presence;
 use heatherring_lib::presence::REPORT_INTERVAL;
 use heatherring_lib::presence_report::PresenceReport;
-use heatherring_lib::presence_report::ReplicaOrigin;
+use heatherring_lib::presence_report::ReplicaEndpoints;
 
 /// Time between two heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(1_500);
 
-fn origin() -> ReplicaOrigin {
-    ReplicaOrigin {
+fn origin() -> ReplicaEndpoints {
+    ReplicaEndpoints {
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
         announcements: None,
         place: PlaceName::new("place"),
--- a/lib/tests/test_replica_choice.rs
+++ b/lib/tests/test_replica_choice.rs
@@ -10,7 +10,7 @@
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::RegionName;
 use heatherring_lib::id::VmName;
-use heatherring_lib::presence_report::ReplicaOrigin;
+use heatherring_lib::presence_report::ReplicaEndpoints;
 use heatherring_lib::replica_choice::ReplicaChoice;
 use heatherring_lib::replica_choice::ReplicaSite;
 use heatherring_lib::replica_choice::Unusable;
@@ -247,15 +247,15 @@
 
 #[test]
 fn test_backend_servers_are_sent_to_near_replicas_evenly() {
-    let origins: Vec<ReplicaOrigin> = sites()
+    let origins: Vec<ReplicaEndpoints> = sites()
         .into_iter()
-        .map(|site| ReplicaOrigin {
+        .map(|site| ReplicaEndpoints {
             address: site.address,
             announcements: Some(site.address),
             place: site.place.unwrap(),
         })
         .collect();
-    let at = |n: usize, from: &[ReplicaOrigin]| {
+    let at = |n: usize, from: &[ReplicaEndpoints]| {
         let name = BackendName::new(format!("backend-{n}"));
         nearest_announcement_address(&regions(), &place(0), &name, from.iter())
     };
@@ -264,7 +264,7 @@
         .count();
     assert!((70..=130).contains(&first), "{first}");
     assert!((0..200).all(|n| place_of(at(n, &origins).unwrap()) == 0));
-    let far: Vec<ReplicaOrigin> = origins
+    let far: Vec<ReplicaEndpoints> = origins
         .iter()
         .filter(|o| o.place != place(0))
         .cloned()
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -20,7 +20,7 @@
 use heatherring_lib::presence::Presence;
 use heatherring_lib::presence::REPORT_INTERVAL;
 use heatherring_lib::presence_report::PresenceReport;
-use heatherring_lib::presence_report::ReplicaOrigin;
+use heatherring_lib::presence_report::ReplicaEndpoints;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 use tokio::sync::watch;
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KnownReplica {
     /// Where.
-    pub origin: ReplicaOrigin,
+    pub origin: ReplicaEndpoints,
     /// Whether it has reported lately.
     pub reports: bool,
 }
@@ -166,7 +166,7 @@
     /// This replica's VM.
     pub vm: VmName,
     /// Where this replica is.
-    pub origin: ReplicaOrigin,
+    pub origin: ReplicaEndpoints,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// What the replica has applied.
