--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -79,7 +79,7 @@
     life: u64,
     number: u64,
     heard: BTreeSet<HeartbeatSource>,
-    origin: Option<ReplicaEndpoints>,
+    endpoints: Option<ReplicaEndpoints>,
     at: Instant,
 }
 
@@ -90,7 +90,7 @@
             life: report.life,
             number: 0,
             heard: BTreeSet::new(),
-            origin: report.origin.clone(),
+            endpoints: report.endpoints.clone(),
             at: now,
         }
     }
@@ -172,8 +172,8 @@
 
     /// Returns what to tell a replica that knows everything up to the change numbered `known`.
     #[must_use]
-    pub fn report(&self, now: Instant, known: u64, origin: &ReplicaEndpoints) -> PresenceReport {
-        self.own.report(now, known, origin)
+    pub fn report(&self, now: Instant, known: u64, endpoints: &ReplicaEndpoints) -> PresenceReport {
+        self.own.report(now, known, endpoints)
     }
 
     /// Takes the report of another replica in. Returns the number of its changes up to which
@@ -258,7 +258,7 @@
     pub fn origins(&self, now: Instant) -> impl Iterator<Item = (&ReplicaEndpoints, bool)> {
         self.peers.values().filter_map(move |peer| {
             let lately = now.saturating_duration_since(peer.at) < PEER_SILENCE;
-            peer.origin.as_ref().map(|origin| (origin, lately))
+            peer.endpoints.as_ref().map(|endpoints| (endpoints, lately))
         })
     }
 
--- a/lib/src/presence_report.rs
+++ b/lib/src/presence_report.rs
@@ -73,7 +73,7 @@
     /// Tells one life of the replica's process from another.
     pub life: u64,
     /// Where the replica is, along with a whole report.
-    pub origin: Option<ReplicaEndpoints>,
+    pub endpoints: Option<ReplicaEndpoints>,
     /// Number of the last change that the receiver is taken to know.
     pub base: u64,
     /// Who began and who ceased to be heard since, or all.
@@ -149,7 +149,7 @@
     /// Returns the report for a replica that knows everything up to the change numbered
     /// `known`; 0 if it isn't known to know anything.
     #[must_use]
-    pub fn report(&self, now: Instant, known: u64, origin: &ReplicaEndpoints) -> PresenceReport {
+    pub fn report(&self, now: Instant, known: u64, endpoints: &ReplicaEndpoints) -> PresenceReport {
         let heard = self.set.update_from(known);
         let began_ms = heard.added.iter().map(|heard| {
             let began = self.times.get(heard).map_or(now, |times| times.began);
@@ -158,7 +158,7 @@
         });
         PresenceReport {
             life: self.life,
-            origin: heard.whole.then(|| origin.clone()),
+            endpoints: heard.whole.then(|| endpoints.clone()),
             base: known,
             began_ms: began_ms.collect(),
             heard,
--- a/lib/tests/test_presence.rs
+++ b/lib/tests/test_presence.rs
@@ -18,7 +18,7 @@
 /// Time between two heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(1_500);
 
-fn origin() -> ReplicaEndpoints {
+fn endpoints() -> ReplicaEndpoints {
     ReplicaEndpoints {
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
         announcements: None,
@@ -34,7 +34,7 @@
     while now <= until {
         there.expire(now);
         here.expire(now);
-        let report = there.report(now, known, &origin());
+        let report = there.report(now, known, &endpoints());
         known = here.apply_report(now, &peer, &report);
         now += REPORT_INTERVAL;
     }
@@ -95,7 +95,7 @@
 fn test_presence_gives_no_verdict_without_a_majority() {
     let start = Instant::now();
     let mut presence = Presence::new(start, 1);
-    let report = Presence::new(start, 2).report(start, 0, &origin());
+    let report = Presence::new(start, 2).report(start, 0, &endpoints());
     presence.apply_report(start, &VmName::new("control-2"), &report);
     assert!(!presence.has_majority(start, 5));
     presence.apply_report(start, &VmName::new("control-3"), &report);
@@ -134,9 +134,9 @@
     let leaves_at = start + Duration::from_secs(1);
     second.record_entry_heartbeat(leaves_at, &vm, 1, false);
     let now = leaves_at + Duration::from_millis(100);
-    let told = second.report(now, 0, &origin());
+    let told = second.report(now, 0, &endpoints());
     third.apply_report(now, &VmName::new("control-2"), &told);
-    let told = first.report(now, 0, &origin());
+    let told = first.report(now, 0, &endpoints());
     third.apply_report(now, &VmName::new("control-1"), &told);
     assert!(third.is_out_of_service(now, &vm));
 }
@@ -153,19 +153,19 @@
     let mut there = Presence::new(start, 2);
     let mut here = Presence::new(start, 1);
     there.record_backend_heartbeat(start, &names[0]);
-    let known = here.apply_report(start, &peer, &there.report(start, 0, &origin()));
+    let known = here.apply_report(start, &peer, &there.report(start, 0, &endpoints()));
     there.record_backend_heartbeat(start, &names[1]);
     // A lost answer: the same changes are told again, along with later ones.
-    let first = there.report(start, known, &origin());
+    let first = there.report(start, known, &endpoints());
     there.record_backend_heartbeat(start, &names[2]);
-    let second = there.report(start, known, &origin());
+    let second = there.report(start, known, &endpoints());
     here.apply_report(start, &peer, &first);
     let known = here.apply_report(start, &peer, &second);
-    let known = here.apply_report(start, &peer, &there.report(start, known, &origin()));
+    let known = here.apply_report(start, &peer, &there.report(start, known, &endpoints()));
     let mut fresh = Presence::new(start, 4);
-    let refused = fresh.apply_report(start, &peer, &there.report(start, known, &origin()));
+    let refused = fresh.apply_report(start, &peer, &there.report(start, known, &endpoints()));
     assert_eq!(refused, 0);
-    fresh.apply_report(start, &peer, &there.report(start, refused, &origin()));
+    fresh.apply_report(start, &peer, &there.report(start, refused, &endpoints()));
     let later = start + BACKEND_SILENCE;
     for presence in [&here, &fresh] {
         assert!(names.iter().all(|name| !presence.is_silent(later, name)));
@@ -173,8 +173,12 @@
     // The replica starts again and hears nobody.
     let mut restarted = Presence::new(later, 5);
     restarted.expire(later);
-    let refused = here.apply_report(later, &peer, &restarted.report(later, known, &origin()));
-    here.apply_report(later, &peer, &restarted.report(later, refused, &origin()));
+    let refused = here.apply_report(later, &peer, &restarted.report(later, known, &endpoints()));
+    here.apply_report(
+        later,
+        &peer,
+        &restarted.report(later, refused, &endpoints()),
+    );
     let silent_at = later + BACKEND_SILENCE;
     assert!(names.iter().all(|name| here.is_silent(silent_at, name)));
 }
@@ -214,7 +218,7 @@
             replica.record_entry_heartbeat(now, entry, 1, true);
         }
         replica.expire(now);
-        let report: PresenceReport = replica.report(now, known, &origin());
+        let report: PresenceReport = replica.report(now, known, &endpoints());
         known = report.heard.number;
         // All are told once at the start.
         if step > 0 {
--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -476,7 +476,7 @@
         let regions = &self.inner.settings.as_ref()?.places;
         let replicas = self.inner.presence.view().replicas;
         let reporting = replicas.iter().filter(|known| known.reports);
-        let origins = reporting.map(|known| &known.origin);
+        let origins = reporting.map(|known| &known.endpoints);
         replica_choice::nearest_announcement_address(regions, place, backend, origins)
     }
 
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -204,8 +204,10 @@
         let picture = self.control.picture().read();
         let known = self.control.presence().view().replicas;
         let place = |address| {
-            let known = known.iter().find(|known| known.origin.address == address);
-            known.map(|known| known.origin.place.clone())
+            let known = known
+                .iter()
+                .find(|known| known.endpoints.address == address);
+            known.map(|known| known.endpoints.place.clone())
         };
         let sites: Vec<ReplicaSite> = picture
             .replicas
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KnownReplica {
     /// Where.
-    pub origin: ReplicaEndpoints,
+    pub endpoints: ReplicaEndpoints,
     /// Whether it has reported lately.
     pub reports: bool,
 }
@@ -166,7 +166,7 @@
     /// This replica's VM.
     pub vm: VmName,
     /// Where this replica is.
-    pub origin: ReplicaEndpoints,
+    pub endpoints: ReplicaEndpoints,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// What the replica has applied.
@@ -199,7 +199,7 @@
 pub fn spawn(setup: PresenceSetup) -> PresenceHandle {
     let (tx, rx) = mpsc::unbounded_channel();
     let own = KnownReplica {
-        origin: setup.origin.clone(),
+        endpoints: setup.endpoints.clone(),
         reports: true,
     };
     let (view_tx, view) = watch::channel(PresenceView {
@@ -324,10 +324,10 @@
     }
 
     fn replicas(&self, now: Instant) -> Vec<KnownReplica> {
-        let own = std::iter::once((&self.setup.origin, true));
+        let own = std::iter::once((&self.setup.endpoints, true));
         let all = own.chain(self.presence.origins(now));
-        all.map(|(origin, reports)| KnownReplica {
-            origin: origin.clone(),
+        all.map(|(endpoints, reports)| KnownReplica {
+            endpoints: endpoints.clone(),
             reports,
         })
         .collect()
@@ -337,7 +337,7 @@
     fn report(&mut self, now: Instant) {
         self.report_at = now + REPORT_INTERVAL;
         let replicas = self.setup.picture.read().replicas;
-        let own = self.setup.origin.address;
+        let own = self.setup.endpoints.address;
         self.peers
             .retain(|address, _| replicas.iter().any(|info| info.address == *address));
         for info in replicas.iter().filter(|info| info.address != own) {
@@ -351,7 +351,7 @@
         };
         let mut client = peer.client.clone();
         let known = peer.known;
-        let report = self.presence.report(now, known, &self.setup.origin);
+        let report = self.presence.report(now, known, &self.setup.endpoints);
         let Ok(report_encoded) = postcard::to_stdvec(&report) else {
             log::error!(event = "report_unencodable"; "a report on heartbeats can't be encoded");
             return;
