--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -255,7 +255,10 @@
 
     /// Returns where the other replicas are that were heard of, and whether each has reported
     /// lately.
-    pub fn origins(&self, now: Instant) -> impl Iterator<Item = (&ReplicaEndpoints, bool)> {
+    pub fn replica_endpoints(
+        &self,
+        now: Instant,
+    ) -> impl Iterator<Item = (&ReplicaEndpoints, bool)> {
         self.peers.values().filter_map(move |peer| {
             let lately = now.saturating_duration_since(peer.at) < PEER_SILENCE;
             peer.endpoints.as_ref().map(|endpoints| (endpoints, lately))
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -325,7 +325,7 @@
 
     fn replicas(&self, now: Instant) -> Vec<KnownReplica> {
         let own = std::iter::once((&self.setup.endpoints, true));
-        let all = own.chain(self.presence.origins(now));
+        let all = own.chain(self.presence.replica_endpoints(now));
         all.map(|(endpoints, reports)| KnownReplica {
             endpoints: endpoints.clone(),
             reports,
