--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -476,8 +476,8 @@
         let regions = &self.inner.settings.as_ref()?.places;
         let replicas = self.inner.presence.view().replicas;
         let reporting = replicas.iter().filter(|known| known.reports);
-        let origins = reporting.map(|known| &known.endpoints);
-        replica_choice::nearest_announcement_address(regions, place, backend, origins)
+        let known_endpoints = reporting.map(|known| &known.endpoints);
+        replica_choice::nearest_announcement_address(regions, place, backend, known_endpoints)
     }
 
     fn keep_look_ups(&self) -> Duration {
