--- a/lib/src/follow_lag.rs
+++ b/lib/src/follow_lag.rs
@@ -10,7 +10,7 @@
 use crate::id::VmName;
 
 /// Time within which a confirmed manifest should be in force at every entry VM.
-pub const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_500);
+pub const MAX_IN_FORCE_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Manifests whose times are kept.
 const KEPT_MANIFESTS: usize = 64;
@@ -50,7 +50,7 @@
     /// For each version that is newly in force there, the time from when this replica learned of
     /// it until now.
     pub in_force_after: Vec<Duration>,
-    /// A version that it lacks beyond [`IN_FORCE_WITHIN`]; told once a version.
+    /// A version that it lacks beyond [`MAX_IN_FORCE_DELAY`]; told once a version.
     pub behind: Option<Behind>,
 }
 
@@ -92,7 +92,7 @@
         let before = self.asked.get(vm).copied();
         // One that followed another replica meanwhile may have applied them long ago.
         let followed = before.filter(|before| {
-            before.revision.0 > 0 && now.saturating_duration_since(before.at) < IN_FORCE_WITHIN
+            before.revision.0 > 0 && now.saturating_duration_since(before.at) < MAX_IN_FORCE_DELAY
         });
         let in_force_after = followed.map_or_else(Vec::new, |before| {
             let newly = before.revision.next()..=revision;
@@ -108,7 +108,7 @@
             .iter()
             .find(|learned| learned.revision > revision);
         let late = lacked.filter(|lacked| {
-            revision.0 > 0 && lacked.version > told && age(lacked) > IN_FORCE_WITHIN
+            revision.0 > 0 && lacked.version > told && age(lacked) > MAX_IN_FORCE_DELAY
         });
         let asked = Asked {
             at: now,
