--- a/lib/src/follow_lag.rs
+++ b/lib/src/follow_lag.rs
@@ -46,7 +46,7 @@
 
 /// Tells what an entry VM's question shows.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Shown {
+pub struct LagObservation {
     /// For each version that is newly in force there, the time from when this replica learned of
     /// it until now.
     pub in_force_after: Vec<Duration>,
@@ -87,7 +87,12 @@
 
     /// Takes a question of an entry VM, which has applied everything up to `revision`; 0 if it has
     /// just started.
-    pub fn note_question(&mut self, now: Instant, vm: &VmName, revision: Revision) -> Shown {
+    pub fn note_question(
+        &mut self,
+        now: Instant,
+        vm: &VmName,
+        revision: Revision,
+    ) -> LagObservation {
         let age = |learned: &Learned| now.saturating_duration_since(learned.at);
         let before = self.asked.get(vm).copied();
         // One that followed another replica meanwhile may have applied them long ago.
@@ -116,7 +121,7 @@
             late: late.map_or(told, |late| late.version),
         };
         self.asked.insert(vm.clone(), asked);
-        Shown {
+        LagObservation {
             in_force_after,
             behind: late.map(|late| Behind {
                 version: late.version,
