--- a/lib/src/follow_lag.rs
+++ b/lib/src/follow_lag.rs
@@ -37,7 +37,7 @@
 
 /// Tells of an entry VM that goes by an older manifest for too long.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Behind {
+pub struct LateManifest {
     /// The oldest version that it lacks.
     pub version: ManifestVersion,
     /// Time since this replica learned of that version.
@@ -51,7 +51,7 @@
     /// it until now.
     pub in_force_after: Vec<Duration>,
     /// A version that it lacks beyond [`MAX_IN_FORCE_DELAY`]; told once a version.
-    pub behind: Option<Behind>,
+    pub behind: Option<LateManifest>,
 }
 
 /// Follows who has applied what.
@@ -123,7 +123,7 @@
         self.asked.insert(vm.clone(), asked);
         LagObservation {
             in_force_after,
-            behind: late.map(|late| Behind {
+            behind: late.map(|late| LateManifest {
                 version: late.version,
                 lag: age(late),
             }),
--- a/lib/tests/test_follow_lag.rs
+++ b/lib/tests/test_follow_lag.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use heatherring_lib::follow_lag::Behind;
 use heatherring_lib::follow_lag::FollowLag;
 use heatherring_lib::follow_lag::LagObservation;
+use heatherring_lib::follow_lag::LateManifest;
 use heatherring_lib::id::ManifestVersion;
 use heatherring_lib::id::Revision;
 use heatherring_lib::id::VmName;
@@ -43,8 +43,8 @@
     }
 }
 
-fn behind(version: u64, ms: u64) -> Behind {
-    Behind {
+fn behind(version: u64, ms: u64) -> LateManifest {
+    LateManifest {
         version: ManifestVersion(version),
         lag: Duration::from_millis(ms),
     }
