--- a/lib/src/follow_lag.rs
+++ b/lib/src/follow_lag.rs
@@ -87,7 +87,7 @@
 
     /// Takes a question of an entry VM, which has applied everything up to `revision`; 0 if it has
     /// just started.
-    pub fn note_question(
+    pub fn note_request(
         &mut self,
         now: Instant,
         vm: &VmName,
--- a/lib/tests/test_follow_lag.rs
+++ b/lib/tests/test_follow_lag.rs
@@ -32,7 +32,7 @@
     fn asked(&mut self, ms: u64, vm: &str, revision: u64) -> LagObservation {
         let now = self.start + Duration::from_millis(ms);
         self.lag
-            .note_question(now, &VmName::new(vm), Revision(revision))
+            .note_request(now, &VmName::new(vm), Revision(revision))
     }
 }
 
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -101,8 +101,8 @@
     }
 
     /// Notes what an entry VM has applied, and tells of one that has lacked a manifest for long.
-    fn note_question(&self, vm: &VmName, applied: Revision) {
-        let shown = self.lag().note_question(self.clock.now(), vm, applied);
+    fn note_request(&self, vm: &VmName, applied: Revision) {
+        let shown = self.lag().note_request(self.clock.now(), vm, applied);
         for after in shown.in_force_after {
             metric::in_force(after);
         }
@@ -271,7 +271,7 @@
             self.control
                 .record_entry_heartbeat(&vm, record, request.ready);
             self.note_manifest();
-            self.note_question(&vm, Revision(request.applied_revision));
+            self.note_request(&vm, Revision(request.applied_revision));
             self.wait_for_news(&request).await;
             self.note_manifest();
         }
