--- a/lib/src/log_rate.rs
+++ b/lib/src/log_rate.rs
@@ -29,12 +29,12 @@
 
 /// Bounds the lines of one process.
 #[derive(Clone, Copy, Debug)]
-pub struct LogRate {
+pub struct LogRateLimiter {
     tokens: f64,
     at: Instant,
 }
 
-impl LogRate {
+impl LogRateLimiter {
     /// Starts with the whole burst.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
--- a/lib/tests/test_log_rate.rs
+++ b/lib/tests/test_log_rate.rs
@@ -5,14 +5,14 @@
 
 use heatherring_lib::log_rate::LINES_PER_SECOND;
 use heatherring_lib::log_rate::LineWeight;
-use heatherring_lib::log_rate::LogRate;
+use heatherring_lib::log_rate::LogRateLimiter;
 
 const LENGTH: Duration = Duration::from_secs(10);
 
 /// Offers `routine` and `notable` lines a second, and returns how many of each were written.
 fn play(routine: u32, notable: u32) -> (u32, u32) {
     let began = Instant::now();
-    let mut rate = LogRate::new(began);
+    let mut rate = LogRateLimiter::new(began);
     let mut written = (0, 0);
     let all = routine + notable;
     for number in 0..all * 10 {
@@ -45,7 +45,7 @@
 #[test]
 fn test_log_rate_keeps_room_for_alarms() {
     let now = Instant::now();
-    let mut rate = LogRate::new(now);
+    let mut rate = LogRateLimiter::new(now);
     while rate.try_take(now, LineWeight::Notable) {}
     assert!(rate.try_take(now, LineWeight::Alarm));
 }
--- a/server/src/log_writer.rs
+++ b/server/src/log_writer.rs
@@ -21,7 +21,7 @@
 
 use heatherring_lib::clock::Clock;
 use heatherring_lib::log_rate::LineWeight;
-use heatherring_lib::log_rate::LogRate;
+use heatherring_lib::log_rate::LogRateLimiter;
 use logforth::Append;
 use logforth::Diagnostic;
 use logforth::Layout;
@@ -69,7 +69,7 @@
 
 /// What bounds the lines, and what was told of those that were dropped.
 struct Volume {
-    rate: LogRate,
+    rate: LogRateLimiter,
     told: u64,
     /// When that was last tried.
     told_at: Option<Instant>,
@@ -96,7 +96,7 @@
         Ok(Self {
             layout: JsonLayout::default(),
             volume: Mutex::new(Volume {
-                rate: LogRate::new(clock.now()),
+                rate: LogRateLimiter::new(clock.now()),
                 told: 0,
                 told_at: None,
             }),
