--- a/lib/tests/test_log_rate.rs
+++ b/lib/tests/test_log_rate.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use heatherring_lib::log_rate::LINES_PER_SECOND;
-use heatherring_lib::log_rate::LineWeight;
+use heatherring_lib::log_rate::LinePriority;
 use heatherring_lib::log_rate::LogRateLimiter;
 
 const LENGTH: Duration = Duration::from_secs(10);
@@ -18,9 +18,9 @@
     for number in 0..all * 10 {
         let now = began + LENGTH.mul_f64(f64::from(number) / f64::from(all * 10));
         if number % all < routine {
-            written.0 += u32::from(rate.try_take(now, LineWeight::Routine));
+            written.0 += u32::from(rate.try_take(now, LinePriority::Routine));
         } else {
-            written.1 += u32::from(rate.try_take(now, LineWeight::Notable));
+            written.1 += u32::from(rate.try_take(now, LinePriority::Notable));
         }
     }
     written
@@ -46,6 +46,6 @@
 fn test_log_rate_keeps_room_for_alarms() {
     let now = Instant::now();
     let mut rate = LogRateLimiter::new(now);
-    while rate.try_take(now, LineWeight::Notable) {}
-    assert!(rate.try_take(now, LineWeight::Alarm));
+    while rate.try_take(now, LinePriority::Notable) {}
+    assert!(rate.try_take(now, LinePriority::Alarm));
 }
--- a/server/src/log_writer.rs
+++ b/server/src/log_writer.rs
@@ -20,7 +20,7 @@
 use std::time::Instant;
 
 use heatherring_lib::clock::Clock;
-use heatherring_lib::log_rate::LineWeight;
+use heatherring_lib::log_rate::LinePriority;
 use heatherring_lib::log_rate::LogRateLimiter;
 use logforth::Append;
 use logforth::Diagnostic;
@@ -169,13 +169,13 @@
     }
 }
 
-fn weight(record: &Record<'_>) -> LineWeight {
+fn weight(record: &Record<'_>) -> LinePriority {
     if record.level() >= Level::Warn {
-        LineWeight::Alarm
+        LinePriority::Alarm
     } else if record.target() == ROUTINE {
-        LineWeight::Routine
+        LinePriority::Routine
     } else {
-        LineWeight::Notable
+        LinePriority::Notable
     }
 }
 
