--- a/lib/src/drain.rs
+++ b/lib/src/drain.rs
@@ -24,7 +24,7 @@
 use crate::shift_budget::cap_covers;
 
 /// Part of the slots left, in percent, that the present load may fill after a drain.
-const MAX_USE_PERCENT: u64 = 90;
+const MAX_UTILIZATION_PERCENT: u64 = 90;
 
 /// Tells what becomes of one planned drain.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -41,9 +41,9 @@
     /// What is left couldn't carry the present load.
     #[snafu(display(
         "service {service} now needs {needed} slots, and the {left} that would be left should be \
-         filled to {MAX_USE_PERCENT} percent at most"
+         filled to {MAX_UTILIZATION_PERCENT} percent at most"
     ))]
-    TooLittleLeft {
+    InsufficientSlots {
         /// The service.
         service: ServiceName,
         /// Slots in use and requests that wait now.
@@ -56,7 +56,7 @@
         "service {service}: {needed} requests a second would shift from {place}, and caps and \
          limits allow {allowed}"
     ))]
-    OverShiftCap {
+    ShiftCapExceeded {
         /// The service.
         service: ServiceName,
         /// The place.
@@ -86,23 +86,23 @@
 /// decides.
 #[must_use]
 pub fn decide(inputs: DrainInputs<'_>) -> Vec<DrainDecision> {
-    let mut gone = Gone::default();
+    let mut drained = DrainedCapacity::default();
     for drain in inputs.carried_out {
-        gone.add(inputs, drain);
+        drained.add(inputs, drain);
     }
     let mut decisions = Vec::new();
     for drain in &inputs.manifest.drains {
         let held_back = match drain {
             _ if inputs.carried_out.contains(drain) => None,
-            Drain::Place(place) => check_place(inputs, &gone, place).err(),
+            Drain::Place(place) => check_place(inputs, &drained, place).err(),
             Drain::BackendServer(backend) => match inputs.backends.get(backend) {
-                Some(group) => check_backend(inputs, &gone, group).err(),
+                Some(group) => check_backend(inputs, &drained, group).err(),
                 None => continue,
             },
             Drain::Vm(_) => None,
         };
         if held_back.is_none() {
-            gone.add(inputs, drain);
+            drained.add(inputs, drain);
         }
         decisions.push(DrainDecision {
             drain: drain.clone(),
@@ -114,12 +114,12 @@
 
 /// Collects what earlier drains take away.
 #[derive(Debug, Default)]
-struct Gone {
+struct DrainedCapacity {
     places: BTreeSet<PlaceName>,
     slots: BTreeMap<Group, u64>,
 }
 
-impl Gone {
+impl DrainedCapacity {
     fn add(&mut self, inputs: DrainInputs<'_>, drain: &Drain) {
         match drain {
             Drain::Place(place) => {
@@ -137,22 +137,30 @@
     }
 }
 
-fn check_place(inputs: DrainInputs<'_>, gone: &Gone, place: &PlaceName) -> Result<(), HeldBack> {
+fn check_place(
+    inputs: DrainInputs<'_>,
+    drained: &DrainedCapacity,
+    place: &PlaceName,
+) -> Result<(), HeldBack> {
     let serving = |service: &&Service| service.limits.contains_key(place);
     let services = &inputs.manifest.services;
     for (name, service) in services.iter().filter(|(_, service)| serving(service)) {
-        let left = slots_left(inputs, gone, name, service, Some(place));
+        let left = slots_left(inputs, drained, name, service, Some(place));
         check_slots(inputs, name, service, left)?;
-        check_shift(inputs, gone, name, service, place)?;
+        check_shift(inputs, drained, name, service, place)?;
     }
     Ok(())
 }
 
-fn check_backend(inputs: DrainInputs<'_>, gone: &Gone, group: &Group) -> Result<(), HeldBack> {
+fn check_backend(
+    inputs: DrainInputs<'_>,
+    drained: &DrainedCapacity,
+    group: &Group,
+) -> Result<(), HeldBack> {
     let Some(service) = inputs.manifest.services.get(&group.service) else {
         return Ok(());
     };
-    let left = slots_left(inputs, gone, &group.service, service, None)
+    let left = slots_left(inputs, drained, &group.service, service, None)
         .saturating_sub(backend_slots(inputs, group));
     check_slots(inputs, &group.service, service, left)
 }
@@ -170,8 +178,8 @@
         .map(|load| u64::from(load.in_flight) + u64::from(load.queued))
         .sum();
     ensure!(
-        needed * 100 <= left * MAX_USE_PERCENT,
-        TooLittleLeftSnafu {
+        needed * 100 <= left * MAX_UTILIZATION_PERCENT,
+        InsufficientSlotsSnafu {
             service: name.clone(),
             needed,
             left,
@@ -186,7 +194,7 @@
 /// that still have room. That may find less than there is, never more.
 fn check_shift(
     inputs: DrainInputs<'_>,
-    gone: &Gone,
+    drained: &DrainedCapacity,
     name: &ServiceName,
     service: &Service,
     place: &PlaceName,
@@ -200,7 +208,7 @@
         .collect();
     let mut allowed = 0;
     for (other, limit) in &service.limits {
-        if other == place || gone.places.contains(other) {
+        if other == place || drained.places.contains(other) {
             continue;
         }
         let shift = Shift {
@@ -221,7 +229,7 @@
     }
     ensure!(
         needed <= allowed,
-        OverShiftCapSnafu {
+        ShiftCapExceededSnafu {
             service: name.clone(),
             place: place.clone(),
             needed,
@@ -233,7 +241,7 @@
 
 fn slots_left(
     inputs: DrainInputs<'_>,
-    gone: &Gone,
+    drained: &DrainedCapacity,
     name: &ServiceName,
     service: &Service,
     without: Option<&PlaceName>,
@@ -241,11 +249,11 @@
     let remaining = service
         .limits
         .keys()
-        .filter(|place| Some(*place) != without && !gone.places.contains(*place));
+        .filter(|place| Some(*place) != without && !drained.places.contains(*place));
     remaining
         .filter_map(|place| load(inputs, name, place))
         .map(|load| {
-            let lost = gone.slots.get(&load.group).copied().unwrap_or(0);
+            let lost = drained.slots.get(&load.group).copied().unwrap_or(0);
             u64::from(load.slots).saturating_sub(lost)
         })
         .sum()
--- a/lib/src/follow_lag.rs
+++ b/lib/src/follow_lag.rs
@@ -13,14 +13,14 @@
 pub const MAX_IN_FORCE_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Manifests whose times are kept.
-const KEPT_MANIFESTS: usize = 64;
+const MAX_KNOWN_MANIFESTS: usize = 64;
 
 /// Age at which their times are dropped, and what entry VMs asked.
-const KEPT_FOR: Duration = Duration::from_mins(1);
+const RETENTION: Duration = Duration::from_mins(1);
 
 /// Holds a manifest that a replica learned of.
 #[derive(Clone, Copy, Debug)]
-struct Learned {
+struct KnownManifest {
     version: ManifestVersion,
     revision: Revision,
     at: Instant,
@@ -28,7 +28,7 @@
 
 /// Holds what an entry VM said last.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct LastRequest {
     at: Instant,
     revision: Revision,
     /// The last version that it was told of as late.
@@ -51,34 +51,39 @@
     /// it until now.
     pub in_force_after: Vec<Duration>,
     /// A version that it lacks beyond [`MAX_IN_FORCE_DELAY`]; told once a version.
-    pub behind: Option<LateManifest>,
+    pub late_manifest: Option<LateManifest>,
 }
 
 /// Follows who has applied what.
 #[derive(Debug, Default)]
 pub struct FollowLag {
-    manifests: VecDeque<Learned>,
-    asked: BTreeMap<VmName, Asked>,
+    manifests: VecDeque<KnownManifest>,
+    last_requests: BTreeMap<VmName, LastRequest>,
 }
 
 impl FollowLag {
     /// Notes the manifest in force at this replica. `revision` is the revision of the state that
     /// has it.
     pub fn note_manifest(&mut self, now: Instant, version: ManifestVersion, revision: Revision) {
-        let is_kept = |learned: &Learned| now.saturating_duration_since(learned.at) < KEPT_FOR;
-        while self.manifests.front().is_some_and(|front| !is_kept(front)) {
+        let is_retained =
+            |known: &KnownManifest| now.saturating_duration_since(known.at) < RETENTION;
+        while self
+            .manifests
+            .front()
+            .is_some_and(|front| !is_retained(front))
+        {
             self.manifests.pop_front();
         }
-        let is_known = |learned: &Learned| learned.version >= version;
+        let is_known = |known: &KnownManifest| known.version >= version;
         if self.manifests.back().is_some_and(is_known) {
             return;
         }
-        if self.manifests.len() == KEPT_MANIFESTS {
+        if self.manifests.len() == MAX_KNOWN_MANIFESTS {
             self.manifests.pop_front();
         }
-        self.asked
-            .retain(|_, asked| now.saturating_duration_since(asked.at) < KEPT_FOR);
-        self.manifests.push_back(Learned {
+        self.last_requests
+            .retain(|_, last_request| now.saturating_duration_since(last_request.at) < RETENTION);
+        self.manifests.push_back(KnownManifest {
             version,
             revision,
             at: now,
@@ -93,37 +98,39 @@
         vm: &VmName,
         revision: Revision,
     ) -> LagObservation {
-        let age = |learned: &Learned| now.saturating_duration_since(learned.at);
-        let before = self.asked.get(vm).copied();
+        let age = |known: &KnownManifest| now.saturating_duration_since(known.at);
+        let previous = self.last_requests.get(vm).copied();
         // One that followed another replica meanwhile may have applied them long ago.
-        let followed = before.filter(|before| {
-            before.revision.0 > 0 && now.saturating_duration_since(before.at) < MAX_IN_FORCE_DELAY
+        let followed = previous.filter(|previous| {
+            previous.revision.0 > 0
+                && now.saturating_duration_since(previous.at) < MAX_IN_FORCE_DELAY
         });
-        let in_force_after = followed.map_or_else(Vec::new, |before| {
-            let newly = before.revision.next()..=revision;
+        let in_force_after = followed.map_or_else(Vec::new, |previous| {
+            let newly = previous.revision.next()..=revision;
             let newly = self
                 .manifests
                 .iter()
-                .filter(|learned| newly.contains(&learned.revision));
+                .filter(|known| newly.contains(&known.revision));
             newly.map(age).collect()
         });
-        let told = before.map_or_else(ManifestVersion::default, |before| before.late);
-        let lacked = self
+        let last_reported =
+            previous.map_or_else(ManifestVersion::default, |previous| previous.late);
+        let missing = self
             .manifests
             .iter()
-            .find(|learned| learned.revision > revision);
-        let late = lacked.filter(|lacked| {
-            revision.0 > 0 && lacked.version > told && age(lacked) > MAX_IN_FORCE_DELAY
+            .find(|known| known.revision > revision);
+        let late = missing.filter(|missing| {
+            revision.0 > 0 && missing.version > last_reported && age(missing) > MAX_IN_FORCE_DELAY
         });
-        let asked = Asked {
+        let last_request = LastRequest {
             at: now,
             revision,
-            late: late.map_or(told, |late| late.version),
+            late: late.map_or(last_reported, |late| late.version),
         };
-        self.asked.insert(vm.clone(), asked);
+        self.last_requests.insert(vm.clone(), last_request);
         LagObservation {
             in_force_after,
-            behind: late.map(|late| LateManifest {
+            late_manifest: late.map(|late| LateManifest {
                 version: late.version,
                 lag: age(late),
             }),
--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -23,23 +23,23 @@
 use crate::replica_timeout::ReplicaTimeout;
 
 /// Pause before others are asked, after none was of use.
-const NEXT_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Pause after news before more is asked for. What comes after a quiet spell is told at once;
 /// what comes in a row, as when many VMs or backend servers start or leave, is told together.
 /// Without it each change is an answer of its own to every entry VM.
-const NEWS_PAUSE: Duration = Duration::from_millis(200);
+const CHANGE_PAUSE: Duration = Duration::from_millis(200);
 
 /// Replicas that are asked at a time: one more than the failures that are borne at once.
-const ASKED_AT_ONCE: usize = 3;
+const PARALLEL_PROBES: usize = 3;
 
 /// Time by which each of them is asked later than the one before, so that the nearest one that is
 /// of use ordinarily answers first.
-const HEAD_START: Duration = Duration::from_millis(40);
+const PROBE_STAGGER: Duration = Duration::from_millis(40);
 
 /// Time for which a replica isn't asked for the state while a nearer one is tried. The state is
 /// large: 45 KB for 900 backend servers take 0.2 s over a link of 2 Mbit/s.
-const NEARER_FIRST: Duration = Duration::from_millis(100);
+const NEARER_PROBE_TIME: Duration = Duration::from_millis(100);
 
 /// Tells what to do.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -71,22 +71,22 @@
 #[derive(Clone, Copy, Debug)]
 struct Followed {
     replica: SocketAddr,
-    question: Question,
+    poll: PollState,
     /// Whether others were looked for since the question was asked.
-    has_searched: bool,
+    is_hedged: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Question {
-    /// Asked, and not answered yet.
-    Asked(Instant),
+enum PollState {
+    /// Sent, and not answered yet.
+    Sent(Instant),
     /// To be asked then.
-    Planned(Instant),
+    Scheduled(Instant),
 }
 
 /// Says why replicas are tried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Aim {
+enum ProbePurpose {
     /// None is followed, or the one that is gives no answer.
     Search,
     /// A nearer one than the one that is followed may be of use.
@@ -95,22 +95,22 @@
 
 /// Holds a replica that is asked whether it is of use.
 #[derive(Clone, Copy, Debug)]
-struct Trial {
+struct PendingProbe {
     replica: SocketAddr,
-    begins_at: Instant,
-    has_begun: bool,
+    starts_at: Instant,
+    is_started: bool,
 }
 
 /// Plans whom to ask.
 #[derive(Debug)]
 pub struct FollowPlan {
     choice: ReplicaChoice,
-    patience: ReplicaTimeout,
+    timeout: ReplicaTimeout,
     followed: Option<Followed>,
-    trials: Vec<Trial>,
-    aim: Aim,
+    probes: Vec<PendingProbe>,
+    purpose: ProbePurpose,
     /// When the trials are given up.
-    trials_end: Instant,
+    probes_deadline: Instant,
     /// When others are asked next, while none is followed.
     search_at: Instant,
     rng: ChaCha8Rng,
@@ -123,11 +123,11 @@
     pub fn new(choice: ReplicaChoice, now: Instant, seed: u64) -> Self {
         Self {
             choice,
-            patience: ReplicaTimeout::default(),
+            timeout: ReplicaTimeout::default(),
             followed: None,
-            trials: Vec::new(),
-            aim: Aim::Search,
-            trials_end: now,
+            probes: Vec::new(),
+            purpose: ProbePurpose::Search,
+            probes_deadline: now,
             search_at: now,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
@@ -148,31 +148,34 @@
     /// Returns when [`Self::wake`] is to be called at the latest.
     #[must_use]
     pub fn next_wake(&self) -> Instant {
-        let own = match self.followed {
-            None if self.trials.is_empty() => self.search_at,
-            None => self.trials_end,
-            Some(followed) => match followed.question {
-                Question::Planned(at) => at,
-                Question::Asked(at) if followed.has_searched => at + ANSWER_TIMEOUT,
-                Question::Asked(at) => at + HEDGE_AFTER,
+        let base_wake = match self.followed {
+            None if self.probes.is_empty() => self.search_at,
+            None => self.probes_deadline,
+            Some(followed) => match followed.poll {
+                PollState::Scheduled(at) => at,
+                PollState::Sent(at) if followed.is_hedged => at + ANSWER_TIMEOUT,
+                PollState::Sent(at) => at + HEDGE_AFTER,
             },
         };
-        let waiting = self.trials.iter().filter(|trial| !trial.has_begun);
-        let begins = waiting.map(|trial| trial.begins_at).min();
-        let ends = (!self.trials.is_empty()).then_some(self.trials_end);
-        [begins, ends].into_iter().flatten().fold(own, Instant::min)
+        let waiting = self.probes.iter().filter(|probe| !probe.is_started);
+        let begins = waiting.map(|probe| probe.starts_at).min();
+        let ends = (!self.probes.is_empty()).then_some(self.probes_deadline);
+        [begins, ends]
+            .into_iter()
+            .flatten()
+            .fold(base_wake, Instant::min)
     }
 
     /// Lets time pass.
     pub fn wake(&mut self, now: Instant) -> Vec<FollowStep> {
         let mut steps = Vec::new();
-        self.give_up(now, &mut steps);
+        self.expire(now, &mut steps);
         if let Some(followed) = self.followed {
-            match followed.question {
-                Question::Planned(at) if at <= now => self.ask(now, &mut steps),
-                Question::Asked(at) if at + HEDGE_AFTER <= now && !followed.has_searched => {
+            match followed.poll {
+                PollState::Scheduled(at) if at <= now => self.send_poll(now, &mut steps),
+                PollState::Sent(at) if at + HEDGE_AFTER <= now && !followed.is_hedged => {
                     self.followed = Some(Followed {
-                        has_searched: true,
+                        is_hedged: true,
                         ..followed
                     });
                     self.search(now);
@@ -182,14 +185,14 @@
         } else if self.search_at <= now {
             self.search(now);
         }
-        self.begin_trials(now, &mut steps);
+        self.start_probes(now, &mut steps);
         steps
     }
 
     /// Has the replica that is followed asked at once: what it is told has changed.
     pub fn poll_now(&mut self, now: Instant) -> Vec<FollowStep> {
         let mut steps = Vec::new();
-        self.ask(now, &mut steps);
+        self.send_poll(now, &mut steps);
         steps
     }
 
@@ -204,26 +207,26 @@
         let is_followed = self.followed() == Some(replica);
         match answer {
             FollowOutcome::Usable { has_changes } if is_followed => {
-                self.note_useful(now, replica, has_changes, &mut steps);
+                self.handle_usable(now, replica, has_changes, &mut steps);
             }
-            FollowOutcome::Usable { .. } if self.is_tried(replica) => {
+            FollowOutcome::Usable { .. } if self.is_probed(replica) => {
                 self.follow(now, replica, &mut steps);
             }
             FollowOutcome::Usable { .. } => {}
-            FollowOutcome::Unusable(why) => self.note_useless(now, replica, why),
+            FollowOutcome::Unusable(reason) => self.handle_unusable(now, replica, reason),
         }
-        self.begin_trials(now, &mut steps);
+        self.start_probes(now, &mut steps);
         steps
     }
 
-    fn is_tried(&self, replica: SocketAddr) -> bool {
-        self.trials.iter().any(|trial| trial.replica == replica)
+    fn is_probed(&self, replica: SocketAddr) -> bool {
+        self.probes.iter().any(|probe| probe.replica == replica)
     }
 
-    fn ask(&mut self, now: Instant, steps: &mut Vec<FollowStep>) {
+    fn send_poll(&mut self, now: Instant, steps: &mut Vec<FollowStep>) {
         if let Some(followed) = &mut self.followed {
-            followed.question = Question::Asked(now);
-            followed.has_searched = false;
+            followed.poll = PollState::Sent(now);
+            followed.is_hedged = false;
             steps.push(FollowStep::Poll(followed.replica));
         }
     }
@@ -231,44 +234,42 @@
     /// Plans trials unless some are under way: of replicas in as many regions as there are,
     /// besides the one that is followed.
     fn search(&mut self, now: Instant) {
-        if !self.trials.is_empty() {
+        if !self.probes.is_empty() {
             return;
         }
-        let besides = self.followed();
-        let picked = self.choice.pick_spread(now, besides, ASKED_AT_ONCE);
-        self.plan_trials(now, Aim::Search, &picked);
+        let except = self.followed();
+        let picked = self.choice.pick_spread(now, except, PARALLEL_PROBES);
+        self.plan_probes(now, ProbePurpose::Search, &picked);
     }
 
-    fn plan_trials(&mut self, now: Instant, aim: Aim, replicas: &[SocketAddr]) {
-        self.aim = aim;
-        let mut begins_at = now;
+    fn plan_probes(&mut self, now: Instant, purpose: ProbePurpose, replicas: &[SocketAddr]) {
+        self.purpose = purpose;
+        let mut starts_at = now;
         for replica in replicas {
-            self.trials.push(Trial {
+            self.probes.push(PendingProbe {
                 replica: *replica,
-                begins_at,
-                has_begun: false,
+                starts_at,
+                is_started: false,
             });
-            begins_at += HEAD_START;
+            starts_at += PROBE_STAGGER;
         }
-        self.trials_end = begins_at + self.patience.first();
-        self.search_at = now + NEXT_PAUSE;
+        self.probes_deadline = starts_at + self.timeout.first();
+        self.search_at = now + RETRY_PAUSE;
     }
 
-    fn begin_trials(&mut self, now: Instant, steps: &mut Vec<FollowStep>) {
-        for trial in &mut self.trials {
-            if !trial.has_begun && trial.begins_at <= now {
-                trial.has_begun = true;
-                steps.push(FollowStep::Probe(trial.replica));
+    fn start_probes(&mut self, now: Instant, steps: &mut Vec<FollowStep>) {
+        for probe in &mut self.probes {
+            if !probe.is_started && probe.starts_at <= now {
+                probe.is_started = true;
+                steps.push(FollowStep::Probe(probe.replica));
             }
         }
     }
 
     /// Gives up replicas that gave no answer in time.
-    fn give_up(&mut self, now: Instant, steps: &mut Vec<FollowStep>) {
-        if let Some(Followed {
-            replica, question, ..
-        }) = self.followed
-            && let Question::Asked(at) = question
+    fn expire(&mut self, now: Instant, steps: &mut Vec<FollowStep>) {
+        if let Some(Followed { replica, poll, .. }) = self.followed
+            && let PollState::Sent(at) = poll
             && at + ANSWER_TIMEOUT <= now
         {
             self.followed = None;
@@ -276,97 +277,97 @@
             self.back_off(now, replica, Unusable::Unresponsive);
             steps.push(FollowStep::TimedOut(replica));
         }
-        if !self.trials.is_empty() && self.trials_end <= now {
-            for trial in std::mem::take(&mut self.trials) {
-                self.back_off(now, trial.replica, Unusable::Unresponsive);
-                steps.push(FollowStep::TimedOut(trial.replica));
+        if !self.probes.is_empty() && self.probes_deadline <= now {
+            for probe in std::mem::take(&mut self.probes) {
+                self.back_off(now, probe.replica, Unusable::Unresponsive);
+                steps.push(FollowStep::TimedOut(probe.replica));
             }
-            if self.aim == Aim::Search {
-                self.patience.note_timeout();
+            if self.purpose == ProbePurpose::Search {
+                self.timeout.note_timeout();
             }
-            self.search_at = now + NEXT_PAUSE;
+            self.search_at = now + RETRY_PAUSE;
         }
     }
 
-    fn note_useful(
+    fn handle_usable(
         &mut self,
         now: Instant,
         replica: SocketAddr,
         has_changes: bool,
         steps: &mut Vec<FollowStep>,
     ) {
-        self.patience.note_answer();
+        self.timeout.note_answer();
         self.choice.note_usable(replica);
-        if self.aim == Aim::Search {
-            self.drop_trials(now, steps);
+        if self.purpose == ProbePurpose::Search {
+            self.cancel_probes(now, steps);
         }
-        self.try_nearer(now, replica);
+        self.probe_nearer(now, replica);
         if !has_changes {
-            self.ask(now, steps);
+            self.send_poll(now, steps);
         } else if let Some(followed) = &mut self.followed {
-            followed.question = Question::Planned(now + NEWS_PAUSE);
+            followed.poll = PollState::Scheduled(now + CHANGE_PAUSE);
         }
     }
 
     /// Plans to try a nearer replica that may be of use; returns whether there is one.
-    fn try_nearer(&mut self, now: Instant, replica: SocketAddr) -> bool {
-        if !self.trials.is_empty() {
+    fn probe_nearer(&mut self, now: Instant, replica: SocketAddr) -> bool {
+        if !self.probes.is_empty() {
             return false;
         }
         let nearer = self.choice.nearer_than(replica, now);
         if let Some(nearer) = nearer {
-            self.plan_trials(now, Aim::Nearer, &[nearer]);
+            self.plan_probes(now, ProbePurpose::Nearer, &[nearer]);
         }
         nearer.is_some()
     }
 
     /// Follows a replica that was tried.
     fn follow(&mut self, now: Instant, replica: SocketAddr, steps: &mut Vec<FollowStep>) {
-        self.trials.retain(|trial| trial.replica != replica);
-        self.drop_trials(now, steps);
-        if let Some(left) = self.followed.take() {
-            self.defer_return(now, left.replica);
-            steps.push(FollowStep::Cancel(left.replica));
+        self.probes.retain(|probe| probe.replica != replica);
+        self.cancel_probes(now, steps);
+        if let Some(abandoned) = self.followed.take() {
+            self.defer_return(now, abandoned.replica);
+            steps.push(FollowStep::Cancel(abandoned.replica));
         }
-        self.patience.note_answer();
+        self.timeout.note_answer();
         self.choice.note_usable(replica);
         self.followed = Some(Followed {
             replica,
-            question: Question::Planned(now + NEARER_FIRST),
-            has_searched: false,
+            poll: PollState::Scheduled(now + NEARER_PROBE_TIME),
+            is_hedged: false,
         });
-        if !self.try_nearer(now, replica) {
-            self.ask(now, steps);
+        if !self.probe_nearer(now, replica) {
+            self.send_poll(now, steps);
         }
     }
 
-    fn drop_trials(&mut self, now: Instant, steps: &mut Vec<FollowStep>) {
-        for trial in std::mem::take(&mut self.trials) {
-            if trial.has_begun {
-                self.defer_return(now, trial.replica);
-                steps.push(FollowStep::Cancel(trial.replica));
+    fn cancel_probes(&mut self, now: Instant, steps: &mut Vec<FollowStep>) {
+        for probe in std::mem::take(&mut self.probes) {
+            if probe.is_started {
+                self.defer_return(now, probe.replica);
+                steps.push(FollowStep::Cancel(probe.replica));
             }
         }
     }
 
-    fn note_useless(&mut self, now: Instant, replica: SocketAddr, why: Unusable) {
-        self.back_off(now, replica, why);
-        self.trials.retain(|trial| trial.replica != replica);
+    fn handle_unusable(&mut self, now: Instant, replica: SocketAddr, reason: Unusable) {
+        self.back_off(now, replica, reason);
+        self.probes.retain(|probe| probe.replica != replica);
         if self.followed() == Some(replica) {
             self.followed = None;
         }
-        if self.trials.is_empty() {
-            self.search_at = now + NEXT_PAUSE;
+        if self.probes.is_empty() {
+            self.search_at = now + RETRY_PAUSE;
         }
     }
 
-    fn back_off(&mut self, now: Instant, replica: SocketAddr, why: Unusable) {
-        let draw = self.rng.random();
-        self.choice.back_off(replica, now, why, draw);
+    fn back_off(&mut self, now: Instant, replica: SocketAddr, reason: Unusable) {
+        let jitter = self.rng.random();
+        self.choice.back_off(replica, now, reason, jitter);
     }
 
     fn defer_return(&mut self, now: Instant, replica: SocketAddr) {
-        let draw = self.rng.random();
-        self.choice.defer_return(replica, now, draw);
+        let jitter = self.rng.random();
+        self.choice.defer_return(replica, now, jitter);
     }
 }
--- a/lib/src/head_scanner.rs
+++ b/lib/src/head_scanner.rs
@@ -7,7 +7,7 @@
 //! known although nothing but the library finds its end.
 
 /// Bytes of a line that are looked at: the longest name that is looked for, and its colon.
-const LOOKED_AT: usize = 18;
+const LINE_START_LEN: usize = 18;
 
 /// Says how the end of a request's body is announced.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -85,7 +85,7 @@
 /// Holds the first bytes of a line.
 #[derive(Clone, Copy, Debug, Default)]
 struct LineStart {
-    bytes: [u8; LOOKED_AT],
+    bytes: [u8; LINE_START_LEN],
     length: usize,
 }
 
--- a/lib/src/log_rate.rs
+++ b/lib/src/log_rate.rs
@@ -11,10 +11,10 @@
 const BURST: f64 = 400.0;
 
 /// Part of [`BURST`] that is left for lines of more weight than routine ones.
-const KEPT_FROM_ROUTINE: f64 = 0.5;
+const RESERVED_FROM_ROUTINE: f64 = 0.5;
 
 /// Part of [`BURST`] that is left for alarms.
-const KEPT_FROM_NOTABLE: f64 = 0.1;
+const RESERVED_FROM_NOTABLE: f64 = 0.1;
 
 /// Says how much a line tells.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -45,19 +45,19 @@
     }
 
     /// Returns whether a line may be written, and counts it if so.
-    pub fn try_take(&mut self, now: Instant, weight: LinePriority) -> bool {
+    pub fn try_take(&mut self, now: Instant, priority: LinePriority) -> bool {
         let since = now.saturating_duration_since(self.at).as_secs_f64();
         self.tokens = (self.tokens + since * LINES_PER_SECOND).min(BURST);
         self.at = now;
-        let kept = match weight {
-            LinePriority::Routine => BURST * KEPT_FROM_ROUTINE,
-            LinePriority::Notable => BURST * KEPT_FROM_NOTABLE,
+        let reserved = match priority {
+            LinePriority::Routine => BURST * RESERVED_FROM_ROUTINE,
+            LinePriority::Notable => BURST * RESERVED_FROM_NOTABLE,
             LinePriority::Alarm => 0.0,
         };
-        let may = self.tokens >= kept + 1.0;
-        if may {
+        let is_allowed = self.tokens >= reserved + 1.0;
+        if is_allowed {
             self.tokens -= 1.0;
         }
-        may
+        is_allowed
     }
 }
--- a/lib/src/numbered_set.rs
+++ b/lib/src/numbered_set.rs
@@ -9,7 +9,7 @@
 
 /// Changes that are kept. Whoever is further behind gets the whole set; a few seconds in which
 /// a thousand members come or go are behind it by then.
-const KEPT_CHANGES: usize = 1_024;
+const MAX_CHANGES: usize = 1_024;
 
 /// Holds a set and its latest changes, which are numbered; 0 stands for knowing nothing.
 #[derive(Clone, Debug)]
@@ -68,7 +68,7 @@
     pub fn insert(&mut self, member: T) -> bool {
         let is_new = self.members.insert(member.clone());
         if is_new {
-            self.note(Change::Added(member));
+            self.record_change(Change::Added(member));
         }
         is_new
     }
@@ -77,7 +77,7 @@
     pub fn remove(&mut self, member: &T) -> bool {
         let was_there = self.members.remove(member);
         if was_there {
-            self.note(Change::Removed(member.clone()));
+            self.record_change(Change::Removed(member.clone()));
         }
         was_there
     }
@@ -85,8 +85,8 @@
     /// Makes `members` the whole set; returns whether that changes anything.
     pub fn replace(&mut self, members: &BTreeSet<T>) -> bool {
         let before = self.number;
-        let gone: Vec<T> = self.members.difference(members).cloned().collect();
-        for member in &gone {
+        let stale: Vec<T> = self.members.difference(members).cloned().collect();
+        for member in &stale {
             self.remove(member);
         }
         for member in members {
@@ -126,10 +126,10 @@
         }
     }
 
-    fn note(&mut self, change: Change<T>) {
+    fn record_change(&mut self, change: Change<T>) {
         self.number += 1;
         self.changes.push_back(change);
-        if self.changes.len() > KEPT_CHANGES {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
     }
--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -47,16 +47,16 @@
 
 /// Says when and by how many replicas one was heard.
 #[derive(Clone, Copy, Debug)]
-struct Standing {
+struct Contact {
     /// Replicas that hear it now.
-    holders: u32,
+    reporters: u32,
     /// When it was heard last, if none does.
     last: Instant,
 }
 
-impl Standing {
+impl Contact {
     fn silence(&self, now: Instant) -> Duration {
-        if self.holders > 0 {
+        if self.reporters > 0 {
             Duration::ZERO
         } else {
             now.saturating_duration_since(self.last)
@@ -65,12 +65,12 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct EntryStanding {
+struct EntryContact {
     life: u64,
     ready: bool,
     /// When it began to say so.
-    said_at: Instant,
-    standing: Standing,
+    stated_at: Instant,
+    contact: Contact,
 }
 
 /// Holds what another replica told.
@@ -113,8 +113,8 @@
 pub struct Presence {
     began: Instant,
     own: LocalHeartbeats,
-    backends: BTreeMap<BackendName, Standing>,
-    entries: BTreeMap<VmName, EntryStanding>,
+    backends: BTreeMap<BackendName, Contact>,
+    entries: BTreeMap<VmName, EntryContact>,
     peers: BTreeMap<VmName, Peer>,
 }
 
@@ -136,7 +136,7 @@
     pub fn record_backend_heartbeat(&mut self, now: Instant, backend: &BackendName) -> bool {
         let silent = self.is_silent(now, backend);
         let heard = HeartbeatSource::Backend(backend.clone());
-        if self.own.hear(now, &heard) {
+        if self.own.record_heartbeat(now, &heard) {
             self.add(now, &heard);
         }
         silent
@@ -159,12 +159,12 @@
         let is_new = before.is_none_or(|known| known.life != life || known.ready != ready);
         if is_new && let Some(known) = before {
             let outdated = heard(known.life, known.ready);
-            if self.own.drop_heard(&outdated) {
+            if self.own.drop_source(&outdated) {
                 self.remove(&outdated, now);
             }
         }
         let heard = heard(life, ready);
-        if self.own.hear(now, &heard) {
+        if self.own.record_heartbeat(now, &heard) {
             self.add(now, &heard);
         }
         is_new
@@ -235,9 +235,9 @@
     /// Drops everybody who hasn't been heard of for `age`.
     pub fn forget(&mut self, now: Instant, age: Duration) {
         self.backends
-            .retain(|_, standing| standing.silence(now) < age);
+            .retain(|_, contact| contact.silence(now) < age);
         self.entries
-            .retain(|_, entry| entry.standing.silence(now) < age);
+            .retain(|_, entry| entry.contact.silence(now) < age);
         self.peers
             .retain(|_, peer| now.saturating_duration_since(peer.at) < age);
     }
@@ -260,8 +260,10 @@
         now: Instant,
     ) -> impl Iterator<Item = (&ReplicaEndpoints, bool)> {
         self.peers.values().filter_map(move |peer| {
-            let lately = now.saturating_duration_since(peer.at) < PEER_SILENCE;
-            peer.endpoints.as_ref().map(|endpoints| (endpoints, lately))
+            let is_reporting = now.saturating_duration_since(peer.at) < PEER_SILENCE;
+            peer.endpoints
+                .as_ref()
+                .map(|endpoints| (endpoints, is_reporting))
         })
     }
 
@@ -276,8 +278,8 @@
     #[must_use]
     pub fn silence(&self, now: Instant, backend: &BackendName) -> Duration {
         let unheard = now.saturating_duration_since(self.began);
-        let standing = self.backends.get(backend);
-        standing.map_or(unheard, |standing| standing.silence(now))
+        let contact = self.backends.get(backend);
+        contact.map_or(unheard, |contact| contact.silence(now))
     }
 
     /// Returns for how long an entry VM hasn't been heard of.
@@ -285,57 +287,57 @@
     pub fn entry_silence(&self, now: Instant, vm: &VmName) -> Duration {
         let unheard = now.saturating_duration_since(self.began);
         let entry = self.entries.get(vm);
-        entry.map_or(unheard, |entry| entry.standing.silence(now))
+        entry.map_or(unheard, |entry| entry.contact.silence(now))
     }
 
     /// Returns whether an entry VM takes no requests: it says so, or is silent. One that was
     /// never heard of counts from this replica's start.
     #[must_use]
     pub fn is_out_of_service(&self, now: Instant, vm: &VmName) -> bool {
-        let says_so = self.entries.get(vm).is_some_and(|entry| !entry.ready);
-        says_so || self.entry_silence(now, vm) >= ENTRY_SILENCE
+        let is_not_ready = self.entries.get(vm).is_some_and(|entry| !entry.ready);
+        is_not_ready || self.entry_silence(now, vm) >= ENTRY_SILENCE
     }
 
     fn add(&mut self, began: Instant, heard: &HeartbeatSource) {
         match heard {
             HeartbeatSource::Backend(backend) => {
-                let unheard = Standing {
-                    holders: 0,
+                let unheard = Contact {
+                    reporters: 0,
                     last: began,
                 };
-                let standing = self.backends.entry(backend.clone()).or_insert(unheard);
-                standing.holders += 1;
+                let contact = self.backends.entry(backend.clone()).or_insert(unheard);
+                contact.reporters += 1;
             }
             HeartbeatSource::Entry { vm, life, ready } => {
-                let said = EntryStanding {
+                let reported = EntryContact {
                     life: *life,
                     ready: *ready,
-                    said_at: began,
-                    standing: Standing {
-                        holders: 0,
+                    stated_at: began,
+                    contact: Contact {
+                        reporters: 0,
                         last: began,
                     },
                 };
-                let entry = self.entries.entry(vm.clone()).or_insert(said);
+                let entry = self.entries.entry(vm.clone()).or_insert(reported);
                 // A replica that is told of late may still hold what it said before.
-                if began >= entry.said_at {
-                    (entry.life, entry.ready, entry.said_at) = (*life, *ready, began);
+                if began >= entry.stated_at {
+                    (entry.life, entry.ready, entry.stated_at) = (*life, *ready, began);
                 }
-                entry.standing.holders += 1;
+                entry.contact.reporters += 1;
             }
         }
     }
 
     fn remove(&mut self, heard: &HeartbeatSource, last: Instant) {
-        let standing = match heard {
+        let contact = match heard {
             HeartbeatSource::Backend(backend) => self.backends.get_mut(backend),
             HeartbeatSource::Entry { vm, .. } => {
-                self.entries.get_mut(vm).map(|entry| &mut entry.standing)
+                self.entries.get_mut(vm).map(|entry| &mut entry.contact)
             }
         };
-        if let Some(standing) = standing {
-            standing.holders = standing.holders.saturating_sub(1);
-            standing.last = standing.last.max(last);
+        if let Some(contact) = contact {
+            contact.reporters = contact.reporters.saturating_sub(1);
+            contact.last = contact.last.max(last);
         }
     }
 
--- a/lib/src/presence_report.rs
+++ b/lib/src/presence_report.rs
@@ -23,11 +23,11 @@
 
 /// Time for which a backend server counts as heard after a heartbeat: they come every 1.5 s or
 /// so and may be a second late.
-const BACKEND_HEARD_FOR: Duration = Duration::from_millis(2_600);
+const BACKEND_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_600);
 
 /// The same for an entry VM, which asks control at least every 0.8 s, over up to 0.11 s there
 /// and back, and 0.2 s later after news.
-const ENTRY_HEARD_FOR: Duration = Duration::from_millis(1_600);
+const ENTRY_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
 /// Names one who sends heartbeats, with what it says of itself.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
@@ -49,8 +49,8 @@
     /// Returns for how long one counts as heard after a heartbeat.
     pub(crate) const fn heartbeat_timeout(&self) -> Duration {
         match self {
-            Self::Backend(_) => BACKEND_HEARD_FOR,
-            Self::Entry { .. } => ENTRY_HEARD_FOR,
+            Self::Backend(_) => BACKEND_HEARTBEAT_TIMEOUT,
+            Self::Entry { .. } => ENTRY_HEARTBEAT_TIMEOUT,
         }
     }
 }
@@ -108,7 +108,7 @@
     }
 
     /// Notes a heartbeat; returns whether it is the first one of late.
-    pub fn hear(&mut self, now: Instant, heard: &HeartbeatSource) -> bool {
+    pub fn record_heartbeat(&mut self, now: Instant, heard: &HeartbeatSource) -> bool {
         if let Some(times) = self.times.get_mut(heard) {
             times.last = now;
             return false;
@@ -123,7 +123,7 @@
     }
 
     /// Drops one who says something else of itself now; returns whether it was heard.
-    pub fn drop_heard(&mut self, heard: &HeartbeatSource) -> bool {
+    pub fn drop_source(&mut self, heard: &HeartbeatSource) -> bool {
         self.times.remove(heard);
         self.set.remove(heard)
     }
@@ -131,17 +131,17 @@
     /// Drops whoever hasn't been heard for a while, and returns who that is and when each was
     /// heard last.
     pub fn expire(&mut self, now: Instant) -> Vec<(HeartbeatSource, Instant)> {
-        let is_over = |heard: &HeartbeatSource, times: &Times| {
+        let is_expired = |heard: &HeartbeatSource, times: &Times| {
             now.saturating_duration_since(times.last) >= heard.heartbeat_timeout()
         };
         let expired: Vec<(HeartbeatSource, Instant)> = self
             .times
             .iter()
-            .filter(|(heard, times)| is_over(heard, times))
+            .filter(|(heard, times)| is_expired(heard, times))
             .map(|(heard, times)| (heard.clone(), times.last))
             .collect();
         for (heard, _) in &expired {
-            self.drop_heard(heard);
+            self.drop_source(heard);
         }
         expired
     }
--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -22,18 +22,18 @@
 /// Time for which a replica isn't asked that answered that it can't prove to be current, doubled
 /// with each further time. The question costs it little, and it may have a leader again within
 /// an election: when all power was lost, 0.6 s passed between its start and that.
-const ASIDE_NOT_CURRENT: Duration = Duration::from_millis(100);
+const NOT_CURRENT_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Longest such time, before it is drawn out by up to its double: 20 entry VMs of a region that
 /// is cut off ask a replica 20 to 40 times a second then.
-const LONGEST_NOT_CURRENT: Duration = Duration::from_millis(500);
+const MAX_NOT_CURRENT_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Time for which a replica isn't asked that gave no answer, doubled with each further time.
-const ASIDE_SILENT: Duration = Duration::from_secs(1);
+const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Longest such time, before it is drawn out by up to its double: a region that was cut off
 /// follows its own replicas again within 4 s.
-const LONGEST_SILENT: Duration = Duration::from_secs(2);
+const MAX_UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Tells where a replica is.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -134,17 +134,17 @@
     vm: VmName,
     place: PlaceName,
     regions: BTreeMap<PlaceName, RegionName>,
-    known: BTreeMap<SocketAddr, Known>,
+    candidates: BTreeMap<SocketAddr, Candidate>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Candidate {
     distance: Distance,
     place: Option<PlaceName>,
     weight: u64,
     /// How often in a row it was of no use.
     failures_in_row: u32,
-    aside_until: Option<Instant>,
+    backoff_until: Option<Instant>,
     /// Until when a farther replica that is of use isn't left for it.
     return_at: Option<Instant>,
 }
@@ -162,33 +162,38 @@
             vm,
             place,
             regions,
-            known: BTreeMap::new(),
+            candidates: BTreeMap::new(),
         }
     }
 
     /// Takes over which replicas there are: those that control named, and `seeds`, of which
     /// nothing but the address is known.
     pub fn learn(&mut self, sites: &[ReplicaSite], seeds: &[SocketAddr]) {
-        let mut known = BTreeMap::new();
+        let mut candidates = BTreeMap::new();
         for seed in seeds {
-            known.insert(*seed, self.entry(*seed, Distance::Far, None));
+            candidates.insert(*seed, self.entry(*seed, Distance::Far, None));
         }
         for site in sites {
             let distance = site.distance(&self.regions, &self.place);
             let place = site.place.clone();
-            known.insert(site.address, self.entry(site.address, distance, place));
+            candidates.insert(site.address, self.entry(site.address, distance, place));
         }
-        self.known = known;
+        self.candidates = candidates;
     }
 
-    fn entry(&self, address: SocketAddr, distance: Distance, place: Option<PlaceName>) -> Known {
-        let before = self.known.get(&address);
-        Known {
+    fn entry(
+        &self,
+        address: SocketAddr,
+        distance: Distance,
+        place: Option<PlaceName>,
+    ) -> Candidate {
+        let before = self.candidates.get(&address);
+        Candidate {
             distance,
             place,
             weight: weight(self.vm.as_str(), address),
             failures_in_row: before.map_or(0, |before| before.failures_in_row),
-            aside_until: before.and_then(|before| before.aside_until),
+            backoff_until: before.and_then(|before| before.backoff_until),
             return_at: before.and_then(|before| before.return_at),
         }
     }
@@ -197,65 +202,72 @@
     /// time is over first. Nothing if none is known.
     #[must_use]
     pub fn pick(&self, now: Instant) -> Option<SocketAddr> {
-        let rank = |known: &Known| {
-            let aside = known.aside_until.filter(|until| *until > now);
-            (aside, known.distance, known.weight)
+        let rank = |candidate: &Candidate| {
+            let backoff = candidate.backoff_until.filter(|until| *until > now);
+            (backoff, candidate.distance, candidate.weight)
         };
-        let best = self.known.iter().min_by_key(|(_, known)| rank(known));
+        let best = self
+            .candidates
+            .iter()
+            .min_by_key(|(_, candidate)| rank(candidate));
         best.map(|(address, _)| *address)
     }
 
     /// Returns up to `count` replicas to ask at once, the best one first: each in another region
     /// than those before it as far as there are any, else in another place. Those that are set
-    /// aside are asked only if all are. `besides` is one that is asked already; none in its place
+    /// aside are asked only if all are. `except` is one that is asked already; none in its place
     /// goes first.
     #[must_use]
     pub fn pick_spread(
         &self,
         now: Instant,
-        besides: Option<SocketAddr>,
+        except: Option<SocketAddr>,
         count: usize,
     ) -> Vec<SocketAddr> {
-        let aside = |known: &Known| known.aside_until.filter(|until| *until > now);
-        let others = || self.known.iter().filter(|(at, _)| Some(**at) != besides);
-        let has_usable = others().any(|(_, known)| aside(known).is_none());
-        let mut rest: Vec<(SocketAddr, &Known)> = others()
-            .filter(|(_, known)| !has_usable || aside(known).is_none())
-            .map(|(address, known)| (*address, known))
+        let backoff = |candidate: &Candidate| candidate.backoff_until.filter(|until| *until > now);
+        let others = || {
+            self.candidates
+                .iter()
+                .filter(|(at, _)| Some(**at) != except)
+        };
+        let has_usable = others().any(|(_, candidate)| backoff(candidate).is_none());
+        let mut rest: Vec<(SocketAddr, &Candidate)> = others()
+            .filter(|(_, candidate)| !has_usable || backoff(candidate).is_none())
+            .map(|(address, candidate)| (*address, candidate))
             .collect();
-        let asked = besides.and_then(|besides| self.known.get(&besides));
-        let mut places: Vec<&PlaceName> = asked
-            .and_then(|known| known.place.as_ref())
+        let except_candidate = except.and_then(|except| self.candidates.get(&except));
+        let mut places: Vec<&PlaceName> = except_candidate
+            .and_then(|candidate| candidate.place.as_ref())
             .into_iter()
             .collect();
         let mut regions = Vec::new();
         let mut picked = Vec::new();
         while picked.len() < count {
-            let rank = |(_, known): &(SocketAddr, &Known)| {
-                let place = known.place.as_ref();
-                let region = self.region_of(known);
-                let is_near_others = region.is_some_and(|region| regions.contains(&region));
-                let is_beside_one = place.is_some_and(|place| places.contains(&place));
+            let rank = |(_, candidate): &(SocketAddr, &Candidate)| {
+                let place = candidate.place.as_ref();
+                let region = self.region_of(candidate);
+                let shares_region = region.is_some_and(|region| regions.contains(&region));
+                let shares_place = place.is_some_and(|place| places.contains(&place));
                 (
-                    is_near_others,
-                    is_beside_one,
-                    aside(known),
-                    known.distance,
-                    known.weight,
+                    shares_region,
+                    shares_place,
+                    backoff(candidate),
+                    candidate.distance,
+                    candidate.weight,
                 )
             };
             let best = (0..rest.len()).min_by_key(|number| rank(&rest[*number]));
             let Some(best) = best else { break };
-            let (address, known) = rest.swap_remove(best);
-            places.extend(&known.place);
-            regions.extend(self.region_of(known));
+            let (address, candidate) = rest.swap_remove(best);
+            places.extend(&candidate.place);
+            regions.extend(self.region_of(candidate));
             picked.push(address);
         }
         picked
     }
 
-    fn region_of(&self, known: &Known) -> Option<&RegionName> {
-        self.regions.get(known.place.as_ref()?)
+    fn region_of(&self, candidate: &Candidate) -> Option<&RegionName> {
+        self.regions.get(candidate.place.as_ref()?)
     }
 
     /// Returns a nearer replica for which the one at `address` may be left: one that hasn't been
@@ -264,44 +276,48 @@
     #[must_use]
     pub fn nearer_than(&self, address: SocketAddr, now: Instant) -> Option<SocketAddr> {
         let nearest = self.pick(now)?;
-        let (best, current) = (self.known.get(&nearest)?, self.known.get(&address)?);
-        let may_return = best.return_at.is_none_or(|at| at <= now);
-        (may_return && best.distance < current.distance).then_some(nearest)
+        let (best, current) = (
+            self.candidates.get(&nearest)?,
+            self.candidates.get(&address)?,
+        );
+        let return_allowed = best.return_at.is_none_or(|at| at <= now);
+        (return_allowed && best.distance < current.distance).then_some(nearest)
     }
 
     /// Notes that another replica was preferred to the one at `address`, which may be of use.
-    /// `draw` is drawn from 0 to 1.
-    pub fn defer_return(&mut self, address: SocketAddr, now: Instant, draw: f64) {
-        if let Some(known) = self.known.get_mut(&address) {
-            known.return_at = Some(now + LONGEST_SILENT.mul_f64(1.0 + draw.clamp(0.0, 1.0)));
+    /// `jitter` is drawn from 0 to 1.
+    pub fn defer_return(&mut self, address: SocketAddr, now: Instant, jitter: f64) {
+        if let Some(candidate) = self.candidates.get_mut(&address) {
+            candidate.return_at =
+                Some(now + MAX_UNRESPONSIVE_BACKOFF.mul_f64(1.0 + jitter.clamp(0.0, 1.0)));
         }
     }
 
     /// Notes that a replica was of use.
     pub fn note_usable(&mut self, address: SocketAddr) {
-        if let Some(known) = self.known.get_mut(&address) {
-            known.failures_in_row = 0;
-            known.aside_until = None;
-            known.return_at = None;
+        if let Some(candidate) = self.candidates.get_mut(&address) {
+            candidate.failures_in_row = 0;
+            candidate.backoff_until = None;
+            candidate.return_at = None;
         }
     }
 
-    /// Sets a replica aside that was of no use. `draw` is drawn from 0 to 1 by each entry VM:
+    /// Sets a replica aside that was of no use. `jitter` is drawn from 0 to 1 by each entry VM:
     /// all of a failure domain are set back at the same moment, and must not come back in one.
-    pub fn back_off(&mut self, address: SocketAddr, now: Instant, why: Unusable, draw: f64) {
-        let Some(known) = self.known.get_mut(&address) else {
+    pub fn back_off(&mut self, address: SocketAddr, now: Instant, reason: Unusable, jitter: f64) {
+        let Some(candidate) = self.candidates.get_mut(&address) else {
             return;
         };
-        let (first, longest) = match why {
-            Unusable::NotCurrent => (ASIDE_NOT_CURRENT, LONGEST_NOT_CURRENT),
-            Unusable::Unresponsive => (ASIDE_SILENT, LONGEST_SILENT),
+        let (first, longest) = match reason {
+            Unusable::NotCurrent => (NOT_CURRENT_BACKOFF, MAX_NOT_CURRENT_BACKOFF),
+            Unusable::Unresponsive => (UNRESPONSIVE_BACKOFF, MAX_UNRESPONSIVE_BACKOFF),
         };
-        let doubled = 1_u32 << known.failures_in_row.min(8);
-        known.failures_in_row = known.failures_in_row.saturating_add(1);
-        let aside = (first * doubled).min(longest);
-        let spread = 1.0 + draw.clamp(0.0, 1.0);
-        known.aside_until = Some(now + aside.mul_f64(spread));
-        known.return_at = Some(now + LONGEST_SILENT.mul_f64(spread));
+        let doubled = 1_u32 << candidate.failures_in_row.min(8);
+        candidate.failures_in_row = candidate.failures_in_row.saturating_add(1);
+        let backoff = (first * doubled).min(longest);
+        let spread = 1.0 + jitter.clamp(0.0, 1.0);
+        candidate.backoff_until = Some(now + backoff.mul_f64(spread));
+        candidate.return_at = Some(now + MAX_UNRESPONSIVE_BACKOFF.mul_f64(spread));
     }
 }
 
--- a/lib/src/replica_plan.rs
+++ b/lib/src/replica_plan.rs
@@ -86,11 +86,12 @@
         let heard = replica.last_heard.map_or(known, |heard| heard.max(known));
         now.saturating_duration_since(heard) >= REMOVE_SILENT_AFTER
     };
-    let stand_in = progress
+    let has_replacement = progress
         .iter()
         .any(|replica| !replica.voter && !silent(&replica));
-    let removable =
-        |replica: &&ReplicaProgress| !replica.voter || membership.voters.len() > target || stand_in;
+    let removable = |replica: &&ReplicaProgress| {
+        !replica.voter || membership.voters.len() > target || has_replacement
+    };
     progress
         .iter()
         .filter(silent)
--- a/lib/src/session_relay.rs
+++ b/lib/src/session_relay.rs
@@ -30,11 +30,11 @@
 ///
 /// Answers are held back about as long, so this costs no more calls and leaves most of
 /// the usual lease for finding out that a relay has failed.
-const COLLECT_FOR: Duration = Duration::from_millis(500);
+const BATCH_WINDOW: Duration = Duration::from_millis(500);
 
 /// Time for which renewals are collected once one acknowledges a newer revision: others
 /// wait for that revision to settle.
-const COLLECT_NEWS_FOR: Duration = Duration::from_millis(5);
+const URGENT_BATCH_WINDOW: Duration = Duration::from_millis(5);
 
 /// Returns the relays of a region, or none if it has fewer than `min_entries` entry VMs.
 ///
@@ -157,7 +157,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Relayed {
+struct PendingRenewal {
     renewal: RelayedRenewal,
     arrived_at: Instant,
     stage: Stage,
@@ -166,9 +166,9 @@
 /// Collects renewals, and holds granted ones back until there is something new.
 #[derive(Debug, Default)]
 pub struct SessionRelay {
-    requests: SlotMap<RelayedKey, Relayed>,
+    requests: SlotMap<RelayedKey, PendingRenewal>,
     /// What control was told of each session, to notice news.
-    told: BTreeMap<SessionId, Revision>,
+    acknowledged: BTreeMap<SessionId, Revision>,
     flush_at: Option<Instant>,
     in_flight: bool,
     settled: Revision,
@@ -177,12 +177,16 @@
 impl SessionRelay {
     /// Takes in a request.
     pub fn renew(&mut self, now: Instant, renewal: RelayedRenewal) -> RelayedKey {
-        let told = self.told.get(&renewal.session);
-        let news = told.is_none_or(|told| *told < renewal.applied);
-        let collect_for = if news { COLLECT_NEWS_FOR } else { COLLECT_FOR };
-        let flush_at = now + collect_for;
+        let acknowledged = self.acknowledged.get(&renewal.session);
+        let has_changes = acknowledged.is_none_or(|acknowledged| *acknowledged < renewal.applied);
+        let batch_window = if has_changes {
+            URGENT_BATCH_WINDOW
+        } else {
+            BATCH_WINDOW
+        };
+        let flush_at = now + batch_window;
         self.flush_at = Some(self.flush_at.map_or(flush_at, |at| at.min(flush_at)));
-        self.requests.insert(Relayed {
+        self.requests.insert(PendingRenewal {
             renewal,
             arrived_at: now,
             stage: Stage::Collected,
@@ -200,11 +204,11 @@
         }
         self.flush_at = None;
         let mut newest = BTreeMap::new();
-        for relayed in self.requests.values_mut() {
-            if relayed.stage == Stage::Collected {
-                relayed.stage = Stage::InFlight;
-                let applied = newest.entry(relayed.renewal.session).or_default();
-                *applied = relayed.renewal.applied.max(*applied);
+        for pending in self.requests.values_mut() {
+            if pending.stage == Stage::Collected {
+                pending.stage = Stage::InFlight;
+                let applied = newest.entry(pending.renewal.session).or_default();
+                *applied = pending.renewal.applied.max(*applied);
             }
         }
         if newest.is_empty() {
@@ -222,18 +226,18 @@
         self.in_flight = false;
         self.settled = self.settled.max(grant.settled);
         let mut lost = Vec::new();
-        for (key, relayed) in &mut self.requests {
-            if relayed.stage != Stage::InFlight {
+        for (key, pending) in &mut self.requests {
+            if pending.stage != Stage::InFlight {
                 continue;
             }
-            let session = relayed.renewal.session;
+            let session = pending.renewal.session;
             if grant.lost.contains(&session) {
-                self.told.remove(&session);
+                self.acknowledged.remove(&session);
                 lost.push((key, RelayAnswer::Lost));
                 continue;
             }
-            self.told.insert(session, relayed.renewal.applied);
-            relayed.stage = Stage::Granted {
+            self.acknowledged.insert(session, pending.renewal.applied);
+            pending.stage = Stage::Granted {
                 lease: grant.lease,
                 revision: grant.revision,
             };
@@ -246,7 +250,7 @@
         self.in_flight = false;
         let in_flight = self.requests.iter();
         let failed = in_flight
-            .filter(|(_, relayed)| relayed.stage == Stage::InFlight)
+            .filter(|(_, pending)| pending.stage == Stage::InFlight)
             .map(|(key, _)| (key, RelayAnswer::NoGrant))
             .collect();
         self.remove_all(failed)
@@ -266,8 +270,8 @@
     ) -> Vec<(RelayedKey, RelayAnswer)> {
         self.settled = self.settled.max(settled);
         let settled = self.settled;
-        let due = self.requests.iter().filter_map(|(key, relayed)| {
-            let answer = relayed.answer(now, revision, settled)?;
+        let due = self.requests.iter().filter_map(|(key, pending)| {
+            let answer = pending.answer(now, revision, settled)?;
             Some((key, answer))
         });
         let due = due.collect();
@@ -276,7 +280,7 @@
 
     /// Forgets what was told of sessions that `view` doesn't have any more.
     pub fn retain_sessions(&mut self, view: &ControlView) {
-        self.told
+        self.acknowledged
             .retain(|session, _| view.sessions.contains_key(session));
     }
 
@@ -284,7 +288,11 @@
     #[must_use]
     pub fn next_wake(&self) -> Option<Instant> {
         let flush = self.flush_at.filter(|_| !self.in_flight);
-        let held = self.requests.values().filter_map(Relayed::due_at).min();
+        let held = self
+            .requests
+            .values()
+            .filter_map(PendingRenewal::due_at)
+            .min();
         flush.into_iter().chain(held).min()
     }
 
@@ -299,13 +307,13 @@
     }
 }
 
-impl Relayed {
+impl PendingRenewal {
     fn due_at(&self) -> Option<Instant> {
         matches!(self.stage, Stage::Granted { .. }).then(|| self.arrived_at + self.renewal.wait)
     }
 
     fn answer(&self, now: Instant, revision: Revision, settled: Revision) -> Option<RelayAnswer> {
-        let news = self.renewal.applied < revision || self.renewal.known_settled < settled;
+        let has_changes = self.renewal.applied < revision || self.renewal.known_settled < settled;
         let answer = |lease| RelayAnswer::Granted {
             session: self.renewal.session,
             applied: self.renewal.applied,
@@ -316,7 +324,7 @@
             // Waiting for control's grant first would spread a change over half a second,
             // in which entry VMs disagree on owners and refuse each other's requests. The
             // change is told without a lease; the next request brings that.
-            Stage::Collected => return news.then(|| answer(Duration::ZERO)),
+            Stage::Collected => return has_changes.then(|| answer(Duration::ZERO)),
             Stage::InFlight => return None,
             Stage::Granted { lease, revision } => (lease, revision),
         };
@@ -324,6 +332,6 @@
         if revision < granted_at {
             return due.then_some(RelayAnswer::NoGrant);
         }
-        (due || news).then(|| answer(lease))
+        (due || has_changes).then(|| answer(lease))
     }
 }
--- a/lib/src/session_tracker.rs
+++ b/lib/src/session_tracker.rs
@@ -178,11 +178,11 @@
         let view = state.view();
         view.sessions
             .keys()
-            .map(|&session| self.reached(session))
+            .map(|&session| self.acknowledged_or_opened(session))
             .fold(view.revision, Revision::min)
     }
 
-    fn reached(&self, session: SessionId) -> Revision {
+    fn acknowledged_or_opened(&self, session: SessionId) -> Revision {
         let acknowledged = self.acknowledged(session).unwrap_or_default();
         acknowledged.max(Revision(session.0))
     }
--- a/lib/tests/entry_model/mod.rs
+++ b/lib/tests/entry_model/mod.rs
@@ -144,11 +144,11 @@
 /// Control's log and what it knows of the sessions.
 pub struct Control {
     views: Vec<Arc<ControlView>>,
-    heard: BTreeMap<SessionId, Heard>,
+    contacts: BTreeMap<SessionId, SessionContact>,
     settled: Revision,
 }
 
-struct Heard {
+struct SessionContact {
     at: Instant,
     applied: Revision,
 }
@@ -157,7 +157,7 @@
     pub fn new() -> Self {
         Self {
             views: vec![Arc::default()],
-            heard: BTreeMap::new(),
+            contacts: BTreeMap::new(),
             settled: Revision(0),
         }
     }
@@ -196,12 +196,13 @@
         });
         let id = SessionId(revision.0);
         let applied = Revision(0);
-        self.heard.insert(id, Heard { at: now, applied });
+        self.contacts
+            .insert(id, SessionContact { at: now, applied });
         id
     }
 
     pub fn end(&mut self, id: SessionId) {
-        if self.heard.remove(&id).is_some() {
+        if self.contacts.remove(&id).is_some() {
             self.append(|view| {
                 view.sessions.remove(&id);
             });
@@ -209,7 +210,7 @@
     }
 
     pub fn leave(&mut self, id: SessionId) {
-        if self.heard.contains_key(&id) {
+        if self.contacts.contains_key(&id) {
             self.append(|view| {
                 if let Some(session) = view.sessions.get_mut(&id) {
                     session.leaving = true;
@@ -220,11 +221,11 @@
 
     /// Lapses sessions that weren't heard of for a lease and a margin.
     fn lapse(&mut self, now: Instant) {
-        let over = |heard: &Heard| now > heard.at + LEASE + LEASE_MARGIN;
+        let over = |contact: &SessionContact| now > contact.at + LEASE + LEASE_MARGIN;
         let lapsed: Vec<SessionId> = self
-            .heard
+            .contacts
             .iter()
-            .filter(|(_, heard)| over(heard))
+            .filter(|(_, contact)| over(contact))
             .map(|(id, _)| *id)
             .collect();
         for id in lapsed {
@@ -232,12 +233,12 @@
         }
     }
 
-    fn hear(&mut self, now: Instant, id: SessionId, applied: Revision) -> bool {
-        let Some(heard) = self.heard.get_mut(&id) else {
+    fn record_contact(&mut self, now: Instant, id: SessionId, applied: Revision) -> bool {
+        let Some(contact) = self.contacts.get_mut(&id) else {
             return false;
         };
-        heard.at = now;
-        heard.applied = heard.applied.max(applied);
+        contact.at = now;
+        contact.applied = contact.applied.max(applied);
         self.settle();
         true
     }
@@ -245,9 +246,9 @@
     fn settle(&mut self) {
         let last = self.view().revision;
         let all_applied = |revision: &Revision| {
-            self.heard
+            self.contacts
                 .iter()
-                .all(|(id, heard)| id.0 >= revision.0 || heard.applied >= *revision)
+                .all(|(id, contact)| id.0 >= revision.0 || contact.applied >= *revision)
         };
         let newly = (self.settled.0 + 1..=last.0).map(Revision);
         if let Some(settled) = newly.filter(all_applied).max() {
@@ -327,14 +328,14 @@
             self.take_replies(now);
             self.send_sync(now, rng);
         }
-        let (heard, under_way) = std::mem::take(&mut self.syncs)
+        let (arrived, in_transit) = std::mem::take(&mut self.syncs)
             .into_iter()
             .partition(|sync| sync.arrives <= now);
-        self.syncs = under_way;
+        self.syncs = in_transit;
         if now < self.cut_until {
             return;
         }
-        for sync in heard {
+        for sync in arrived {
             let kind = answer(now, control, &self.info, &sync);
             let arrives = now + self.delay(rng);
             let sent = sync.sent;
@@ -361,10 +362,10 @@
     }
 
     fn take_replies(&mut self, now: Instant) {
-        let (arrived, under_way) = std::mem::take(&mut self.replies)
+        let (arrived, in_transit) = std::mem::take(&mut self.replies)
             .into_iter()
             .partition(|reply| reply.arrives <= now);
-        self.replies = under_way;
+        self.replies = in_transit;
         for reply in arrived {
             self.take_reply(now, reply);
         }
@@ -406,7 +407,7 @@
         let session = control.open(now, info.clone());
         return ReplyKind::Opened(session, Arc::clone(control.view()), control.settled);
     };
-    if !control.hear(now, session, sync.applied) {
+    if !control.record_contact(now, session, sync.applied) {
         return ReplyKind::Lost;
     }
     let from = usize::try_from(sync.applied.0 + 1).expect("few revisions");
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -19,62 +19,62 @@
 use heatherring_lib::replica_timeout::LONG_POLL_HOLD;
 
 /// Age up to which a replica's last proof that it is current counts.
-const PROOF_AGE: Duration = Duration::from_millis(950);
+const MAX_PROOF_AGE: Duration = Duration::from_millis(950);
 
 /// Time between two steps in which what is in force is looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Says what is wrong with a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Trouble {
+pub enum FaultKind {
     /// Nothing reaches it or comes from it.
-    Dark,
+    Unreachable,
     /// Its process does nothing, and goes on with what it has.
     Frozen,
     /// Its process is gone; connections are refused.
     Killed,
     /// The other replicas can't reach it.
-    CutOff,
+    Partitioned,
 }
 
 /// Holds what is wrong with one replica, and from when until when.
 #[derive(Clone, Copy, Debug)]
-pub struct Loss {
+pub struct Outage {
     pub replica: usize,
-    pub trouble: Trouble,
+    pub fault: FaultKind,
     pub from: Duration,
     pub until: Duration,
 }
 
-impl Loss {
-    fn holds(&self, replica: usize, trouble: Trouble, at: Duration) -> bool {
-        self.replica == replica && self.trouble == trouble && self.from <= at && at < self.until
+impl Outage {
+    fn holds(&self, replica: usize, fault: FaultKind, at: Duration) -> bool {
+        self.replica == replica && self.fault == fault && self.from <= at && at < self.until
     }
 }
 
 /// Describes the replicas and their links.
 #[derive(Clone, Debug)]
-pub struct World {
+pub struct Scenario {
     /// The place of each replica; each region has two places.
     pub places: Vec<usize>,
     /// Time of one way between two regions.
     pub between_regions: Duration,
-    pub losses: Vec<Loss>,
+    pub outages: Vec<Outage>,
     /// When changes are confirmed.
     pub changes: Vec<Duration>,
     pub ends: Duration,
 }
 
-impl World {
+impl Scenario {
     fn region(place: usize) -> usize {
         place / 2
     }
 
-    /// Returns the replicas of which `is_meant` holds by place and region.
-    pub fn replicas(&self, is_meant: impl Fn(usize, usize) -> bool) -> Vec<usize> {
+    /// Returns the replicas of which `matches` holds by place and region.
+    pub fn replicas(&self, matches: impl Fn(usize, usize) -> bool) -> Vec<usize> {
         let places = self.places.iter().enumerate();
         places
-            .filter(|(_, place)| is_meant(**place, Self::region(**place)))
+            .filter(|(_, place)| matches(**place, Self::region(**place)))
             .map(|(replica, _)| replica)
             .collect()
     }
@@ -88,39 +88,41 @@
         }
     }
 
-    fn is_in(&self, replica: usize, trouble: Trouble, at: Duration) -> bool {
-        let mut losses = self.losses.iter();
-        losses.any(|loss| loss.holds(replica, trouble, at))
+    fn is_in(&self, replica: usize, fault: FaultKind, at: Duration) -> bool {
+        let mut outages = self.outages.iter();
+        outages.any(|outage| outage.holds(replica, fault, at))
     }
 
-    fn begin_of(&self, replica: usize, trouble: Trouble, at: Duration) -> Option<Duration> {
-        let losses = self
-            .losses
+    fn start_of(&self, replica: usize, fault: FaultKind, at: Duration) -> Option<Duration> {
+        let outages = self
+            .outages
             .iter()
-            .filter(|loss| loss.holds(replica, trouble, at));
-        losses.map(|loss| loss.from).min()
+            .filter(|outage| outage.holds(replica, fault, at));
+        outages.map(|outage| outage.from).min()
     }
 
     /// Returns how many changes a replica has applied.
     fn applied(&self, replica: usize, at: Duration) -> usize {
-        let known_until = self.begin_of(replica, Trouble::CutOff, at).unwrap_or(at);
-        let way = self.between_regions;
+        let known_until = self
+            .start_of(replica, FaultKind::Partitioned, at)
+            .unwrap_or(at);
+        let delay = self.between_regions;
         self.changes
-            .partition_point(|change| *change + way <= known_until)
+            .partition_point(|change| *change + delay <= known_until)
     }
 
     fn is_current(&self, replica: usize, at: Duration) -> bool {
-        let cut_at = self.begin_of(replica, Trouble::CutOff, at);
-        cut_at.is_none_or(|cut_at| at < cut_at + PROOF_AGE)
+        let cut_at = self.start_of(replica, FaultKind::Partitioned, at);
+        cut_at.is_none_or(|cut_at| at < cut_at + MAX_PROOF_AGE)
     }
 
     /// Returns when a replica that is asked at `at` does anything; nothing if it doesn't.
-    fn acts_at(&self, replica: usize, at: Duration) -> Option<Duration> {
-        if self.is_in(replica, Trouble::Dark, at) {
+    fn responds_at(&self, replica: usize, at: Duration) -> Option<Duration> {
+        if self.is_in(replica, FaultKind::Unreachable, at) {
             return None;
         }
-        let mut frozen = self.losses.iter();
-        let frozen = frozen.find(|loss| loss.holds(replica, Trouble::Frozen, at));
+        let mut frozen = self.outages.iter();
+        let frozen = frozen.find(|outage| outage.holds(replica, FaultKind::Frozen, at));
         Some(frozen.map_or(at, |frozen| frozen.until))
     }
 }
@@ -129,20 +131,20 @@
 #[derive(Clone, Copy, Debug)]
 enum Reply {
     Refused,
-    Told { current: bool, applied: usize },
+    Answered { current: bool, applied: usize },
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Coming {
+struct PendingReply {
     at: Duration,
     reply: Reply,
     /// Whether it answers a question for news.
-    to_news: bool,
+    is_poll: bool,
 }
 
 /// Runs the entry VM of a place.
 pub struct Model<'a> {
-    world: &'a World,
+    scenario: &'a Scenario,
     place: usize,
     plan: FollowPlan,
     base: Instant,
@@ -150,12 +152,12 @@
     applied: usize,
     /// When each change came into force.
     in_force: Vec<Option<Duration>>,
-    coming: BTreeMap<SocketAddr, Coming>,
+    pending: BTreeMap<SocketAddr, PendingReply>,
     connected: BTreeMap<SocketAddr, bool>,
     /// Questions that were asked.
-    pub questions: usize,
+    pub requests_sent: usize,
     /// Time for which a replica of another region was followed.
-    pub far: Duration,
+    pub far_followed: Duration,
 }
 
 fn address(replica: usize) -> SocketAddr {
@@ -174,82 +176,86 @@
 }
 
 impl<'a> Model<'a> {
-    pub fn new(world: &'a World, place: usize, seed: u64) -> Self {
+    pub fn new(scenario: &'a Scenario, place: usize, seed: u64) -> Self {
         let regions = (0..8).map(|place| {
-            let region = RegionName::new(format!("region-{}", World::region(place)));
+            let region = RegionName::new(format!("region-{}", Scenario::region(place)));
             (place_name(place), region)
         });
         let vm = VmName::new(format!("entry-{seed}"));
         let choice = ReplicaChoice::new(vm, place_name(place), regions.collect());
         let base = Instant::now();
         let mut plan = FollowPlan::new(choice, base, seed);
-        let sites: Vec<ReplicaSite> = (0..world.places.len())
+        let sites: Vec<ReplicaSite> = (0..scenario.places.len())
             .map(|replica| ReplicaSite {
                 address: address(replica),
-                place: Some(place_name(world.places[replica])),
+                place: Some(place_name(scenario.places[replica])),
             })
             .collect();
         plan.learn(&sites, &[]);
         Self {
-            world,
+            scenario,
             place,
             plan,
             base,
             now: Duration::ZERO,
             applied: 0,
-            in_force: vec![None; world.changes.len()],
-            coming: BTreeMap::new(),
+            in_force: vec![None; scenario.changes.len()],
+            pending: BTreeMap::new(),
             connected: BTreeMap::new(),
-            questions: 0,
-            far: Duration::ZERO,
+            requests_sent: 0,
+            far_followed: Duration::ZERO,
         }
     }
 
     /// Runs to the end. Returns for each change how long it took to be in force; until the end
     /// for those that weren't.
     pub fn run(&mut self) -> Vec<Duration> {
-        while self.now < self.world.ends {
+        while self.now < self.scenario.ends {
             let steps = self.plan.wake(self.base + self.now);
-            self.carry_out(steps);
+            self.execute(steps);
             let wake = self.plan.next_wake().saturating_duration_since(self.base);
             assert!(wake > self.now, "the plan wants to be woken again at once");
-            let arrives = self.coming.values().map(|coming| coming.at).min();
+            let arrives = self.pending.values().map(|pending| pending.at).min();
             let next = arrives
                 .unwrap_or(wake)
                 .min(wake)
-                .min(self.now + LOOK_INTERVAL);
-            self.note_far(next.saturating_sub(self.now));
+                .min(self.now + SAMPLE_INTERVAL);
+            self.record_far_followed(next.saturating_sub(self.now));
             self.now = next;
-            self.take_arrived();
+            self.handle_arrived_reply();
         }
-        let in_force = self.in_force.iter().zip(&self.world.changes);
+        let in_force = self.in_force.iter().zip(&self.scenario.changes);
         in_force
             .map(|(at, confirmed)| at.unwrap_or(self.now).saturating_sub(*confirmed))
             .collect()
     }
 
-    fn note_far(&mut self, passed: Duration) {
+    fn record_far_followed(&mut self, passed: Duration) {
         let followed = self.plan.followed().map(replica_of);
-        let place = followed.map(|replica| self.world.places[replica]);
-        if place.is_some_and(|place| World::region(place) != World::region(self.place)) {
-            self.far += passed;
+        let place = followed.map(|replica| self.scenario.places[replica]);
+        if place.is_some_and(|place| Scenario::region(place) != Scenario::region(self.place)) {
+            self.far_followed += passed;
         }
     }
 
-    fn take_arrived(&mut self) {
-        let arrived = self.coming.iter().find(|(_, coming)| coming.at <= self.now);
-        let Some((address, coming)) = arrived.map(|(address, coming)| (*address, *coming)) else {
+    fn handle_arrived_reply(&mut self) {
+        let arrived = self
+            .pending
+            .iter()
+            .find(|(_, pending)| pending.at <= self.now);
+        let Some((address, pending)) = arrived.map(|(address, pending)| (*address, *pending))
+        else {
             return;
         };
-        self.coming.remove(&address);
-        let answer = match coming.reply {
+        self.pending.remove(&address);
+        let answer = match pending.reply {
             Reply::Refused => FollowOutcome::Unusable(Unusable::Unresponsive),
-            Reply::Told { current: false, .. } => FollowOutcome::Unusable(Unusable::NotCurrent),
-            Reply::Told { applied, .. } if coming.to_news && applied < self.applied => {
+            Reply::Answered { current: false, .. } => FollowOutcome::Unusable(Unusable::NotCurrent),
+            Reply::Answered { applied, .. } if pending.is_poll && applied < self.applied => {
                 FollowOutcome::Unusable(Unusable::NotCurrent)
             }
-            Reply::Told { applied, .. } => FollowOutcome::Usable {
-                has_changes: coming.to_news && self.apply(applied),
+            Reply::Answered { applied, .. } => FollowOutcome::Usable {
+                has_changes: pending.is_poll && self.apply(applied),
             },
         };
         self.connected.insert(
@@ -257,7 +263,7 @@
             answer != FollowOutcome::Unusable(Unusable::Unresponsive),
         );
         let steps = self.plan.answered(self.base + self.now, address, answer);
-        self.carry_out(steps);
+        self.execute(steps);
     }
 
     fn apply(&mut self, applied: usize) -> bool {
@@ -269,49 +275,51 @@
         has_changes
     }
 
-    fn carry_out(&mut self, steps: Vec<FollowStep>) {
+    fn execute(&mut self, steps: Vec<FollowStep>) {
         for step in steps {
             match step {
                 FollowStep::Probe(address) => self.ask(address, false),
                 FollowStep::Poll(address) => self.ask(address, true),
                 FollowStep::Cancel(address) | FollowStep::TimedOut(address) => {
-                    self.coming.remove(&address);
+                    self.pending.remove(&address);
                     self.connected.remove(&address);
                 }
             }
         }
     }
 
-    fn ask(&mut self, address: SocketAddr, to_news: bool) {
-        self.questions += 1;
-        self.coming.remove(&address);
+    fn ask(&mut self, address: SocketAddr, is_poll: bool) {
+        self.requests_sent += 1;
+        self.pending.remove(&address);
         let replica = replica_of(address);
-        let way = self.world.one_way(replica, self.place);
+        let delay = self.scenario.one_way(replica, self.place);
         let connected = self.connected.get(&address).copied().unwrap_or(false);
-        let arrives = self.now + if connected { way } else { way * 3 };
-        if let Some((at, reply)) = self.reply(replica, arrives, to_news) {
-            let at = at + way;
-            if !self.world.is_in(replica, Trouble::Dark, at) {
-                let coming = Coming { at, reply, to_news };
-                self.coming.insert(address, coming);
+        let arrives = self.now + if connected { delay } else { delay * 3 };
+        if let Some((at, reply)) = self.reply(replica, arrives, is_poll) {
+            let at = at + delay;
+            if !self.scenario.is_in(replica, FaultKind::Unreachable, at) {
+                let pending = PendingReply { at, reply, is_poll };
+                self.pending.insert(address, pending);
             }
         }
     }
 
     /// Returns what a replica replies to a question that arrives at `at`, and when.
-    fn reply(&self, replica: usize, at: Duration, to_news: bool) -> Option<(Duration, Reply)> {
-        let mut at = self.world.acts_at(replica, at)?;
-        let held_until = if to_news { at + LONG_POLL_HOLD } else { at };
+    fn reply(&self, replica: usize, at: Duration, is_poll: bool) -> Option<(Duration, Reply)> {
+        let mut at = self.scenario.responds_at(replica, at)?;
+        let held_until = if is_poll { at + LONG_POLL_HOLD } else { at };
         loop {
-            if self.world.is_in(replica, Trouble::Killed, at) {
+            if self.scenario.is_in(replica, FaultKind::Killed, at) {
                 return Some((at, Reply::Refused));
             }
-            let current = self.world.is_current(replica, at);
-            let applied = self.world.applied(replica, at);
+            let current = self.scenario.is_current(replica, at);
+            let applied = self.scenario.applied(replica, at);
             if !current || applied != self.applied || at >= held_until {
-                return Some((at, Reply::Told { current, applied }));
+                return Some((at, Reply::Answered { current, applied }));
             }
-            at = self.world.acts_at(replica, at + Duration::from_millis(5))?;
+            at = self
+                .scenario
+                .responds_at(replica, at + Duration::from_millis(5))?;
         }
     }
 }
--- a/lib/tests/test_follow_lag.rs
+++ b/lib/tests/test_follow_lag.rs
@@ -23,13 +23,13 @@
         }
     }
 
-    fn learns(&mut self, ms: u64, version: u64, revision: u64) {
+    fn learn_manifest(&mut self, ms: u64, version: u64, revision: u64) {
         let now = self.start + Duration::from_millis(ms);
         let version = ManifestVersion(version);
         self.lag.note_manifest(now, version, Revision(revision));
     }
 
-    fn asked(&mut self, ms: u64, vm: &str, revision: u64) -> LagObservation {
+    fn handle_request(&mut self, ms: u64, vm: &str, revision: u64) -> LagObservation {
         let now = self.start + Duration::from_millis(ms);
         self.lag
             .note_request(now, &VmName::new(vm), Revision(revision))
@@ -39,11 +39,11 @@
 fn in_force_after(ms: &[u64]) -> LagObservation {
     LagObservation {
         in_force_after: ms.iter().copied().map(Duration::from_millis).collect(),
-        behind: None,
+        late_manifest: None,
     }
 }
 
-fn behind(version: u64, ms: u64) -> LateManifest {
+fn late_manifest(version: u64, ms: u64) -> LateManifest {
     LateManifest {
         version: ManifestVersion(version),
         lag: Duration::from_millis(ms),
@@ -51,61 +51,70 @@
 }
 
 #[test]
-fn test_the_time_until_a_manifest_is_in_force_is_told_once_a_version() {
+fn test_in_force_delay_is_reported_once_per_version() {
     let mut replica = Replica::new();
-    replica.learns(0, 1, 10);
-    assert_eq!(replica.asked(100, "entry-1", 10), LagObservation::default());
-    replica.learns(1_000, 2, 14);
-    replica.learns(1_100, 3, 15);
+    replica.learn_manifest(0, 1, 10);
     assert_eq!(
-        replica.asked(1_150, "entry-1", 12),
+        replica.handle_request(100, "entry-1", 10),
         LagObservation::default()
     );
+    replica.learn_manifest(1_000, 2, 14);
+    replica.learn_manifest(1_100, 3, 15);
     assert_eq!(
-        replica.asked(1_300, "entry-1", 15),
+        replica.handle_request(1_150, "entry-1", 12),
+        LagObservation::default()
+    );
+    assert_eq!(
+        replica.handle_request(1_300, "entry-1", 15),
         in_force_after(&[300, 200])
     );
     assert_eq!(
-        replica.asked(1_400, "entry-1", 17),
+        replica.handle_request(1_400, "entry-1", 17),
         LagObservation::default()
     );
 }
 
 #[test]
-fn test_an_entry_vm_that_lacks_a_manifest_for_long_is_told_of_once() {
+fn test_a_late_manifest_is_reported_once_per_version() {
     let mut replica = Replica::new();
-    replica.learns(0, 1, 10);
-    replica.learns(1_000, 2, 14);
-    replica.learns(2_000, 3, 16);
-    assert_eq!(replica.asked(3_400, "entry-1", 12).behind, None);
+    replica.learn_manifest(0, 1, 10);
+    replica.learn_manifest(1_000, 2, 14);
+    replica.learn_manifest(2_000, 3, 16);
+    assert_eq!(
+        replica.handle_request(3_400, "entry-1", 12).late_manifest,
+        None
+    );
+    assert_eq!(
+        replica.handle_request(3_600, "entry-1", 12).late_manifest,
+        Some(late_manifest(2, 2_600))
+    );
     assert_eq!(
-        replica.asked(3_600, "entry-1", 12).behind,
-        Some(behind(2, 2_600))
+        replica.handle_request(3_800, "entry-1", 12).late_manifest,
+        None
     );
-    assert_eq!(replica.asked(3_800, "entry-1", 12).behind, None);
     assert_eq!(
-        replica.asked(4_700, "entry-1", 14).behind,
-        Some(behind(3, 2_700))
+        replica.handle_request(4_700, "entry-1", 14).late_manifest,
+        Some(late_manifest(3, 2_700))
     );
 }
 
 /// What an entry VM applied while it followed another replica, or before it started, says
 /// nothing of a lag.
 #[test]
-fn test_what_was_applied_elsewhere_is_no_lag() {
+fn test_manifests_applied_through_another_replica_give_no_lag() {
     let mut replica = Replica::new();
-    replica.asked(0, "entry-1", 10);
-    replica.learns(1_000, 2, 14);
+    replica.handle_request(0, "entry-1", 10);
+    replica.learn_manifest(1_000, 2, 14);
     assert_eq!(
-        replica.asked(9_000, "entry-1", 20),
+        replica.handle_request(9_000, "entry-1", 20),
         LagObservation::default()
     );
     assert_eq!(
-        replica.asked(9_000, "entry-2", 0),
+        replica.handle_request(9_000, "entry-2", 0),
         LagObservation::default()
     );
     assert_eq!(
-        replica.asked(9_100, "entry-2", 20),
+        replica.handle_request(9_100, "entry-2", 20),
         LagObservation::default()
     );
 }
--- a/lib/tests/test_follow_plan.rs
+++ b/lib/tests/test_follow_plan.rs
@@ -11,97 +11,102 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-use crate::follow_model::Loss;
+use crate::follow_model::FaultKind;
 use crate::follow_model::Model;
-use crate::follow_model::Trouble;
-use crate::follow_model::World;
+use crate::follow_model::Outage;
+use crate::follow_model::Scenario;
 
 /// Time between two changes at most.
-const CHANGES_APART_MS: u64 = 400;
+const MAX_CHANGE_INTERVAL_MS: u64 = 400;
 
 /// Time until the first loss: by then the nearest replica is followed.
-const CALM: Duration = Duration::from_secs(3);
+const WARM_UP: Duration = Duration::from_secs(3);
 
 /// Time until the last change.
 const CHANGES_END: Duration = Duration::from_secs(20);
 
 /// Says how replicas are lost.
 #[derive(Clone, Copy, Debug)]
-enum Way {
-    Only(Trouble),
+enum FailureMode {
+    Only(FaultKind),
     /// Cut off from the others, then dark.
-    CutOffThenDark,
+    PartitionedThenUnreachable,
     /// Frozen again and again.
-    Stutter,
+    RepeatedFreeze,
 }
 
 /// Says which replicas are lost together.
 #[derive(Clone, Copy, Debug)]
-enum Together {
+enum FailureScope {
     Region,
     Place,
-    Two,
+    TwoReplicas,
 }
 
 /// Eleven replicas in the six places of three regions.
-fn eleven() -> Vec<usize> {
+fn eleven_replicas() -> Vec<usize> {
     vec![0, 2, 4, 1, 3, 5, 0, 2, 4, 1, 3]
 }
 
-fn world(rng: &mut ChaCha8Rng, places: Vec<usize>, between_ms: u64) -> World {
+fn scenario(rng: &mut ChaCha8Rng, places: Vec<usize>, between_ms: u64) -> Scenario {
     let mut changes = Vec::new();
     let mut at = Duration::ZERO;
     while at < CHANGES_END {
-        at += Duration::from_millis(rng.random_range(1..=CHANGES_APART_MS));
+        at += Duration::from_millis(rng.random_range(1..=MAX_CHANGE_INTERVAL_MS));
         changes.push(at);
     }
-    World {
+    Scenario {
         places,
         between_regions: Duration::from_millis(between_ms),
-        losses: Vec::new(),
+        outages: Vec::new(),
         changes,
         ends: at + Duration::from_secs(6),
     }
 }
 
-fn draw_together(rng: &mut ChaCha8Rng, world: &World, together: Together) -> Vec<usize> {
-    let all = world.replicas(|_, _| true);
-    let place = world.places[*all.choose(rng).unwrap()];
-    match together {
-        Together::Region => world.replicas(|_, region| region == place / 2),
-        Together::Place => world.replicas(|of, _| of == place),
-        Together::Two => all.choose_multiple(rng, 2).copied().collect(),
+fn draw_replicas(rng: &mut ChaCha8Rng, scenario: &Scenario, scope: FailureScope) -> Vec<usize> {
+    let all = scenario.replicas(|_, _| true);
+    let place = scenario.places[*all.choose(rng).unwrap()];
+    match scope {
+        FailureScope::Region => scenario.replicas(|_, region| region == place / 2),
+        FailureScope::Place => scenario.replicas(|of, _| of == place),
+        FailureScope::TwoReplicas => all.choose_multiple(rng, 2).copied().collect(),
     }
 }
 
 /// Loses replicas together, twice, the first ones being back for a while before the second.
-fn lose(rng: &mut ChaCha8Rng, world: &mut World, together: Together, way: Way) {
-    let mut from = CALM;
+fn inject_failures(
+    rng: &mut ChaCha8Rng,
+    scenario: &mut Scenario,
+    scope: FailureScope,
+    mode: FailureMode,
+) {
+    let mut from = WARM_UP;
     for _ in 0..2 {
-        let lost = draw_together(rng, world, together);
+        let lost = draw_replicas(rng, scenario, scope);
         from += Duration::from_millis(rng.random_range(0..1_000));
         let until = from + Duration::from_millis(rng.random_range(300..6_000));
         let pause = Duration::from_millis(rng.random_range(0..1_500));
-        let mut add = |trouble, from, until| {
-            let losses = lost.iter().map(|replica| Loss {
+        let mut add = |fault, from, until| {
+            let outages = lost.iter().map(|replica| Outage {
                 replica: *replica,
-                trouble,
+                fault,
                 from,
                 until,
             });
-            world.losses.extend(losses);
+            scenario.outages.extend(outages);
         };
-        match way {
-            Way::Only(trouble) => add(trouble, from, until),
-            Way::CutOffThenDark => {
-                add(Trouble::CutOff, from, until);
-                add(Trouble::Dark, (from + pause).min(until), until);
+        match mode {
+            FailureMode::Only(fault) => add(fault, from, until),
+            FailureMode::PartitionedThenUnreachable => {
+                add(FaultKind::Partitioned, from, until);
+                add(FaultKind::Unreachable, (from + pause).min(until), until);
             }
-            Way::Stutter => {
+            FailureMode::RepeatedFreeze => {
                 let mut at = from;
                 while at < until {
                     let thaw = at + Duration::from_millis(rng.random_range(50..1_200));
-                    add(Trouble::Frozen, at, thaw);
+                    add(FaultKind::Frozen, at, thaw);
                     at = thaw + Duration::from_millis(rng.random_range(20..400));
                 }
             }
@@ -112,28 +117,29 @@
 
 /// Guards against an old manifest in force for too long while replicas are lost together.
 #[rstest]
-#[case::dark(Way::Only(Trouble::Dark))]
-#[case::frozen(Way::Only(Trouble::Frozen))]
-#[case::killed(Way::Only(Trouble::Killed))]
-#[case::cut_off(Way::Only(Trouble::CutOff))]
-#[case::cut_off_then_dark(Way::CutOffThenDark)]
-#[case::stutter(Way::Stutter)]
+#[case::unreachable(FailureMode::Only(FaultKind::Unreachable))]
+#[case::frozen(FailureMode::Only(FaultKind::Frozen))]
+#[case::killed(FailureMode::Only(FaultKind::Killed))]
+#[case::partitioned(FailureMode::Only(FaultKind::Partitioned))]
+#[case::partitioned_then_unreachable(FailureMode::PartitionedThenUnreachable)]
+#[case::repeated_freeze(FailureMode::RepeatedFreeze)]
 fn test_a_change_is_in_force_in_time_whichever_replicas_are_lost(
-    #[case] way: Way,
-    #[values(Together::Region, Together::Place, Together::Two)] together: Together,
+    #[case] mode: FailureMode,
+    #[values(FailureScope::Region, FailureScope::Place, FailureScope::TwoReplicas)]
+    scope: FailureScope,
     #[values(12, 55)] between_ms: u64,
 ) {
     let mut worst = (Duration::ZERO, 0);
     for seed in 0..150 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = world(&mut rng, eleven(), between_ms);
-        lose(&mut rng, &mut world, together, way);
+        let mut scenario = scenario(&mut rng, eleven_replicas(), between_ms);
+        inject_failures(&mut rng, &mut scenario, scope, mode);
         let place = rng.random_range(0..6);
-        let lags = Model::new(&world, place, seed).run();
+        let lags = Model::new(&scenario, place, seed).run();
         let longest = lags.into_iter().max().unwrap();
         worst = worst.max((longest, seed));
     }
-    println!("{way:?} {together:?} {between_ms} ms: worst {worst:?}");
+    println!("{mode:?} {scope:?} {between_ms} ms: worst {worst:?}");
     let (longest, seed) = worst;
     assert!(longest < MAX_IN_FORCE_DELAY, "{longest:?} with seed {seed}");
 }
--- a/lib/tests/test_head_scanner.rs
+++ b/lib/tests/test_head_scanner.rs
@@ -11,7 +11,7 @@
 
 /// Hands `bytes` on in pieces as they come in reads that end at `cuts`, up to the end of the
 /// first head; returns where that is.
-fn hand_on(watch: &mut HeadScanner, bytes: &[u8], cuts: &[usize]) -> usize {
+fn feed_until_head_end(watch: &mut HeadScanner, bytes: &[u8], cuts: &[usize]) -> usize {
     let mut at = 0;
     while at < bytes.len() {
         let read = cuts.iter().copied().find(|cut| *cut > at);
@@ -140,7 +140,7 @@
         for (kind, (request, body_length)) in kinds.iter().zip(&requests) {
             let head = request.find("\r\n\r\n").unwrap() + 4;
             let later: Vec<_> = cuts.iter().filter_map(|cut| cut.checked_sub(from)).collect();
-            let end = hand_on(&mut watch, &bytes.as_bytes()[from..], &later);
+            let end = feed_until_head_end(&mut watch, &bytes.as_bytes()[from..], &later);
             assert_eq!(end, head);
             let framing = match kind {
                 Kind::Both => HeadFraming::LengthAndEncoding,
--- a/lib/tests/test_log_rate.rs
+++ b/lib/tests/test_log_rate.rs
@@ -10,7 +10,7 @@
 const LENGTH: Duration = Duration::from_secs(10);
 
 /// Offers `routine` and `notable` lines a second, and returns how many of each were written.
-fn play(routine: u32, notable: u32) -> (u32, u32) {
+fn count_written(routine: u32, notable: u32) -> (u32, u32) {
     let began = Instant::now();
     let mut rate = LogRateLimiter::new(began);
     let mut written = (0, 0);
@@ -29,13 +29,13 @@
 /// Every line is written under an ordinary load: 60 requests a second.
 #[test]
 fn test_log_rate_lets_an_ordinary_load_through() {
-    assert_eq!(play(60, 5), (600, 50));
+    assert_eq!(count_written(60, 5), (600, 50));
 }
 
 /// At ten times that load the volume is bounded, and what tells more goes first.
 #[test]
 fn test_log_rate_drops_routine_lines_first() {
-    let (routine, notable) = play(600, 150);
+    let (routine, notable) = count_written(600, 150);
     let most = LINES_PER_SECOND * LENGTH.as_secs_f64() + 400.0;
     assert!(f64::from(routine + notable) <= most, "{routine} {notable}");
     assert_eq!(notable, 1_500);
--- a/lib/tests/test_numbered_set.rs
+++ b/lib/tests/test_numbered_set.rs
@@ -52,7 +52,7 @@
 /// Sequence: while `vms` of them take requests, 20 leave and come back, one after the other.
 ///
 /// Cause: the answer to each of them named all that take requests.
-fn told_bytes(vms: usize) -> usize {
+fn update_bytes(vms: usize) -> usize {
     let mut absent = NumberedSet::starting_at(START);
     for number in 0..vms / 10 {
         absent.insert(Absent::Backend(BackendName::new(format!(
@@ -79,8 +79,8 @@
 }
 
 #[test]
-fn test_what_an_entry_vm_is_told_doesnt_grow_with_the_entry_vms() {
-    let (small, large) = (told_bytes(100), told_bytes(400));
+fn test_update_size_is_independent_of_the_number_of_entry_vms() {
+    let (small, large) = (update_bytes(100), update_bytes(400));
     println!("bytes for 40 changes: {small} at 100 entry VMs, {large} at 400");
     assert_eq!(small, large);
 }
--- a/lib/tests/test_presence.rs
+++ b/lib/tests/test_presence.rs
@@ -69,7 +69,7 @@
 
 /// A replica that ceases to report takes along what only it heard.
 #[test]
-fn test_presence_counts_a_silent_replicas_word_from_its_last_report() {
+fn test_presence_counts_a_silent_replicas_sources_from_its_last_report() {
     let start = Instant::now();
     let backend = BackendName::new("backend-1");
     let mut here = Presence::new(start, 1);
@@ -92,7 +92,7 @@
 ///
 /// Cause: silence is taken for death. Without a majority it gives no verdict.
 #[test]
-fn test_presence_gives_no_verdict_without_a_majority() {
+fn test_presence_reports_no_majority_without_enough_peers() {
     let start = Instant::now();
     let mut presence = Presence::new(start, 1);
     let report = Presence::new(start, 2).report(start, 0, &endpoints());
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn test_presence_names_no_entry_that_leaves_or_is_silent() {
+fn test_presence_takes_leaving_or_silent_entries_out_of_service() {
     let start = Instant::now();
     let vm = VmName::new("entry-1");
     let mut presence = Presence::new(start, 1);
@@ -124,7 +124,7 @@
 ///
 /// Cause: what arrived last was taken for what was said last.
 #[test]
-fn test_presence_goes_by_what_an_entry_said_last() {
+fn test_presence_uses_the_latest_statement_of_an_entry() {
     let start = Instant::now();
     let vm = VmName::new("entry-1");
     let mut first = Presence::new(start, 1);
@@ -146,7 +146,7 @@
 /// nothing of the ones before. Cause: changes were applied to another state than the one that
 /// they start from.
 #[test]
-fn test_presence_gets_everything_anew_where_reports_dont_join() {
+fn test_presence_requests_a_full_report_where_reports_do_not_follow_on() {
     let start = Instant::now();
     let peer = VmName::new("control-2");
     let names = ["backend-1", "backend-2", "backend-3"].map(BackendName::new);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn test_what_replicas_tell_each_other_doesnt_grow_with_those_who_send_heartbeats() {
+fn test_report_size_is_independent_of_the_number_of_heartbeat_sources() {
     let (small, large) = (reported_bytes(100), reported_bytes(400));
     println!("bytes in a minute to one replica: {small} at 100 entry VMs, {large} at 400");
     // Numbers of changes take a byte more.
--- a/lib/tests/test_replica_choice.rs
+++ b/lib/tests/test_replica_choice.rs
@@ -72,7 +72,7 @@
 /// Where the near replicas are of no use, those of the region are taken, evenly; then the others.
 /// Where all are set aside, all are asked in turn.
 #[test]
-fn test_replicas_of_no_use_are_left_for_farther_ones() {
+fn test_unusable_replicas_are_replaced_by_farther_ones() {
     let now = Instant::now();
     let mut taken = BTreeMap::new();
     for vm in 0..90 {
@@ -135,7 +135,7 @@
 /// that it isn't current; a farther one is of use. Cause: the farther one was left for the near
 /// one twice a second.
 #[test]
-fn test_a_replica_of_use_isnt_left_for_one_that_was_of_no_use_a_moment_ago() {
+fn test_a_usable_replica_is_not_left_for_a_recently_unusable_one() {
     let now = Instant::now();
     for draw in [0.0, 0.5, 1.0] {
         let mut choice = choice(0, 4);
@@ -165,7 +165,7 @@
 #[rstest]
 #[case::silent(Unusable::Unresponsive, 4_000)]
 #[case::not_current(Unusable::NotCurrent, 1_000)]
-fn test_no_replica_is_set_aside_for_long(#[case] why: Unusable, #[case] millis: u64) {
+fn test_backoff_of_a_replica_is_bounded(#[case] why: Unusable, #[case] millis: u64) {
     let now = Instant::now();
     let mut choice = choice(0, 4);
     for _ in 0..40 {
@@ -179,7 +179,7 @@
 
 /// Guards against questions to replicas that are lost together.
 #[test]
-fn test_replicas_that_are_asked_at_once_are_apart() {
+fn test_replicas_probed_in_parallel_are_spread_over_regions() {
     let now = Instant::now();
     for vm in 0..30 {
         let mut choice = choice(vm, 4);
@@ -216,7 +216,7 @@
 
 /// A nearer replica that lost against a farther one isn't turned to again at once.
 #[test]
-fn test_a_replica_that_was_passed_over_is_returned_to_later() {
+fn test_return_to_a_passed_over_replica_is_deferred() {
     let now = Instant::now();
     let mut choice = choice(0, 4);
     let farther = address(0);
@@ -229,7 +229,7 @@
 /// A seed of which nothing is known is asked when nothing better is known, and replicas that
 /// were dropped from the list aren't.
 #[test]
-fn test_seeds_are_asked_until_the_list_is_known() {
+fn test_seeds_are_used_until_the_list_is_known() {
     let now = Instant::now();
     let mut choice = ReplicaChoice::new(VmName::new("entry-1"), place(4), regions());
     assert_eq!(choice.pick(now), None);
--- a/lib/tests/test_replica_plan.rs
+++ b/lib/tests/test_replica_plan.rs
@@ -109,7 +109,7 @@
 
 /// A replica that was admitted and lost its folder again before it caught up.
 #[test]
-fn test_replica_plan_drops_a_learner_that_never_got_on() {
+fn test_replica_plan_removes_a_learner_that_never_caught_up() {
     let membership = Membership {
         voters: voters(1..=5),
         learners: BTreeMap::from([(ReplicaId(70), info(3))]),
@@ -123,7 +123,7 @@
 /// A silent voter stays while nobody can take its place: without it, four voters would bear
 /// the loss of no more than five.
 #[test]
-fn test_replica_plan_keeps_a_silent_voter_without_stand_in() {
+fn test_replica_plan_keeps_a_silent_voter_without_replacement() {
     let now = Instant::now() + Duration::from_mins(1);
     let membership = Membership {
         voters: voters(1..=5),
--- a/lib/tests/test_replica_timeout.rs
+++ b/lib/tests/test_replica_timeout.rs
@@ -9,25 +9,25 @@
 
 /// Guards against seconds without a view while replicas are still dark after a loss of power.
 #[test]
-fn test_dark_replicas_hold_an_entry_vm_up_for_a_moment() {
-    let mut patience = ReplicaTimeout::default();
+fn test_unreachable_replicas_delay_an_entry_vm_for_less_than_a_second() {
+    let mut timeout = ReplicaTimeout::default();
     let mut waited = Duration::ZERO;
     for _ in 0..2 {
-        waited += patience.first();
-        patience.note_timeout();
+        waited += timeout.first();
+        timeout.note_timeout();
     }
     assert!(waited < Duration::from_secs(1), "{waited:?}");
 }
 
 /// Guards against an entry VM that changes replicas for ever since its link is full.
 #[test]
-fn test_a_full_link_is_borne() {
-    let mut patience = ReplicaTimeout::default();
+fn test_timeout_grows_on_a_saturated_link_and_resets_on_an_answer() {
+    let mut timeout = ReplicaTimeout::default();
     for _ in 0..6 {
-        patience.note_timeout();
+        timeout.note_timeout();
     }
-    assert!(patience.first() > Duration::from_secs(1));
-    patience.note_answer();
-    assert!(patience.first() < Duration::from_millis(500));
+    assert!(timeout.first() > Duration::from_secs(1));
+    timeout.note_answer();
+    assert!(timeout.first() < Duration::from_millis(500));
     assert!(LONG_POLL_HOLD < HEDGE_AFTER && HEDGE_AFTER < ANSWER_TIMEOUT);
 }
--- a/lib/tests/test_session_relay.rs
+++ b/lib/tests/test_session_relay.rs
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn test_session_relay_news_goes_ahead() {
+fn test_session_relay_sends_a_newer_acknowledgement_sooner() {
     let start = Instant::now();
     let mut relay = SessionRelay::default();
     relay.renew(start, renewal(1, 7));
