--- a/lib/src/announcement.rs
+++ b/lib/src/announcement.rs
@@ -1,4 +1,4 @@
-//! What a backend server tells of itself, and its checks against the manifest.
+//! Announcements by which backend servers register, and their validation against the manifest.
 
 use std::net::SocketAddr;
 
@@ -15,63 +15,65 @@
 use crate::manifest::Manifest;
 use crate::manifest::Service;
 
-/// Time between two announcements of a backend server, in milliseconds.
+/// Interval between two announcements of a backend server, in milliseconds.
 pub const REPEAT_MS: u32 = 500;
 
-/// Time without an announcement after which a backend server gets no new work, in
-/// milliseconds. Three announcements may be lost before that.
+/// Time without an announcement after which a backend server is sent no new requests, in
+/// milliseconds. It tolerates the loss of three announcements in a row.
 pub const LAPSE_MS: u32 = 2_000;
 
-/// Holds one announcement of a backend server, as it posts it in JSON.
+/// An announcement of a backend server, as it posts it in JSON.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Announcement {
-    /// Names the backend server.
+    /// Name of the backend server.
     pub backend: BackendName,
-    /// The service that it serves.
+    /// Service that the backend server provides.
     pub service: ServiceName,
-    /// The place that it stands in.
+    /// Failure domain (place) in which the backend server runs.
     pub place: PlaceName,
-    /// Where it takes requests (HTTP).
+    /// Address at which it accepts HTTP requests.
     pub address: SocketAddr,
-    /// Requests that it can run at once.
+    /// Number of requests that it can process concurrently.
     pub slots: u32,
-    /// Connections that it accepts at once.
+    /// Number of connections that it accepts concurrently.
     pub max_connections: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: BackendState,
-    /// Requests that it says are running; believed only where it lowers what is sent.
+    /// Number of requests that it reports as running. Used only to lower what is sent to it, never
+    /// to raise it.
     #[serde(default)]
     pub in_flight: u32,
-    /// Load that it reports, 1.0 being full; believed only where it lowers what is sent.
+    /// Load that it reports, where 1.0 is full. Used only to lower what is sent to it, never to
+    /// raise it.
     #[serde(default)]
     pub load: f64,
 }
 
-/// Tells whether a backend server takes new work.
+/// Whether a backend server accepts new requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendState {
-    /// It isn't ready yet.
+    /// It is not ready yet.
     Starting,
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it runs and takes no new work.
+    /// It completes its running requests and accepts no new ones.
     Leaving,
 }
 
-/// Answers an announcement, in JSON.
+/// Reply to an announcement, in JSON.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AnnouncementReply {
-    /// Where to announce from now on, once an owner is known.
+    /// Address for further announcements; `None` while no owner is known.
     pub owner: Option<OwnerAddress>,
     /// Time until the next announcement is due, in milliseconds.
     pub repeat_ms: u32,
-    /// Time after which this announcement lapses, in milliseconds.
+    /// Time after which this announcement expires, in milliseconds.
     pub lapse_ms: u32,
 }
 
 impl AnnouncementReply {
-    /// Builds the answer that names `owner`.
+    /// Creates the reply that refers the backend server to `owner`.
     #[must_use]
     pub const fn new(owner: Option<OwnerAddress>) -> Self {
         Self {
@@ -82,50 +84,53 @@
     }
 }
 
-/// Tells where an owner takes announcements.
+/// Address at which an owner accepts announcements.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OwnerAddress {
-    /// The owner's VM.
+    /// Name of the owner's VM.
     pub vm: VmName,
-    /// Its listener for backend servers.
+    /// Address of its listener for backend servers.
     pub address: SocketAddr,
 }
 
-/// Tells why an announcement isn't taken.
+/// Reason why an announcement is rejected.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum AnnouncementError {
-    /// The manifest has no such service.
+    /// The manifest does not define the service.
     #[snafu(display("the manifest in force has no service {service}"))]
     UnknownService {
         /// The service announced.
         service: ServiceName,
     },
-    /// The manifest has no such place.
+    /// The manifest does not define the place.
     #[snafu(display("the manifest in force has no place {place}"))]
     UnknownPlace {
         /// The place announced.
         place: PlaceName,
     },
-    /// The service has no limit at the place, so it serves nothing there.
-    #[snafu(display("service {service} has no limit at place {place} and serves nothing there"))]
+    /// The manifest sets no limit for the service at the place, so the service is not provided
+    /// there.
+    #[snafu(display(
+        "service {service} has no limit at place {place}, so it is not provided there"
+    ))]
     PlaceNotServed {
         /// The service announced.
         service: ServiceName,
         /// The place announced.
         place: PlaceName,
     },
-    /// It announces no slot or no connection at all.
+    /// The announcement offers no slots or no connections.
     #[snafu(display("slots and max_connections must be at least 1"))]
     NoSlots,
 }
 
 impl Announcement {
-    /// Checks the announcement against the manifest and returns its service.
+    /// Validates the announcement against the manifest and returns its service.
     ///
     /// # Errors
     ///
-    /// Returns an error if the manifest doesn't have the service at the place, or if
-    /// there is nothing that could be used.
+    /// Returns an error if the manifest does not provide the service at the place, or if the
+    /// announcement offers no slots or no connections.
     pub fn check<'m>(&self, manifest: &'m Manifest) -> Result<&'m Service, AnnouncementError> {
         let service = manifest
             .services
@@ -150,8 +155,8 @@
         Ok(service)
     }
 
-    /// Returns the slots that are believed of the server: never more than the manifest
-    /// allows one backend server, and one connection for each slot.
+    /// Returns the number of slots to use: at most what the manifest allows one backend server, and
+    /// at most one per connection.
     #[must_use]
     pub fn effective_slots(&self, service: &Service) -> u32 {
         self.slots
--- a/lib/src/drain.rs
+++ b/lib/src/drain.rs
@@ -1,8 +1,8 @@
-//! Which planned drains are carried out, and which are held back.
+//! Decides which planned drains are carried out and which are held back.
 //!
-//! A drain that would leave too little for the present load, or would shift more than
-//! the caps let through, is held back until that changes. What a backend server
-//! announces of itself, that it leaves, is never held back.
+//! A drain that would leave too little capacity for the current load, or would shift more requests
+//! than the shift caps allow, is held back until that changes. A backend server that announces
+//! itself as leaving is never held back.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,67 +23,68 @@
 use crate::shift_budget::allowed_per_second;
 use crate::shift_budget::cap_covers;
 
-/// Part of the slots left, in percent, that the present load may fill after a drain.
+/// Highest share of the remaining slots, in percent, that the current load may occupy after a
+/// drain.
 const MAX_UTILIZATION_PERCENT: u64 = 90;
 
-/// Tells what becomes of one planned drain.
+/// Decision on one planned drain.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DrainDecision {
-    /// The drain, as planned.
+    /// The drain as the manifest plans it.
     pub drain: Drain,
-    /// Why it is held back, if it is.
+    /// Reason for holding it back; `None` if it is carried out.
     pub held_back: Option<HeldBack>,
 }
 
-/// Tells why a drain is held back.
+/// Reason why a drain is held back.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum HeldBack {
-    /// What is left couldn't carry the present load.
+    /// The remaining slots could not carry the current load.
     #[snafu(display(
-        "service {service} now needs {needed} slots, and the {left} that would be left should be \
-         filled to {MAX_UTILIZATION_PERCENT} percent at most"
+        "service {service} needs {needed} slots at its current load, which exceeds \
+         {MAX_UTILIZATION_PERCENT} percent of the {left} slots that would remain"
     ))]
     InsufficientSlots {
         /// The service.
         service: ServiceName,
-        /// Slots in use and requests that wait now.
+        /// Number of slots in use plus queued requests.
         needed: u64,
-        /// Slots that would be left.
+        /// Number of slots that would remain.
         left: u64,
     },
-    /// The place's load would have to shift further than the caps and limits let it.
+    /// The place's load would exceed what the shift caps and place limits allow to be shifted.
     #[snafu(display(
-        "service {service}: {needed} requests a second would shift from {place}, and caps and \
-         limits allow {allowed}"
+        "service {service}: {needed} requests per second would shift from {place}, but shift caps \
+         and place limits allow {allowed}"
     ))]
     ShiftCapExceeded {
         /// The service.
         service: ServiceName,
-        /// The place.
+        /// The place to be drained.
         place: PlaceName,
-        /// Requests a second that would shift.
+        /// Requests per second that would have to shift.
         needed: u64,
-        /// Requests a second that the caps and limits allow.
+        /// Requests per second that the caps and limits allow to shift.
         allowed: u64,
     },
 }
 
-/// Holds what drains are decided by.
+/// Inputs of the decision on drains.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainInputs<'a> {
-    /// The manifest that plans them.
+    /// Manifest that plans the drains.
     pub manifest: &'a Manifest,
-    /// What the owners tell of their groups.
+    /// Load of each group, as reported by its owner.
     pub loads: &'a BTreeMap<Group, GroupLoad>,
-    /// The groups of the backend servers known here.
+    /// Group of each backend server known to this process.
     pub backends: &'a BTreeMap<BackendName, Group>,
-    /// Drains carried out already; they aren't decided again, so that none flaps.
+    /// Drains that are already in effect. They are not decided again, so that no drain flaps.
     pub carried_out: &'a [Drain],
 }
 
-/// Decides on the planned drains in their order, each as if those before it that aren't
-/// held back were done. A backend server that isn't known here is left out: its owner
-/// decides.
+/// Decides on the planned drains in the order of the manifest, counting the capacity that earlier
+/// drains remove unless they are held back. A backend server unknown to this process is skipped:
+/// its owner decides.
 #[must_use]
 pub fn decide(inputs: DrainInputs<'_>) -> Vec<DrainDecision> {
     let mut drained = DrainedCapacity::default();
@@ -112,7 +113,7 @@
     decisions
 }
 
-/// Collects what earlier drains take away.
+/// Places and slots removed by earlier drains.
 #[derive(Debug, Default)]
 struct DrainedCapacity {
     places: BTreeSet<PlaceName>,
@@ -188,10 +189,11 @@
     Ok(())
 }
 
-/// Checks that the callers' requests now served at `place` may be served elsewhere.
+/// Checks that the requests now served at `place` may be served elsewhere.
 ///
-/// Places are filled one after the other, each up to its limit a second and the caps
-/// that still have room. That may find less than there is, never more.
+/// Places are filled one after the other, each up to its limit per second and the remaining room of
+/// the caps that apply. This greedy assignment may underestimate the capacity, but never
+/// overestimates it.
 fn check_shift(
     inputs: DrainInputs<'_>,
     drained: &DrainedCapacity,
--- a/lib/src/entry_lease.rs
+++ b/lib/src/entry_lease.rs
@@ -1,44 +1,43 @@
-//! The entry's side of its session: whether it may take new work.
+//! Lease of an entry VM's session: whether it may accept new requests.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::id::SessionId;
 
-/// Holds the state of an entry's lease.
+/// State of an entry's lease.
 ///
-/// The lease counts from the moment at which the request that won it was sent. Control
-/// counts from the later moment at which it received the request, and adds a margin, so
-/// the entry always stops first. Counting from the reply's arrival would be wrong by the
-/// time that the reply took, which a cut or a frozen process makes arbitrarily long.
+/// The entry counts the lease from the moment at which it sent the request that obtained it.
+/// Control counts from the later moment at which it received the request, and adds a margin, so the
+/// entry always stops first. Counting from the arrival of the reply would be wrong by the transit
+/// time of the reply, which a network partition or a frozen process makes arbitrarily long.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum EntryLease {
-    /// There is no session.
+    /// No session is open.
     #[default]
     NoSession,
-    /// The session was granted a lease.
+    /// The session holds a lease.
     Holding {
         /// The session.
         session: SessionId,
-        /// When the lease runs out, unless it is renewed.
+        /// When the lease expires unless it is renewed.
         expires_at: Instant,
     },
-    /// The session's lease ran out. Control may not have noticed yet, so only control
-    /// can say whether the session goes on or is lost.
+    /// The lease has expired. Control may not have noticed yet, so only control can tell whether
+    /// the session continues or is lost.
     Lapsed {
         /// The session.
         session: SessionId,
-        /// When the lease ran out.
+        /// When the lease expired.
         since: Instant,
     },
 }
 
 impl EntryLease {
-    /// Takes up a session that a request sent at `sent_at` opened. Returns whether it
-    /// was taken up.
+    /// Adopts the session that a request sent at `sent_at` opened. Returns whether it was adopted.
     ///
-    /// While another session is held or lapsed, the reply is an older request's; that
-    /// session was never used and lapses by itself.
+    /// If another session is held or lapsed, the reply belongs to an older request; the session
+    /// that it opened was never used and lapses by itself.
     pub fn opened(&mut self, session: SessionId, sent_at: Instant, lease: Duration) -> bool {
         if *self != Self::NoSession {
             return false;
@@ -50,12 +49,12 @@
         true
     }
 
-    /// Extends the lease by a reply, arrived at `now`, to a request sent at `sent_at`.
-    /// Returns whether the lease is valid afterwards.
+    /// Extends the lease by a reply that arrived at `now` to a request sent at `sent_at`. Returns
+    /// whether the lease is valid afterwards.
     ///
-    /// A lease that ran out is revived only by a request that was sent after that. An
-    /// older one's reply says nothing about the time since, in which the entry had
-    /// stopped and others were told so.
+    /// An expired lease is revived only by a request that was sent after it expired. The reply to
+    /// an older request says nothing about the time since, in which the entry had stopped and had
+    /// told others so.
     pub fn renewed(
         &mut self,
         session: SessionId,
@@ -89,17 +88,16 @@
         self.is_valid(now)
     }
 
-    /// Notes that control has ended `session`, or that this entry has closed it.
+    /// Records that control has ended `session`, or that this entry has closed it.
     ///
-    /// The caller must have dropped everything that the session stood for before it
-    /// opens another one.
+    /// The caller must drop all state bound to the session before it opens another one.
     pub fn lost(&mut self, session: SessionId) {
         if self.session() == Some(session) {
             *self = Self::NoSession;
         }
     }
 
-    /// Notes that the lease has run out, if it has. Returns whether it did just now.
+    /// Marks the lease as lapsed if it has expired. Returns whether this call did so.
     pub fn expire(&mut self, now: Instant) -> bool {
         if let Self::Holding {
             session,
@@ -116,16 +114,16 @@
         false
     }
 
-    /// Returns whether new work may be taken at `now`.
+    /// Returns whether new requests may be accepted at `now`.
     ///
-    /// To be asked anew before each piece of work: a process that was frozen wakes up
-    /// with a lease that ran out meanwhile, and no timer has fired yet.
+    /// Must be checked before each request: a process that was frozen may resume with a lease that
+    /// expired meanwhile, before any timer has fired.
     #[must_use]
     pub fn is_valid(&self, now: Instant) -> bool {
         matches!(self, Self::Holding { expires_at, .. } if now < *expires_at)
     }
 
-    /// Returns the session, whether its lease is valid or not.
+    /// Returns the session, regardless of whether its lease is valid.
     #[must_use]
     pub const fn session(&self) -> Option<SessionId> {
         match *self {
@@ -134,7 +132,7 @@
         }
     }
 
-    /// Returns when the lease runs out, while it is held.
+    /// Returns when the lease expires; `None` unless it is held.
     #[must_use]
     pub const fn expires_at(&self) -> Option<Instant> {
         match *self {
--- a/lib/src/follow_lag.rs
+++ b/lib/src/follow_lag.rs
@@ -1,4 +1,4 @@
-//! How far entry VMs lag behind the manifests that are confirmed, as one replica hears of it.
+//! Measures how far entry VMs lag behind the confirmed manifests, as one control replica sees it.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -12,13 +12,13 @@
 /// Time within which a confirmed manifest should be in force at every entry VM.
 pub const MAX_IN_FORCE_DELAY: Duration = Duration::from_millis(2_500);
 
-/// Manifests whose times are kept.
+/// Number of manifests whose times are kept.
 const MAX_KNOWN_MANIFESTS: usize = 64;
 
-/// Age at which their times are dropped, and what entry VMs asked.
+/// Age at which the times of manifests and the last requests of entry VMs are dropped.
 const RETENTION: Duration = Duration::from_mins(1);
 
-/// Holds a manifest that a replica learned of.
+/// A manifest and when this replica learned of it.
 #[derive(Clone, Copy, Debug)]
 struct KnownManifest {
     version: ManifestVersion,
@@ -26,35 +26,35 @@
     at: Instant,
 }
 
-/// Holds what an entry VM said last.
+/// Last request of an entry VM.
 #[derive(Clone, Copy, Debug)]
 struct LastRequest {
     at: Instant,
     revision: Revision,
-    /// The last version that it was told of as late.
+    /// Last version that was reported as late for this entry VM.
     late: ManifestVersion,
 }
 
-/// Tells of an entry VM that goes by an older manifest for too long.
+/// A manifest that an entry VM has not applied in time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LateManifest {
-    /// The oldest version that it lacks.
+    /// Oldest version that the entry VM lacks.
     pub version: ManifestVersion,
     /// Time since this replica learned of that version.
     pub lag: Duration,
 }
 
-/// Tells what an entry VM's question shows.
+/// What a request of an entry VM reveals about its lag.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct LagObservation {
-    /// For each version that is newly in force there, the time from when this replica learned of
-    /// it until now.
+    /// For each version newly in force at the entry VM, the time since this replica learned of it.
     pub in_force_after: Vec<Duration>,
-    /// A version that it lacks beyond [`MAX_IN_FORCE_DELAY`]; told once a version.
+    /// Version that the entry VM lacks for longer than [`MAX_IN_FORCE_DELAY`]; reported once per
+    /// version.
     pub late_manifest: Option<LateManifest>,
 }
 
-/// Follows who has applied what.
+/// Tracks which manifests entry VMs have applied.
 #[derive(Debug, Default)]
 pub struct FollowLag {
     manifests: VecDeque<KnownManifest>,
@@ -62,8 +62,8 @@
 }
 
 impl FollowLag {
-    /// Notes the manifest in force at this replica. `revision` is the revision of the state that
-    /// has it.
+    /// Records the manifest in force at this replica. `revision` is the revision of the state that
+    /// contains it.
     pub fn note_manifest(&mut self, now: Instant, version: ManifestVersion, revision: Revision) {
         let is_retained =
             |known: &KnownManifest| now.saturating_duration_since(known.at) < RETENTION;
@@ -90,8 +90,8 @@
         });
     }
 
-    /// Takes a question of an entry VM, which has applied everything up to `revision`; 0 if it has
-    /// just started.
+    /// Handles a request of an entry VM that has applied everything up to `revision`, or 0 if it
+    /// has just started.
     pub fn note_request(
         &mut self,
         now: Instant,
@@ -100,7 +100,7 @@
     ) -> LagObservation {
         let age = |known: &KnownManifest| now.saturating_duration_since(known.at);
         let previous = self.last_requests.get(vm).copied();
-        // One that followed another replica meanwhile may have applied them long ago.
+        // An entry VM that followed another replica in the meantime may have applied them long ago.
         let followed = previous.filter(|previous| {
             previous.revision.0 > 0
                 && now.saturating_duration_since(previous.at) < MAX_IN_FORCE_DELAY
--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -1,11 +1,11 @@
-//! Whom an entry VM asks for news of control, and when.
+//! Plans which control replicas an entry VM contacts, and when.
 //!
-//! It follows one replica, the nearest that is of use, by questions that the replica may hold
-//! until there is news. While it follows none, and once an answer is late, others are asked
-//! beside, in as many regions as there are: replicas that are near each other are lost together,
-//! and to ask one after the other may take longer than a confirmed change may. The first that is
-//! of use is followed. A nearer one that may be of use again is tried before the present one is
-//! left.
+//! The entry VM follows one replica, the nearest usable one, by long polls that the replica may
+//! hold until there are changes. While no replica is followed, and once an answer is late, others
+//! are probed in parallel, in as many regions as possible: replicas near each other tend to fail
+//! together, and probing them one after the other may take longer than a confirmed change may take
+//! to be in force. The first usable one is followed. A nearer replica that may be usable again is
+//! probed before the followed one is left.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,78 +22,79 @@
 use crate::replica_timeout::HEDGE_AFTER;
 use crate::replica_timeout::ReplicaTimeout;
 
-/// Pause before others are asked, after none was of use.
+/// Pause before the next probes after none found a usable replica.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Pause after news before more is asked for. What comes after a quiet spell is told at once;
-/// what comes in a row, as when many VMs or backend servers start or leave, is told together.
-/// Without it each change is an answer of its own to every entry VM.
+/// Pause after an update before the next poll. A single change after an idle period is delivered at
+/// once; a series of changes, as when many VMs or backend servers start or leave, is batched.
+/// Without the pause each change would be a separate answer to every entry VM.
 const CHANGE_PAUSE: Duration = Duration::from_millis(200);
 
-/// Replicas that are asked at a time: one more than the failures that are borne at once.
+/// Number of replicas probed at a time: one more than the failures that are tolerated at once.
 const PARALLEL_PROBES: usize = 3;
 
-/// Time by which each of them is asked later than the one before, so that the nearest one that is
-/// of use ordinarily answers first.
+/// Delay between the starts of successive probes, so that the nearest usable replica usually
+/// answers first.
 const PROBE_STAGGER: Duration = Duration::from_millis(40);
 
-/// Time for which a replica isn't asked for the state while a nearer one is tried. The state is
-/// large: 45 KB for 900 backend servers take 0.2 s over a link of 2 Mbit/s.
+/// Time for which the poll of a replica just chosen is delayed while a nearer one is probed, since
+/// the first answer carries the whole state: 45 KB for 900 backend servers take 0.2 s over a link
+/// of 2 Mbit/s.
 const NEARER_PROBE_TIME: Duration = Duration::from_millis(100);
 
-/// Tells what to do.
+/// Action to be taken by the caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FollowStep {
-    /// Ask a replica whether it is of use.
+    /// Probe a replica: ask whether it is usable, without the state.
     Probe(SocketAddr),
-    /// Ask the replica that is followed for news, in place of what was asked of it before. It
-    /// may hold its answer back for [`LONG_POLL_HOLD`](crate::replica_timeout::LONG_POLL_HOLD).
+    /// Poll the followed replica for changes, in place of any earlier request to it. It may hold
+    /// its answer back for [`LONG_POLL_HOLD`](crate::replica_timeout::LONG_POLL_HOLD).
     Poll(SocketAddr),
-    /// Wait no longer for the answer of a replica that isn't needed.
+    /// Cancel the request to a replica that is no longer needed.
     Cancel(SocketAddr),
-    /// Wait no longer for the answer of a replica, which gave none in time.
+    /// Cancel the request to a replica that did not answer in time.
     TimedOut(SocketAddr),
 }
 
-/// Says what came of a question.
+/// Outcome of a request to a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FollowOutcome {
-    /// The replica is of use.
+    /// The replica is usable.
     Usable {
-        /// Whether it told anything new.
+        /// Whether its answer contained changes.
         has_changes: bool,
     },
-    /// It isn't.
+    /// The replica is not usable.
     Unusable(Unusable),
 }
 
-/// Holds the replica that is followed.
+/// The followed replica.
 #[derive(Clone, Copy, Debug)]
 struct Followed {
     replica: SocketAddr,
     poll: PollState,
-    /// Whether others were looked for since the question was asked.
+    /// Whether other replicas were probed since the poll was sent.
     is_hedged: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum PollState {
-    /// Sent, and not answered yet.
+    /// Sent at this time and not answered yet.
     Sent(Instant),
-    /// To be asked then.
+    /// To be sent at this time.
     Scheduled(Instant),
 }
 
-/// Says why replicas are tried.
+/// Purpose of the current probes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum ProbePurpose {
-    /// None is followed, or the one that is gives no answer.
+    /// No replica is followed, or the followed one does not answer.
     Search,
-    /// A nearer one than the one that is followed may be of use.
+    /// A replica nearer than the followed one may be usable.
     Nearer,
 }
 
-/// Holds a replica that is asked whether it is of use.
+/// A planned or started probe of a replica.
 #[derive(Clone, Copy, Debug)]
 struct PendingProbe {
     replica: SocketAddr,
@@ -101,7 +102,7 @@
     is_started: bool,
 }
 
-/// Plans whom to ask.
+/// State machine that selects the replica to follow and schedules probes and polls.
 #[derive(Debug)]
 pub struct FollowPlan {
     choice: ReplicaChoice,
@@ -109,16 +110,16 @@
     followed: Option<Followed>,
     probes: Vec<PendingProbe>,
     purpose: ProbePurpose,
-    /// When the trials are given up.
+    /// When the probes time out.
     probes_deadline: Instant,
-    /// When others are asked next, while none is followed.
+    /// When the next probes start while no replica is followed.
     search_at: Instant,
     rng: ChaCha8Rng,
 }
 
 impl FollowPlan {
-    /// Starts without following any. `seed` tells this entry VM from others, which would
-    /// otherwise all come back to a replica in one moment.
+    /// Creates a plan that follows no replica. `seed` must differ between entry VMs, which would
+    /// otherwise all return to a replica at the same moment.
     #[must_use]
     pub fn new(choice: ReplicaChoice, now: Instant, seed: u64) -> Self {
         Self {
@@ -133,19 +134,19 @@
         }
     }
 
-    /// Takes over which replicas there are: those that control named, and `seeds`, of which
-    /// nothing but the address is known.
+    /// Updates the list of replicas: `sites` as named by control, and `seeds`, of which only the
+    /// address is known.
     pub fn learn(&mut self, sites: &[ReplicaSite], seeds: &[SocketAddr]) {
         self.choice.learn(sites, seeds);
     }
 
-    /// Returns the replica that is followed.
+    /// Returns the followed replica, if any.
     #[must_use]
     pub fn followed(&self) -> Option<SocketAddr> {
         self.followed.map(|followed| followed.replica)
     }
 
-    /// Returns when [`Self::wake`] is to be called at the latest.
+    /// Returns the time by which [`Self::wake`] must be called.
     #[must_use]
     pub fn next_wake(&self) -> Instant {
         let base_wake = match self.followed {
@@ -166,7 +167,7 @@
             .fold(base_wake, Instant::min)
     }
 
-    /// Lets time pass.
+    /// Handles the time-outs and scheduled actions that are due at `now`.
     pub fn wake(&mut self, now: Instant) -> Vec<FollowStep> {
         let mut steps = Vec::new();
         self.expire(now, &mut steps);
@@ -189,14 +190,14 @@
         steps
     }
 
-    /// Has the replica that is followed asked at once: what it is told has changed.
+    /// Polls the followed replica at once, because the entry VM's own state has changed.
     pub fn poll_now(&mut self, now: Instant) -> Vec<FollowStep> {
         let mut steps = Vec::new();
         self.send_poll(now, &mut steps);
         steps
     }
 
-    /// Takes what came of the question to `replica`.
+    /// Handles the outcome of a request to `replica`.
     pub fn answered(
         &mut self,
         now: Instant,
@@ -231,8 +232,8 @@
         }
     }
 
-    /// Plans trials unless some are under way: of replicas in as many regions as there are,
-    /// besides the one that is followed.
+    /// Plans probes of replicas other than the followed one, in as many regions as possible, unless
+    /// probes are under way.
     fn search(&mut self, now: Instant) {
         if !self.probes.is_empty() {
             return;
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Gives up replicas that gave no answer in time.
+    /// Times out requests that were not answered in time.
     fn expire(&mut self, now: Instant, steps: &mut Vec<FollowStep>) {
         if let Some(Followed { replica, poll, .. }) = self.followed
             && let PollState::Sent(at) = poll
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Plans to try a nearer replica that may be of use; returns whether there is one.
+    /// Plans a probe of a nearer replica that may be usable. Returns whether there is one.
     fn probe_nearer(&mut self, now: Instant, replica: SocketAddr) -> bool {
         if !self.probes.is_empty() {
             return false;
@@ -321,7 +322,7 @@
         nearer.is_some()
     }
 
-    /// Follows a replica that was tried.
+    /// Starts to follow a replica whose probe succeeded.
     fn follow(&mut self, now: Instant, replica: SocketAddr, steps: &mut Vec<FollowStep>) {
         self.probes.retain(|probe| probe.replica != replica);
         self.cancel_probes(now, steps);
--- a/lib/src/head_scanner.rs
+++ b/lib/src/head_scanner.rs
@@ -1,41 +1,44 @@
-//! What the heads of a connection's requests say of where their bodies end.
+//! Detects how the heads of a connection's requests frame their bodies.
 //!
-//! The HTTP library decides where a request ends. Of one that announces a length and chunks
-//! it keeps the chunks alone, so whether both were there can be seen only in the bytes. These
-//! are handed to it in pieces, cut behind each empty line and behind each body whose length it
-//! has read: wherever it may find the end of a head, a piece ends. Thus the bytes of a head are
-//! known although nothing but the library finds its end.
+//! The HTTP library decides where a request ends. If a request has both a content length and a
+//! transfer encoding, the library keeps only the encoding, so the conflict is visible only in the
+//! raw bytes. The bytes are passed to the library in pieces that end after each empty line and
+//! after each body whose length the library has parsed: wherever the library may find the end of a
+//! head, a piece ends. The bytes of each head are therefore known although only the library
+//! determines where it ends.
 
-/// Bytes of a line that are looked at: the longest name that is looked for, and its colon.
+/// Number of leading bytes of a line that are kept: the longest field name searched for, and its
+/// colon.
 const LINE_START_LEN: usize = 18;
 
-/// Says how the end of a request's body is announced.
+/// How a request declares the end of its body.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[must_use]
 pub enum HeadFraming {
-    /// By a length, by chunks or not at all.
+    /// By a length, by chunked encoding or not at all.
     Plain,
-    /// By a length and by an encoding. Whoever stands before or behind may go by the other one,
-    /// and see another request in the same bytes.
+    /// By both a length and a transfer encoding. An intermediary or backend server may use the
+    /// other one and see a different request in the same bytes (request smuggling).
     LengthAndEncoding,
-    /// The library took a head that doesn't end where a piece ends: its bytes aren't known.
+    /// The library accepted a head that does not end where a piece ends, so its bytes are unknown.
     Unknown,
 }
 
-/// Follows what a connection's parser is handed, and remembers what it may yet ask about.
+/// Scans the bytes passed to a connection's parser and records how the current head frames its
+/// body.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeadScanner {
-    /// Bytes to come of a body whose length is known.
+    /// Remaining bytes of a body of known length.
     body_left: u64,
     line: LineStart,
     has_length: bool,
     has_encoding: bool,
-    /// Whether an empty line was the last that was handed on.
+    /// Whether the last line passed on was empty.
     at_end: bool,
 }
 
 impl HeadScanner {
-    /// Returns how many of `bytes`, which come next, are to be handed on in one piece.
+    /// Returns how many of the next `bytes` to pass to the parser in one piece.
     pub fn next_piece(&mut self, bytes: &[u8]) -> usize {
         if self.body_left > 0 {
             let left = usize::try_from(self.body_left).unwrap_or(usize::MAX);
@@ -67,8 +70,8 @@
         self.at_end = line.is_empty();
     }
 
-    /// Says what the head says that the parser has just taken. `body_length` is what it makes
-    /// of it: nothing if there are chunks.
+    /// Returns the framing of the head that the parser has just accepted. `body_length` is the
+    /// length that the parser derived; `None` for a chunked body.
     pub fn finish_head(&mut self, body_length: Option<u64>) -> HeadFraming {
         if !self.at_end || self.body_left > 0 {
             return HeadFraming::Unknown;
@@ -82,7 +85,7 @@
     }
 }
 
-/// Holds the first bytes of a line.
+/// First bytes of a line.
 #[derive(Clone, Copy, Debug, Default)]
 struct LineStart {
     bytes: [u8; LINE_START_LEN],
--- a/lib/src/list_delta.rs
+++ b/lib/src/list_delta.rs
@@ -1,20 +1,20 @@
-//! The difference of two lists whose order matters.
+//! Difference between two lists whose order matters.
 
 use serde::Deserialize;
 use serde::Serialize;
 use snafu::OptionExt;
 use snafu::Snafu;
 
-/// How far ahead the two lists are searched for the next item in common.
+/// Number of items by which the search for the next common item looks ahead.
 ///
-/// Bounds the work to a few hundred comparisons per item that differs. Lists that
-/// differ over longer stretches get a larger delta, never a wrong one.
+/// Bounds the work to a few hundred comparisons per differing item. Lists that differ over longer
+/// stretches produce a larger delta, never a wrong one.
 const LOOK_AHEAD: usize = 128;
 
-/// Tells why a delta doesn't fit a list.
+/// Reason why a delta cannot be applied to a list.
 #[derive(Debug, Snafu)]
 pub enum ListDeltaError {
-    /// The delta reaches past the list's end.
+    /// The delta reaches past the end of the list.
     #[snafu(display("the delta reaches past the end of its base of {length} items"))]
     PastEnd {
         /// Number of items in the list.
@@ -22,13 +22,13 @@
     },
 }
 
-/// Holds the steps that turn one list into another. Items after the last step are kept.
+/// Steps that turn one list into another. Items after the last step are kept.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListDelta<T> {
     steps: Vec<Step<T>>,
 }
 
-/// Keeps some items, then skips some and inserts others.
+/// Keeps `keep` items, then drops `skip` items and inserts others.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Step<T> {
     keep: usize,
@@ -37,10 +37,10 @@
 }
 
 impl<T: Clone + PartialEq> ListDelta<T> {
-    /// Computes what turns `base` into `target`.
+    /// Computes the delta from `base` to `target`.
     #[must_use]
     pub fn between(base: &[T], target: &[T]) -> Self {
-        // An edit in one stretch, however long, is found by its common ends alone.
+        // A single contiguous edit of any length is found by its common prefix and suffix alone.
         let kept_end = common_suffix(base, target);
         let mut base = &base[..base.len() - kept_end];
         let mut target = &target[..target.len() - kept_end];
@@ -94,8 +94,8 @@
     pairs.take_while(|(a, b)| a == b).count()
 }
 
-/// Returns how many items of `base` and of `target` come before the next item that
-/// they have in common, as near as possible; everything, if none is in reach.
+/// Returns how many items of `base` and of `target` precede their nearest next common item, or up
+/// to [`LOOK_AHEAD`] items of each if none is within reach.
 fn differing_prefix<T: PartialEq>(base: &[T], target: &[T]) -> (usize, usize) {
     for distance in 1..LOOK_AHEAD {
         let meets = |(skip, insert): &(usize, usize)| match (base.get(*skip), target.get(*insert)) {
--- a/lib/src/log_rate.rs
+++ b/lib/src/log_rate.rs
@@ -1,33 +1,33 @@
-//! Which log lines are written when there are more than a process can afford.
+//! Limits the rate of log lines, dropping those of low priority first.
 
 use std::time::Instant;
 
-/// Lines a second that one process writes at most. At 450 bytes a line that is 90 kB/s, and
-/// at 10 µs a line 0.2% of a core. An entry VM of the users' has up to 60 requests a second,
-/// so that every one is logged under an ordinary load.
+/// Highest sustained rate of log lines per second of one process. At 450 bytes a line this is 90
+/// kB/s, and at 10 µs a line 0.2% of a core. An entry VM is expected to serve up to 60 requests per
+/// second, so under ordinary load each request is logged.
 pub const LINES_PER_SECOND: f64 = 200.0;
 
-/// Lines that may be written at once after a quiet time.
+/// Number of lines that may be written in a burst after an idle period.
 const BURST: f64 = 400.0;
 
-/// Part of [`BURST`] that is left for lines of more weight than routine ones.
+/// Share of [`BURST`] reserved for lines of higher priority than routine ones.
 const RESERVED_FROM_ROUTINE: f64 = 0.5;
 
-/// Part of [`BURST`] that is left for alarms.
+/// Share of [`BURST`] reserved for alarms.
 const RESERVED_FROM_NOTABLE: f64 = 0.1;
 
-/// Says how much a line tells.
+/// Priority of a log line.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinePriority {
     /// A request that was answered.
     Routine,
-    /// A request that got no answer, or a change of what the process believes.
+    /// A request that was not answered, or a state change that the process observed.
     Notable,
     /// Warnings and errors.
     Alarm,
 }
 
-/// Bounds the lines of one process.
+/// Token bucket that limits the log lines of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct LogRateLimiter {
     tokens: f64,
@@ -35,7 +35,7 @@
 }
 
 impl LogRateLimiter {
-    /// Starts with the whole burst.
+    /// Creates a limiter with a full bucket.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
         Self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Returns whether a line may be written, and counts it if so.
+    /// Returns whether a line may be written, and takes a token if so.
     pub fn try_take(&mut self, now: Instant, priority: LinePriority) -> bool {
         let since = now.saturating_duration_since(self.at).as_secs_f64();
         self.tokens = (self.tokens + since * LINES_PER_SECOND).min(BURST);
--- a/lib/src/numbered_set.rs
+++ b/lib/src/numbered_set.rs
@@ -1,4 +1,4 @@
-//! A set whose owner tells others what changed in it, rather than all of it each time.
+//! Set whose owner sends numbered changes instead of the whole set each time.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -7,17 +7,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Changes that are kept. Whoever is further behind gets the whole set; a few seconds in which
-/// a thousand members come or go are behind it by then.
+/// Number of changes that are kept. A receiver that is further behind is sent the whole set. 1024
+/// changes cover a few seconds in which a thousand members are added or removed.
 const MAX_CHANGES: usize = 1_024;
 
-/// Holds a set and its latest changes, which are numbered; 0 stands for knowing nothing.
+/// A set and its latest numbered changes. Number 0 denotes a receiver that knows nothing.
 #[derive(Clone, Debug)]
 pub struct NumberedSet<T> {
     members: BTreeSet<T>,
     /// Number of the last change.
     number: u64,
-    /// The latest changes, the last one at the end.
+    /// Latest changes, oldest first.
     changes: VecDeque<Change<T>>,
 }
 
@@ -27,22 +27,23 @@
     Removed(T),
 }
 
-/// Holds what changed in a set, or all of it.
+/// Changes of a set since a given number, or the whole set.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SetUpdate<T> {
     /// Whether `added` is the whole set.
     pub whole: bool,
-    /// Number of the last change that is in it.
+    /// Number of the last change included.
     pub number: u64,
-    /// Members that were added and are still there.
+    /// Members that were added and are still present.
     pub added: Vec<T>,
-    /// Members that were removed and aren't there.
+    /// Members that were removed and are still absent.
     pub removed: Vec<T>,
 }
 
 impl<T: Clone + Ord> NumberedSet<T> {
-    /// Starts empty at a number. Where an owner that starts again may be taken for its former
-    /// self, it is drawn at random, so that no number of before means anything.
+    /// Creates an empty set whose last change has `number`. If receivers may mistake a restarted
+    /// owner for its former incarnation, draw `number` at random, so that numbers known from before
+    /// the restart do not match.
     #[must_use]
     pub fn starting_at(number: NonZeroU64) -> Self {
         Self {
@@ -64,7 +65,7 @@
         self.number
     }
 
-    /// Adds a member; returns whether it is new.
+    /// Adds a member. Returns whether it was absent.
     pub fn insert(&mut self, member: T) -> bool {
         let is_new = self.members.insert(member.clone());
         if is_new {
@@ -73,7 +74,7 @@
         is_new
     }
 
-    /// Removes a member; returns whether it was there.
+    /// Removes a member. Returns whether it was present.
     pub fn remove(&mut self, member: &T) -> bool {
         let was_there = self.members.remove(member);
         if was_there {
@@ -82,7 +83,7 @@
         was_there
     }
 
-    /// Makes `members` the whole set; returns whether that changes anything.
+    /// Replaces the whole set by `members`. Returns whether that changed anything.
     pub fn replace(&mut self, members: &BTreeSet<T>) -> bool {
         let before = self.number;
         let stale: Vec<T> = self.members.difference(members).cloned().collect();
@@ -95,8 +96,8 @@
         self.number != before
     }
 
-    /// Returns what changed since the change numbered `known`, or the whole set to whoever
-    /// knows nothing (0) or is too far behind.
+    /// Returns the changes since the change numbered `known`, or the whole set if `known` is 0, too
+    /// old or unknown.
     #[must_use]
     pub fn update_from(&self, known: u64) -> SetUpdate<T> {
         let missed = self.number.checked_sub(known);
@@ -144,7 +145,7 @@
 }
 
 impl<T: Ord> SetUpdate<T> {
-    /// Brings a copy of the set up to date.
+    /// Applies the update to a copy of the set.
     pub fn apply_to(self, members: &mut BTreeSet<T>) {
         if self.whole {
             members.clear();
--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -1,9 +1,9 @@
-//! Who has been heard of lately: soft state that control replicas tell each other.
+//! Presence of backend servers and entry VMs: soft state that control replicas exchange.
 //!
-//! A backend server or an entry VM sends its heartbeats to one replica of its choice,
-//! and changes to another at will. Each replica therefore tells the others whom it hears.
-//! A replica that is cut off hears of few; it must not take the others for dead, so it
-//! gives no verdict while it has no contact with a majority.
+//! A backend server or an entry VM sends its heartbeats to one replica of its choice and may switch
+//! to another at any time. Each replica therefore reports to the others whose heartbeats it
+//! receives. A partitioned replica receives few heartbeats and must not declare the others dead, so
+//! its verdicts are not used while it has no contact with a majority.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,36 +21,36 @@
 use crate::presence_report::PresenceReport;
 use crate::presence_report::ReplicaEndpoints;
 
-/// Silence after which a backend server counts as lost. Heartbeats come every 1.5 s or so,
-/// may be a second late and take half a second to be passed on.
+/// Time without heartbeats after which a backend server counts as lost. Heartbeats arrive about
+/// every 1.5 s, may be a second late and take half a second to be reported to the other replicas.
 pub const BACKEND_SILENCE: Duration = Duration::from_secs(4);
 
-/// Silence after which an entry VM is named to callers no more. It asks control at least
-/// once a second, may have to change to another replica, which takes a second, and its
-/// report takes half a second to be passed on.
+/// Time without heartbeats after which an entry VM is no longer named to callers. It polls control
+/// at least once per second, may have to switch to another replica, which takes a second, and its
+/// heartbeat takes half a second to be reported to the other replicas.
 pub const ENTRY_SILENCE: Duration = Duration::from_millis(3_500);
 
-/// Time between two reports to the other replicas.
+/// Interval between two reports to the other replicas.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Silence of a replica after which it doesn't count towards a majority: three reports.
+/// Time without reports after which a replica no longer counts towards a majority: three intervals.
 const PEER_SILENCE: Duration = Duration::from_millis(1_600);
 
-/// Names one who isn't to be used for now, as entry VMs are told.
+/// A backend server or entry VM that is not to be used for now, as sent to entry VMs.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Absent {
-    /// A backend server that is silent.
+    /// A backend server whose heartbeats have ceased.
     Backend(BackendName),
-    /// An entry VM that takes no requests.
+    /// An entry VM that accepts no requests.
     Entry(VmName),
 }
 
-/// Says when and by how many replicas one was heard.
+/// How many replicas receive heartbeats of a source, and when the last one did.
 #[derive(Clone, Copy, Debug)]
 struct Contact {
-    /// Replicas that hear it now.
+    /// Number of replicas that receive its heartbeats now.
     reporters: u32,
-    /// When it was heard last, if none does.
+    /// Time of the last heartbeat; used only while no replica receives any.
     last: Instant,
 }
 
@@ -68,12 +68,12 @@
 struct EntryContact {
     life: u64,
     ready: bool,
-    /// When it began to say so.
+    /// When it began to report this state.
     stated_at: Instant,
     contact: Contact,
 }
 
-/// Holds what another replica told.
+/// Latest report of another replica.
 #[derive(Debug)]
 struct Peer {
     life: u64,
@@ -84,7 +84,7 @@
 }
 
 impl Peer {
-    /// Starts with a replica that has told nothing yet.
+    /// Creates the entry of a replica that has reported no sources yet.
     fn unheard(now: Instant, report: &PresenceReport) -> Self {
         Self {
             life: report.life,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Lets go of those whom an update removes, and returns them.
+    /// Removes the sources that an update removes, and returns them.
     fn removed_by(&mut self, update: &SetUpdate<HeartbeatSource>) -> Vec<HeartbeatSource> {
         let mut removed: Vec<HeartbeatSource> = update.removed.clone();
         if update.whole {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Holds who was heard when.
+/// Presence of all backend servers and entry VMs, as known to this replica.
 #[derive(Debug)]
 pub struct Presence {
     began: Instant,
@@ -119,8 +119,8 @@
 }
 
 impl Presence {
-    /// Starts without having heard of anybody. `life` tells this process from the one that it
-    /// was before, and is drawn at random.
+    /// Creates an empty state. `life` identifies this incarnation of the process and is drawn at
+    /// random.
     #[must_use]
     pub fn new(now: Instant, life: u64) -> Self {
         Self {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Notes a heartbeat of a backend server. Returns whether it had been silent.
+    /// Records a heartbeat of a backend server. Returns whether it counted as silent before.
     pub fn record_backend_heartbeat(&mut self, now: Instant, backend: &BackendName) -> bool {
         let silent = self.is_silent(now, backend);
         let heard = HeartbeatSource::Backend(backend.clone());
@@ -142,7 +142,7 @@
         silent
     }
 
-    /// Notes a heartbeat of an entry VM. Returns whether anything but the time is new.
+    /// Records a heartbeat of an entry VM. Returns whether its incarnation or readiness is new.
     pub fn record_entry_heartbeat(
         &mut self,
         now: Instant,
@@ -170,14 +170,14 @@
         is_new
     }
 
-    /// Returns what to tell a replica that knows everything up to the change numbered `known`.
+    /// Returns the report for a replica that knows all changes up to number `known`.
     #[must_use]
     pub fn report(&self, now: Instant, known: u64, endpoints: &ReplicaEndpoints) -> PresenceReport {
         self.own.report(now, known, endpoints)
     }
 
-    /// Takes the report of another replica in. Returns the number of its changes up to which
-    /// all is known here, for its next report.
+    /// Applies the report of another replica. Returns the number of the last of its changes known
+    /// here, from which its next report is to start.
     pub fn apply_report(&mut self, now: Instant, from: &VmName, report: &PresenceReport) -> u64 {
         if report.heard.whole
             && self
@@ -215,7 +215,7 @@
         report.heard.number
     }
 
-    /// Lets go of those who weren't heard lately, here or by replicas that are silent now.
+    /// Removes the sources whose heartbeats have ceased, here or at replicas that no longer report.
     pub fn expire(&mut self, now: Instant) {
         for (heard, last) in self.own.expire(now) {
             self.remove(&heard, last);
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Drops everybody who hasn't been heard of for `age`.
+    /// Drops everything without heartbeats or reports for `age`.
     pub fn forget(&mut self, now: Instant, age: Duration) {
         self.backends
             .retain(|_, contact| contact.silence(now) < age);
@@ -242,8 +242,8 @@
             .retain(|_, peer| now.saturating_duration_since(peer.at) < age);
     }
 
-    /// Returns whether enough of the `replicas` report for a verdict on anybody's
-    /// silence: a majority with this one.
+    /// Returns whether enough of the `replicas` report to conclude anything from silence: a
+    /// majority, including this one.
     #[must_use]
     pub fn has_majority(&self, now: Instant, replicas: usize) -> bool {
         let heard = self
@@ -253,8 +253,8 @@
         (heard.count() + 1) * 2 > replicas
     }
 
-    /// Returns where the other replicas are that were heard of, and whether each has reported
-    /// lately.
+    /// Returns the endpoints of the other replicas that have sent a full report, and whether each
+    /// has reported recently.
     pub fn replica_endpoints(
         &self,
         now: Instant,
@@ -267,14 +267,14 @@
         })
     }
 
-    /// Returns whether a backend server hasn't been heard of for [`BACKEND_SILENCE`]. One
-    /// that was never heard of counts from this replica's start.
+    /// Returns whether a backend server has sent no heartbeats for [`BACKEND_SILENCE`]. For one
+    /// that never sent any, the time counts from this replica's start.
     #[must_use]
     pub fn is_silent(&self, now: Instant, backend: &BackendName) -> bool {
         self.silence(now, backend) >= BACKEND_SILENCE
     }
 
-    /// Returns for how long a backend server hasn't been heard of.
+    /// Returns how long a backend server has sent no heartbeats.
     #[must_use]
     pub fn silence(&self, now: Instant, backend: &BackendName) -> Duration {
         let unheard = now.saturating_duration_since(self.began);
@@ -282,7 +282,7 @@
         contact.map_or(unheard, |contact| contact.silence(now))
     }
 
-    /// Returns for how long an entry VM hasn't been heard of.
+    /// Returns how long an entry VM has sent no heartbeats.
     #[must_use]
     pub fn entry_silence(&self, now: Instant, vm: &VmName) -> Duration {
         let unheard = now.saturating_duration_since(self.began);
@@ -290,8 +290,8 @@
         entry.map_or(unheard, |entry| entry.contact.silence(now))
     }
 
-    /// Returns whether an entry VM takes no requests: it says so, or is silent. One that was
-    /// never heard of counts from this replica's start.
+    /// Returns whether an entry VM accepts no requests: it says so, or its heartbeats have ceased.
+    /// For one that never sent any, the time counts from this replica's start.
     #[must_use]
     pub fn is_out_of_service(&self, now: Instant, vm: &VmName) -> bool {
         let is_not_ready = self.entries.get(vm).is_some_and(|entry| !entry.ready);
@@ -319,7 +319,7 @@
                     },
                 };
                 let entry = self.entries.entry(vm.clone()).or_insert(reported);
-                // A replica that is told of late may still hold what it said before.
+                // A late report of another replica may still hold an earlier state of the entry VM.
                 if began >= entry.stated_at {
                     (entry.life, entry.ready, entry.stated_at) = (*life, *ready, began);
                 }
@@ -341,13 +341,14 @@
         }
     }
 
-    /// Lets go of all whom a replica heard; they count as heard when it last reported.
+    /// Removes all sources that a replica reported; their last heartbeat counts as of its last
+    /// report.
     fn drop_peer(&mut self, now: Instant, vm: &VmName) {
         let Some(peer) = self.peers.get_mut(vm) else {
             return;
         };
         let last = peer.at.min(now);
-        // What it tells next must be everything.
+        // Requires a full report next.
         peer.number = 0;
         for heard in std::mem::take(&mut peer.heard) {
             self.remove(&heard, last);
--- a/lib/src/presence_report.rs
+++ b/lib/src/presence_report.rs
@@ -1,10 +1,11 @@
-//! What one control replica heard itself, and how it tells the others.
+//! Heartbeats that one control replica receives, and how it reports them to the others.
 //!
-//! Heartbeats come every second or so from each backend server and entry VM, to one replica
-//! each. The others need to know that they still come, not when: so a replica tells who began
-//! to send heartbeats to it and who ceased, and that it goes on hearing all others. With 900
-//! backend servers, 185 entry VMs and 15 replicas, telling each heartbeat singly takes some
-//! 280 KB a second, worked out from 22 and 30 bytes each; this doesn't grow with them.
+//! Each backend server and entry VM sends a heartbeat about every second, to one replica. The other
+//! replicas need to know that the heartbeats continue, not when each arrived: a replica therefore
+//! reports only which sources began or ceased to send heartbeats to it, which implies that all
+//! others continue. With 900 backend servers, 185 entry VMs and 15 replicas, reporting each
+//! heartbeat would take some 280 KB per second, calculated from 22 and 30 bytes each; the size of
+//! these reports does not depend on the number of sources.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,32 +22,32 @@
 use crate::numbered_set::NumberedSet;
 use crate::numbered_set::SetUpdate;
 
-/// Time for which a backend server counts as heard after a heartbeat: they come every 1.5 s or
-/// so and may be a second late.
+/// Time after a heartbeat within which a backend server counts as alive: heartbeats arrive about
+/// every 1.5 s and may be a second late.
 const BACKEND_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_600);
 
-/// The same for an entry VM, which asks control at least every 0.8 s, over up to 0.11 s there
-/// and back, and 0.2 s later after news.
+/// Time after a heartbeat within which an entry VM counts as alive: it polls control at least every
+/// 0.8 s, with a round trip of up to 0.11 s, and 0.2 s later after a change.
 const ENTRY_HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Names one who sends heartbeats, with what it says of itself.
+/// Source of heartbeats, with the state that it reports.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum HeartbeatSource {
     /// A backend server.
     Backend(BackendName),
     /// An entry VM.
     Entry {
-        /// The VM.
+        /// Name of the VM.
         vm: VmName,
-        /// The life of its process.
+        /// Incarnation of its process.
         life: u64,
-        /// Whether it takes requests.
+        /// Whether it accepts requests.
         ready: bool,
     },
 }
 
 impl HeartbeatSource {
-    /// Returns for how long one counts as heard after a heartbeat.
+    /// Returns for how long the source counts as alive after a heartbeat.
     pub(crate) const fn heartbeat_timeout(&self) -> Duration {
         match self {
             Self::Backend(_) => BACKEND_HEARTBEAT_TIMEOUT,
@@ -55,30 +56,30 @@
     }
 }
 
-/// Tells where a replica is, for entry VMs that look for a near one and backend servers that
-/// are told of one.
+/// Addresses and place of a replica, for entry VMs that look for a near replica and backend servers
+/// that are directed to one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReplicaEndpoints {
-    /// Where it takes messages of replicas and entry VMs.
+    /// Address at which it accepts messages of replicas and entry VMs.
     pub address: SocketAddr,
-    /// Where backend servers announce themselves, if it takes that.
+    /// Address at which backend servers announce themselves; `None` if it accepts no announcements.
     pub announcements: Option<SocketAddr>,
-    /// The place that it stands in.
+    /// Failure domain (place) in which it runs.
     pub place: PlaceName,
 }
 
-/// Holds what one replica tells another of whom it hears.
+/// Report of one replica to another about the sources whose heartbeats it receives.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PresenceReport {
-    /// Tells one life of the replica's process from another.
+    /// Incarnation of the replica's process.
     pub life: u64,
-    /// Where the replica is, along with a whole report.
+    /// Addresses of the replica; present only in a full report.
     pub endpoints: Option<ReplicaEndpoints>,
-    /// Number of the last change that the receiver is taken to know.
+    /// Number of the last change that the receiver is assumed to know.
     pub base: u64,
-    /// Who began and who ceased to be heard since, or all.
+    /// Sources that were added or removed since `base`, or all of them.
     pub heard: SetUpdate<HeartbeatSource>,
-    /// For each of those that began, milliseconds since then.
+    /// Milliseconds since each added source began, in the order of the added sources.
     pub began_ms: Vec<u32>,
 }
 
@@ -88,7 +89,7 @@
     last: Instant,
 }
 
-/// Holds whom this replica hears itself.
+/// Sources whose heartbeats this replica receives itself.
 #[derive(Debug)]
 pub struct LocalHeartbeats {
     life: u64,
@@ -97,7 +98,7 @@
 }
 
 impl LocalHeartbeats {
-    /// Starts without having heard of anybody; `life` is drawn at random.
+    /// Creates an empty set. `life` is drawn at random for each incarnation of the process.
     #[must_use]
     pub fn new(life: u64) -> Self {
         Self {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Notes a heartbeat; returns whether it is the first one of late.
+    /// Records a heartbeat. Returns whether the source was not in the set before.
     pub fn record_heartbeat(&mut self, now: Instant, heard: &HeartbeatSource) -> bool {
         if let Some(times) = self.times.get_mut(heard) {
             times.last = now;
@@ -122,14 +123,15 @@
         true
     }
 
-    /// Drops one who says something else of itself now; returns whether it was heard.
+    /// Removes a source, for instance because it now reports another state. Returns whether it was
+    /// present.
     pub fn drop_source(&mut self, heard: &HeartbeatSource) -> bool {
         self.times.remove(heard);
         self.set.remove(heard)
     }
 
-    /// Drops whoever hasn't been heard for a while, and returns who that is and when each was
-    /// heard last.
+    /// Removes the sources whose heartbeats have ceased, and returns each with the time of its last
+    /// heartbeat.
     pub fn expire(&mut self, now: Instant) -> Vec<(HeartbeatSource, Instant)> {
         let is_expired = |heard: &HeartbeatSource, times: &Times| {
             now.saturating_duration_since(times.last) >= heard.heartbeat_timeout()
@@ -146,8 +148,8 @@
         expired
     }
 
-    /// Returns the report for a replica that knows everything up to the change numbered
-    /// `known`; 0 if it isn't known to know anything.
+    /// Returns the report for a replica that knows all changes up to number `known`, or 0 if
+    /// nothing is known of it.
     #[must_use]
     pub fn report(&self, now: Instant, known: u64, endpoints: &ReplicaEndpoints) -> PresenceReport {
         let heard = self.set.update_from(known);
--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -1,8 +1,8 @@
-//! Which control replica an entry VM follows: the nearest one that is of use.
+//! Selects the control replica that an entry VM follows: the nearest usable one.
 //!
-//! What an entry VM hears of control is paid for between failure domains, and more between
-//! regions. From replicas drawn at random two thirds of it cross regions where there are three.
-//! Replicas that are equally near share the entry VMs evenly, by rendezvous hashing.
+//! Traffic from control to entry VMs is paid for between failure domains, and more between regions.
+//! With replicas drawn at random and three regions, two thirds of it would cross regions. Replicas
+//! at equal distance share the entry VMs evenly by rendezvous hashing.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,33 +19,33 @@
 use crate::presence_report::ReplicaEndpoints;
 use crate::rendezvous;
 
-/// Time for which a replica isn't asked that answered that it can't prove to be current, doubled
-/// with each further time. The question costs it little, and it may have a leader again within
-/// an election: when all power was lost, 0.6 s passed between its start and that.
+/// Initial back-off from a replica that answered that it cannot prove to be current; doubled with
+/// each further failure. Such a request costs the replica little, and it may have a leader again
+/// within an election: after a loss of all power, 0.6 s passed between its start and that.
 const NOT_CURRENT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Longest such time, before it is drawn out by up to its double: 20 entry VMs of a region that
-/// is cut off ask a replica 20 to 40 times a second then.
+/// Longest such back-off, before jitter of up to the same length is added: 20 entry VMs of a
+/// partitioned region then send a replica 20 to 40 requests per second.
 const MAX_NOT_CURRENT_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Time for which a replica isn't asked that gave no answer, doubled with each further time.
+/// Initial back-off from a replica that did not answer; doubled with each further failure.
 const UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Longest such time, before it is drawn out by up to its double: a region that was cut off
-/// follows its own replicas again within 4 s.
+/// Longest such back-off, before jitter of up to the same length is added: a region that was
+/// partitioned follows its own replicas again within 4 s.
 const MAX_UNRESPONSIVE_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Tells where a replica is.
+/// Address and place of a replica.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReplicaSite {
-    /// Where it takes messages.
+    /// Address at which it accepts messages of replicas and entry VMs.
     pub address: SocketAddr,
-    /// The place that it stands in, if that is known.
+    /// Failure domain (place) in which it runs; `None` if unknown.
     pub place: Option<PlaceName>,
 }
 
 impl ReplicaSite {
-    /// Returns how far the replica is from `here`, where `regions` has the regions of all places.
+    /// Returns the distance of the replica from `here`; `regions` maps each place to its region.
     fn distance(&self, regions: &BTreeMap<PlaceName, RegionName>, here: &PlaceName) -> Distance {
         let place = self.place.as_ref();
         place.map_or(Distance::Far, |place| {
@@ -54,19 +54,19 @@
     }
 }
 
-/// Says how far a place is from here.
+/// Distance of a place from here, nearest first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Distance {
-    /// It is the same failure domain.
+    /// The same failure domain.
     Place,
-    /// It is in the same region.
+    /// Another failure domain of the same region.
     Region,
-    /// It is in another region, or nobody knows where.
+    /// Another region, or an unknown location.
     Far,
 }
 
 impl Distance {
-    /// Returns how far `there` is from `here`, where `regions` has the regions of all places.
+    /// Returns the distance between `here` and `there`; `regions` maps each place to its region.
     #[must_use]
     pub fn between(
         regions: &BTreeMap<PlaceName, RegionName>,
@@ -83,8 +83,9 @@
     }
 }
 
-/// Returns where a backend server called `name` in the place `here` should announce itself: at
-/// the nearest of the replicas that take announcements; those equally near share all evenly.
+/// Returns the address at which the backend server `name` in the place `here` should announce
+/// itself: the nearest of the replicas that accept announcements. Replicas at equal distance share
+/// the backend servers evenly.
 pub fn nearest_announcement_address<'a>(
     regions: &BTreeMap<PlaceName, RegionName>,
     here: &PlaceName,
@@ -99,8 +100,8 @@
     takes.min_by_key(rank)?.announcements
 }
 
-/// Orders `replicas` by how near they are to the entry VM `vm` in the place `here`; those that are
-/// equally near come in an order of the entry VM's own.
+/// Orders `replicas` by distance from the entry VM `vm` in the place `here`. Replicas at equal
+/// distance are in an order specific to the entry VM.
 #[must_use]
 pub fn nearest_first(
     vm: &VmName,
@@ -119,16 +120,16 @@
     ordered
 }
 
-/// Says why a replica was of no use.
+/// Reason why a replica was unusable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Unusable {
-    /// It answered that it can't prove that it is current.
+    /// It answered that it cannot prove to be current.
     NotCurrent,
-    /// It gave no answer that can be used.
+    /// It gave no answer, or none that can be used.
     Unresponsive,
 }
 
-/// Picks the replica to follow.
+/// Selects the replica to follow and tracks which replicas have failed.
 #[derive(Debug)]
 pub struct ReplicaChoice {
     vm: VmName,
@@ -142,16 +143,16 @@
     distance: Distance,
     place: Option<PlaceName>,
     weight: u64,
-    /// How often in a row it was of no use.
+    /// Number of consecutive failures.
     failures_in_row: u32,
     backoff_until: Option<Instant>,
-    /// Until when a farther replica that is of use isn't left for it.
+    /// Time before which a usable farther replica is not left for this one.
     return_at: Option<Instant>,
 }
 
 impl ReplicaChoice {
-    /// Starts without knowing any replica, for an entry VM in `place`; `regions` has the regions
-    /// of all places.
+    /// Creates a choice without replicas, for an entry VM in `place`; `regions` maps each place to
+    /// its region.
     #[must_use]
     pub const fn new(
         vm: VmName,
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Takes over which replicas there are: those that control named, and `seeds`, of which
-    /// nothing but the address is known.
+    /// Updates the list of replicas: `sites` as named by control, and `seeds`, of which only the
+    /// address is known. Back-offs of known replicas are kept.
     pub fn learn(&mut self, sites: &[ReplicaSite], seeds: &[SocketAddr]) {
         let mut candidates = BTreeMap::new();
         for seed in seeds {
@@ -198,8 +199,8 @@
         }
     }
 
-    /// Returns the replica to ask: the nearest one, or, while all are set aside, the one whose
-    /// time is over first. Nothing if none is known.
+    /// Returns the replica to contact: the nearest one, or, if all are in back-off, the one whose
+    /// back-off ends first; `None` if no replica is known.
     #[must_use]
     pub fn pick(&self, now: Instant) -> Option<SocketAddr> {
         let rank = |candidate: &Candidate| {
@@ -213,10 +214,10 @@
         best.map(|(address, _)| *address)
     }
 
-    /// Returns up to `count` replicas to ask at once, the best one first: each in another region
-    /// than those before it as far as there are any, else in another place. Those that are set
-    /// aside are asked only if all are. `except` is one that is asked already; none in its place
-    /// goes first.
+    /// Returns up to `count` replicas to probe in parallel, the best first: each in another region
+    /// than the ones before it if possible, else in another place. Replicas in back-off are
+    /// included only if all are. `except` is a replica that has been contacted already; replicas in
+    /// its place come last.
     #[must_use]
     pub fn pick_spread(
         &self,
@@ -270,9 +271,9 @@
         self.regions.get(candidate.place.as_ref()?)
     }
 
-    /// Returns a nearer replica for which the one at `address` may be left: one that hasn't been
-    /// of no use for 2 s to 4 s. While a near one is cut off from the others, its entry VMs
-    /// would otherwise try it twice a second.
+    /// Returns a replica nearer than the one at `address` that may be tried in its place: one that
+    /// has not been unusable for the last 2 s to 4 s. Without this delay, the entry VMs of a
+    /// partitioned near replica would try it twice a second.
     #[must_use]
     pub fn nearer_than(&self, address: SocketAddr, now: Instant) -> Option<SocketAddr> {
         let nearest = self.pick(now)?;
@@ -284,8 +285,8 @@
         (return_allowed && best.distance < current.distance).then_some(nearest)
     }
 
-    /// Notes that another replica was preferred to the one at `address`, which may be of use.
-    /// `jitter` is drawn from 0 to 1.
+    /// Records that another replica was preferred to the one at `address`, which may be usable.
+    /// `jitter` is random, from 0 to 1.
     pub fn defer_return(&mut self, address: SocketAddr, now: Instant, jitter: f64) {
         if let Some(candidate) = self.candidates.get_mut(&address) {
             candidate.return_at =
@@ -293,7 +294,7 @@
         }
     }
 
-    /// Notes that a replica was of use.
+    /// Records that a replica was usable, which ends its back-off.
     pub fn note_usable(&mut self, address: SocketAddr) {
         if let Some(candidate) = self.candidates.get_mut(&address) {
             candidate.failures_in_row = 0;
@@ -302,8 +303,9 @@
         }
     }
 
-    /// Sets a replica aside that was of no use. `jitter` is drawn from 0 to 1 by each entry VM:
-    /// all of a failure domain are set back at the same moment, and must not come back in one.
+    /// Starts or extends the back-off from an unusable replica. `jitter` is drawn from 0 to 1 by
+    /// each entry VM: those of a failure domain fail at the same moment and must not all return in
+    /// one.
     pub fn back_off(&mut self, address: SocketAddr, now: Instant, reason: Unusable, jitter: f64) {
         let Some(candidate) = self.candidates.get_mut(&address) else {
             return;
@@ -321,8 +323,9 @@
     }
 }
 
-/// Returns the weight of a replica for whoever is called `name`. The one with the lowest weight
-/// is taken: names spread evenly over the replicas, and over the others when one goes.
+/// Returns the rendezvous weight of a replica for the VM or backend server `name`. The replica with
+/// the lowest weight is chosen, which spreads names evenly over the replicas, and over the
+/// remaining ones when one is lost.
 fn weight(name: &str, address: SocketAddr) -> u64 {
     rendezvous::score(&[name], &address.to_string())
 }
--- a/lib/src/replica_plan.rs
+++ b/lib/src/replica_plan.rs
@@ -1,9 +1,9 @@
-//! How the set of control replicas repairs itself without an operator.
+//! Repairs the set of control replicas without an operator.
 //!
-//! A replica that lost its disk comes back at its old address under a fresh identity; a
-//! new VM comes with an address of its own. Both ask to be admitted. A replica that is
-//! gone for good must leave the set of voters, or the next loss stops control; but while
-//! nobody stands in for it, its removal gains nothing.
+//! A replica that lost its disk returns at its old address under a fresh identity; a new VM has an
+//! address of its own. Both request admission. A replica that is lost for good must leave the set
+//! of voters, or the next loss stops control; but removing it gains nothing while no replacement is
+//! available.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,29 +17,30 @@
 use crate::raft_message::Membership;
 use crate::raft_message::ReplicaInfo;
 
-/// Silence after which a voter that others can stand in for is removed. Longer than any
-/// restart of a VM (about 2 s) and than a short cut, shorter than the time in which a
-/// second loss is to be expected.
+/// Time without contact after which a replaceable voter is removed. Longer than any restart of a VM
+/// (about 2 s) and than a short network partition, but shorter than the time in which a second loss
+/// is to be expected.
 pub const REMOVE_SILENT_AFTER: Duration = Duration::from_secs(9);
 
-/// Time for which a place among the voters is kept free for a replica of a region with few of
-/// them. Longer than it takes a replica that starts along with the others to be admitted, to
-/// catch up, and to say where it is.
+/// Time for which a vacant voter seat is reserved for a replica of a region with few voters. Longer
+/// than a replica that starts along with the others needs to be admitted, to catch up, and to
+/// report its region.
 pub const SPREAD_WAIT: Duration = Duration::from_secs(3);
 
-/// Tells what becomes of a replica that asks to be admitted.
+/// Answer to a replica that requests admission.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It is a member.
+    /// The replica is a member.
     Member,
-    /// This change brings it nearer; it asks again.
+    /// This membership change is the next step towards its admission; the replica requests
+    /// admission again afterwards.
     Change(MembershipChange),
 }
 
-/// Decides on a replica that asks to be admitted.
+/// Decides on a replica that requests admission.
 ///
-/// Whoever else is known at its address has lost its disk, since no two processes share
-/// an address: a voter is replaced, and a learner that never got on is removed first.
+/// Any other member known at its address must have lost its disk, since no two processes share an
+/// address: a voter is replaced, and a learner that never caught up is removed first.
 #[must_use]
 pub fn admit(membership: &Membership, id: ReplicaId, info: &ReplicaInfo) -> Admission {
     if membership.contains(id) {
@@ -66,13 +67,13 @@
 
 /// Returns the removal that is due, as the leader sees it.
 ///
-/// A voter that has been silent for [`REMOVE_SILENT_AFTER`] goes if there are more voters than
-/// `target`, or if a learner waits to take its place. A learner that is silent for so long
-/// goes too: it asks again when it is back.
+/// A voter that has been silent for [`REMOVE_SILENT_AFTER`] is removed if there are more voters
+/// than `target`, or if a learner is available to replace it. A learner that has been silent for
+/// that long is removed too; it requests admission again when it returns.
 ///
-/// `known_since` says since when this leader has known each replica as a member. One that
-/// it hasn't heard yet counts from then: a replica that was admitted just now hasn't even
-/// started.
+/// `known_since` gives the time since which this leader has known each member. The silence of a
+/// member that it has not heard from yet counts from then: a replica that was just admitted may not
+/// even have started.
 #[must_use]
 pub fn due_removal(
     membership: &Membership,
@@ -99,11 +100,12 @@
         .map(|replica| replica.id)
 }
 
-/// Returns the learner that is to vote, among those that have `caught_up`.
+/// Returns the learner to be promoted to voter, among those that have `caught_up`.
 ///
-/// Voters are spread over the regions, so that the loss of one leaves a majority of `target`
-/// voters. `regions` tells where replicas are, as far as that is known. A place that has been
-/// free for `free_for` goes to whoever is the best after [`SPREAD_WAIT`].
+/// Voters are spread over the regions, so that the loss of a region leaves a majority of `target`
+/// voters. `regions` gives the region of each replica, as far as it is known. A seat that has been
+/// vacant for [`SPREAD_WAIT`] goes to the best learner even if it does not preserve that property;
+/// `free_for` is the time for which it has been vacant.
 #[must_use]
 pub fn next_voter(
     membership: &Membership,
--- a/lib/src/replica_timeout.rs
+++ b/lib/src/replica_timeout.rs
@@ -1,29 +1,29 @@
-//! How long an entry VM waits for a control replica.
+//! Time-outs of an entry VM's requests to control replicas.
 
 use std::time::Duration;
 
-/// Time for which a replica may hold its answer back while there is nothing new. It is also
-/// the time between two heartbeats of an entry VM when nothing happens.
+/// Time for which a replica may hold its answer to a long poll while there are no changes. It is
+/// also the interval between two heartbeats of an entry VM when nothing happens.
 pub const LONG_POLL_HOLD: Duration = Duration::from_millis(800);
 
-/// Time after which a replica's answer is late, and others are asked beside: a way there and back
-/// between regions, 110 ms, and a busy moment.
+/// Time after which an answer is late and other replicas are probed in parallel:
+/// [`LONG_POLL_HOLD`], a round trip between regions of 110 ms, and some delay under load.
 pub const HEDGE_AFTER: Duration = Duration::from_secs(1);
 
-/// Time after which a replica counts as silent: [`LONG_POLL_HOLD`] and four ways there and back between
-/// regions, 110 ms each.
+/// Time after which a replica counts as unresponsive: [`LONG_POLL_HOLD`] and four round trips
+/// between regions of 110 ms each.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_250);
 
-/// Time for which the first answer of a replica is awaited: a connection and a question, each
-/// a way there and back of 110 ms at most. A replica that is dark or cut off answers nothing,
-/// and others are asked all the sooner.
+/// Time-out of the first answer of a replica: a connection and a request, each a round trip of at
+/// most 110 ms. An unreachable or partitioned replica does not answer, and a short time-out means
+/// that others are tried sooner.
 const FIRST_ANSWER: Duration = Duration::from_millis(300);
 
-/// Says how long to wait for the first answer of a replica.
+/// Adaptive time-out of the first answer of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaTimeout {
-    /// It doubles while nobody answers: a link that is full delays every answer, and changing
-    /// replicas helps nobody then.
+    /// Doubles while no replica answers: a saturated link delays every answer, and switching
+    /// replicas does not help then.
     first: Duration,
 }
 
@@ -36,18 +36,19 @@
 }
 
 impl ReplicaTimeout {
-    /// Returns for how long the first answer of a replica is awaited.
+    /// Returns the time-out of the first answer.
     #[must_use]
     pub const fn first(&self) -> Duration {
         self.first
     }
 
-    /// Notes an answer that is of use.
+    /// Records a usable answer, which resets the time-out.
     pub const fn note_answer(&mut self) {
         self.first = FIRST_ANSWER;
     }
 
-    /// Notes that there was none in time.
+    /// Records that no replica answered in time, which doubles the time-out up to
+    /// [`ANSWER_TIMEOUT`].
     pub fn note_timeout(&mut self) {
         self.first = (self.first * 2).min(ANSWER_TIMEOUT);
     }
--- a/lib/src/session_relay.rs
+++ b/lib/src/session_relay.rs
@@ -1,10 +1,10 @@
-//! Sessions of entry VMs kept through relays of their region.
+//! Renews sessions of entry VMs through relays in their region.
 //!
-//! Control's work grows with the number of calls that it answers. In a region with many
-//! entry VMs two of them collect the others' renewals, hand them on as one call, and pass
-//! changes of the view on from their own copy. Control then sees calls by region and not
-//! by entry VM. A relay decides nothing: every grant is control's, given after a quorum
-//! round.
+//! Control's load grows with the number of calls that it answers. In a region with many entry VMs,
+//! two of them collect the renewals of the others, forward them to control as one call, and
+//! distribute changes of the view from their own copy. Control then handles calls per region
+//! instead of per entry VM. A relay decides nothing: every lease is granted by control after a
+//! quorum round.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,22 +23,22 @@
 use crate::view::EntryInfo;
 use crate::view::EntrySession;
 
-/// Relays in a region. The second one takes over when the first one is silent.
+/// Number of relays in a region. The second one takes over when the first one does not respond.
 pub const RELAYS_PER_REGION: usize = 2;
 
-/// Time for which renewals are collected while none brings an acknowledgement.
+/// Time for which renewals are collected while none acknowledges a newer revision.
 ///
-/// Answers are held back about as long, so this costs no more calls and leaves most of
-/// the usual lease for finding out that a relay has failed.
+/// Answers are held for about as long, so this does not increase the number of calls, and most of
+/// the usual lease remains to detect that a relay has failed.
 const BATCH_WINDOW: Duration = Duration::from_millis(500);
 
-/// Time for which renewals are collected once one acknowledges a newer revision: others
-/// wait for that revision to settle.
+/// Time for which renewals are collected once one acknowledges a newer revision, since others wait
+/// for that revision to settle.
 const URGENT_BATCH_WINDOW: Duration = Duration::from_millis(5);
 
 /// Returns the relays of a region, or none if it has fewer than `min_entries` entry VMs.
 ///
-/// Every entry VM with the same view gets the same answer.
+/// Every entry VM with the same view gets the same result.
 #[must_use]
 pub fn relays<'v>(
     view: &'v ControlView,
@@ -58,8 +58,8 @@
     sessions
 }
 
-/// Returns the relays that the session `own` should ask, the preferred one first; none if
-/// it is a relay itself or there are none.
+/// Returns the relays to which the session `own` should send its renewals, the preferred one first;
+/// none if it is a relay itself or its region has none.
 #[must_use]
 pub fn relays_of(view: &ControlView, own: SessionId, min_entries: usize) -> Vec<&EntrySession> {
     let Some(asking) = view.sessions.get(&own) else {
@@ -78,7 +78,7 @@
     let mut hasher = blake3::Hasher::new();
     for info in infos {
         let name = info.vm.as_str();
-        // The length keeps "a" + "bc" apart from "ab" + "c".
+        // Hashing the length distinguishes "a" + "bc" from "ab" + "c".
         hasher.update(&name.len().to_le_bytes());
         hasher.update(name.as_bytes());
     }
@@ -86,73 +86,73 @@
 }
 
 new_key_type! {
-    /// Identifies a request that waits at a relay.
+    /// Identifies a request held by a relay.
     pub struct RelayedKey;
 }
 
-/// Holds a request of an entry VM to renew its session.
+/// Request of an entry VM to renew its session.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RelayedRenewal {
     /// The session.
     pub session: SessionId,
-    /// The last revision that the entry VM has applied.
+    /// Last revision that the entry VM has applied.
     pub applied: Revision,
-    /// The highest settled revision that it knows.
+    /// Highest settled revision that it knows.
     pub known_settled: Revision,
-    /// How long the answer may be held back while there is nothing new.
+    /// Time for which the answer may be held while there are no changes.
     pub wait: Duration,
 }
 
-/// Names a session and what its entry VM has applied, as handed on to control.
+/// A session and the revision that its entry VM has applied, as forwarded to control.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Acknowledgement {
     /// The session.
     pub session: SessionId,
-    /// The last revision that the entry VM has applied.
+    /// Last revision that the entry VM has applied.
     pub applied: Revision,
 }
 
-/// Holds control's answer to a batch.
+/// Control's answer to a batch of renewals.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BatchGrant {
-    /// The lease, counted by each entry VM from when it sent its request.
+    /// Lease duration, counted by each entry VM from when it sent its request.
     pub lease: Duration,
-    /// Revision of control's view when it granted.
+    /// Revision of control's view when it granted the lease.
     pub revision: Revision,
-    /// The settled revision.
+    /// Settled revision.
     pub settled: Revision,
     /// Sessions of the batch that have lapsed.
     pub lost: BTreeSet<SessionId>,
 }
 
-/// Answers one request.
+/// Answer to one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RelayAnswer {
-    /// The lease is extended; the view from `applied` on is to be sent along.
+    /// The lease is extended; the changes of the view after `applied` are to be sent along.
     Granted {
         /// The session.
         session: SessionId,
-        /// The revision that the entry VM has.
+        /// Revision that the entry VM has applied.
         applied: Revision,
-        /// The lease; zero if only a change is told.
+        /// Lease duration; zero if the answer only delivers a change.
         lease: Duration,
-        /// The settled revision.
+        /// Settled revision.
         settled: Revision,
     },
     /// The session has lapsed.
     Lost,
-    /// Control gave no grant; another replica or relay should be asked.
+    /// Control granted nothing; the entry VM should ask another replica or relay.
     NoGrant,
 }
 
-/// Says how far a request has come.
+/// Processing stage of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
-    /// It waits for the next batch.
+    /// Waits for the next batch.
     Collected,
-    /// It is in the batch that control has.
+    /// Part of the batch that was sent to control.
     InFlight,
-    /// Control has granted it, when at this revision.
+    /// Granted by control, whose view had this revision.
     Granted { lease: Duration, revision: Revision },
 }
 
@@ -163,11 +163,11 @@
     stage: Stage,
 }
 
-/// Collects renewals, and holds granted ones back until there is something new.
+/// Collects renewals into batches, and holds granted ones until there are changes.
 #[derive(Debug, Default)]
 pub struct SessionRelay {
     requests: SlotMap<RelayedKey, PendingRenewal>,
-    /// What control was told of each session, to notice news.
+    /// Revision last acknowledged to control for each session, to detect newer ones.
     acknowledged: BTreeMap<SessionId, Revision>,
     flush_at: Option<Instant>,
     in_flight: bool,
@@ -175,7 +175,7 @@
 }
 
 impl SessionRelay {
-    /// Takes in a request.
+    /// Adds a request to the next batch.
     pub fn renew(&mut self, now: Instant, renewal: RelayedRenewal) -> RelayedKey {
         let acknowledged = self.acknowledged.get(&renewal.session);
         let has_changes = acknowledged.is_none_or(|acknowledged| *acknowledged < renewal.applied);
@@ -193,11 +193,11 @@
         })
     }
 
-    /// Returns the next batch for control, if one is due and none is on its way.
+    /// Returns the next batch for control, if one is due and none is in flight.
     ///
-    /// Only requests that arrived before this moment are in it. Were a later one granted
-    /// by this batch's answer, its entry VM would count the lease from after control
-    /// does, and serve on when control has given its backend servers to another.
+    /// It contains only requests that arrived before this call. If the answer to this batch granted
+    /// a later request, its entry VM would count the lease from a later moment than control does,
+    /// and could still serve when control has assigned its backend servers to another.
     pub fn take_batch(&mut self, now: Instant) -> Option<Vec<Acknowledgement>> {
         if self.in_flight || self.flush_at.is_none_or(|at| now < at) {
             return None;
@@ -221,7 +221,7 @@
         Some(batch.collect())
     }
 
-    /// Takes control's answer to the batch; returns the requests that end with it.
+    /// Handles control's answer to the batch. Returns the requests that it completes.
     pub fn batch_granted(&mut self, grant: &BatchGrant) -> Vec<(RelayedKey, RelayAnswer)> {
         self.in_flight = false;
         self.settled = self.settled.max(grant.settled);
@@ -245,7 +245,7 @@
         self.remove_all(lost)
     }
 
-    /// Notes that control gave no answer; returns the requests of the batch.
+    /// Records that control did not answer. Returns the requests of the batch.
     pub fn batch_failed(&mut self) -> Vec<(RelayedKey, RelayAnswer)> {
         self.in_flight = false;
         let in_flight = self.requests.iter();
@@ -256,12 +256,12 @@
         self.remove_all(failed)
     }
 
-    /// Returns the requests to answer now, `revision` and `settled` being what the relay's
-    /// own session knows: granted ones, and those for which a change can't wait.
+    /// Returns the requests to answer now: granted ones that are due, and those with a change to
+    /// deliver. `revision` and `settled` are those known to the relay's own session.
     ///
-    /// A grant waits until the relay has seen the revision at which control gave it.
-    /// Otherwise a relay that is behind would let an entry VM go on with an older view
-    /// than one that control itself would have sent along.
+    /// A grant is held until the relay has seen the revision at which control gave it. Otherwise a
+    /// relay that lags behind would let an entry VM continue with an older view than control itself
+    /// would have sent along.
     pub fn answers(
         &mut self,
         now: Instant,
@@ -278,13 +278,13 @@
         self.remove_all(due)
     }
 
-    /// Forgets what was told of sessions that `view` doesn't have any more.
+    /// Drops the acknowledged revisions of sessions that are no longer part of `view`.
     pub fn retain_sessions(&mut self, view: &ControlView) {
         self.acknowledged
             .retain(|session, _| view.sessions.contains_key(session));
     }
 
-    /// Returns when something is due at the latest.
+    /// Returns the time by which a batch or answer is due, if any.
     #[must_use]
     pub fn next_wake(&self) -> Option<Instant> {
         let flush = self.flush_at.filter(|_| !self.in_flight);
@@ -321,9 +321,9 @@
             settled,
         };
         let (lease, granted_at) = match self.stage {
-            // Waiting for control's grant first would spread a change over half a second,
-            // in which entry VMs disagree on owners and refuse each other's requests. The
-            // change is told without a lease; the next request brings that.
+            // The change is delivered at once without a lease, which the next request obtains.
+            // Waiting for control's grant would spread a change over half a second, during which
+            // entry VMs disagree on owners and refuse each other's requests.
             Stage::Collected => return has_changes.then(|| answer(Duration::ZERO)),
             Stage::InFlight => return None,
             Stage::Granted { lease, revision } => (lease, revision),
--- a/lib/src/session_tracker.rs
+++ b/lib/src/session_tracker.rs
@@ -1,8 +1,8 @@
-//! The leader's account of sessions: when each lapses, and what each has applied.
+//! The leader's record of sessions: when each lapses, and which revision each has applied.
 //!
-//! The account is volatile. A new leader starts it afresh with [`SessionTracker::reset`]
-//! and thereby gives every session a full lease and margin once more: it can't know
-//! what its predecessor granted a moment ago.
+//! The record is volatile. A new leader rebuilds it with [`SessionTracker::reset`] and thereby
+//! gives every session a full lease and margin again, since it cannot know what its predecessor
+//! granted just before.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,24 +12,24 @@
 use crate::id::Revision;
 use crate::id::SessionId;
 
-/// Tells whether a renewal may be granted.
+/// Whether a renewal may be granted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[must_use]
 pub enum Renewal {
-    /// The session's lease may be extended.
+    /// The session's lease is extended.
     Granted,
-    /// The session is unknown, or its lapse was decided; nothing may be granted.
+    /// The session is unknown, or its lapse has been proposed; nothing may be granted.
     Refused,
 }
 
-/// Accounts for one session.
+/// Record of one session.
 #[derive(Clone, Copy, Debug)]
 struct Tracked {
-    /// When lease and margin run out.
+    /// When lease and margin expire.
     lapses_at: Instant,
-    /// The highest revision that the entry said it has applied.
+    /// Highest revision that the entry reported as applied.
     acknowledged: Revision,
-    /// When the lapse is to be proposed again, once it was proposed.
+    /// When the lapse is to be proposed again; `None` if it has not been proposed yet.
     propose_again_at: Option<Instant>,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Accounts for all sessions, at the leader.
+/// Tracks the leases of all sessions at the leader.
 #[derive(Clone, Debug)]
 pub struct SessionTracker {
     lease: Duration,
@@ -51,11 +51,10 @@
 }
 
 impl SessionTracker {
-    /// Creates an account without sessions.
+    /// Creates a tracker without sessions.
     ///
-    /// `lease` is what entries are granted, counted from the moment at which they sent
-    /// their request. `margin` covers the difference in rate of the two clocks over
-    /// one lease.
+    /// `lease` is the duration granted to entries, counted from the moment at which they sent their
+    /// request. `margin` covers the clock drift between entry and leader over one lease.
     #[must_use]
     pub const fn new(lease: Duration, margin: Duration) -> Self {
         Self {
@@ -65,17 +64,18 @@
         }
     }
 
-    /// Returns the lease that a granted renewal carries.
+    /// Returns the duration of the lease that a granted renewal carries.
     #[must_use]
     pub const fn lease(&self) -> Duration {
         self.lease
     }
 
-    /// Starts afresh with the open `sessions` at the beginning of a leadership.
+    /// Discards all records and starts a full lease for each of the open `sessions`, at the
+    /// beginning of a leadership.
     ///
-    /// To be called once the leader has applied its own first log entry. Until then its
-    /// log may hold a lapse that its predecessor proposed and that isn't applied yet;
-    /// granting a renewal to that session would let a lapsed entry go on.
+    /// Must not be called before the leader has applied its own first log entry. Until then its log
+    /// may contain a lapse that its predecessor proposed and that is not applied yet; granting a
+    /// renewal to that session would let a lapsed entry continue.
     pub fn reset(&mut self, now: Instant, sessions: impl IntoIterator<Item = SessionId>) {
         self.sessions.clear();
         for session in sessions {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Notes that `session` was opened; its lease starts at `now`.
+    /// Records that `session` was opened; its lease starts at `now`.
     pub fn opened(&mut self, session: SessionId, now: Instant) {
         let tracked = Tracked {
             lapses_at: self.lapses_at(now),
@@ -93,17 +93,17 @@
         self.sessions.insert(session, tracked);
     }
 
-    /// Notes that `session` has lapsed or closed.
+    /// Records that `session` has lapsed or was closed.
     pub fn removed(&mut self, session: SessionId) {
         self.sessions.remove(&session);
     }
 
-    /// Decides on a renewal whose request arrived at `received_at`, and notes that the
-    /// entry has applied `applied`.
+    /// Decides on a renewal whose request arrived at `received_at`, and records that the entry has
+    /// applied `applied`.
     ///
-    /// To be called when the read barrier that began after `received_at` is passed.
-    /// Once the lapse of a session was handed out by [`Self::lapsed`] it is never
-    /// renewed again, whatever became of the proposal: it may be committed any time.
+    /// To be called when the read barrier that began after `received_at` has passed. A session
+    /// whose lapse was returned by [`Self::lapsed`] is never renewed again, whatever happened to
+    /// the proposal, since it may be committed at any time.
     pub fn renewed(
         &mut self,
         session: SessionId,
@@ -117,7 +117,7 @@
         if tracked.propose_again_at.is_some() {
             return Renewal::Refused;
         }
-        // Requests may finish in another order than they arrived in.
+        // Requests may complete out of order.
         tracked.lapses_at = tracked.lapses_at.max(lapses_at);
         tracked.acknowledged = tracked.acknowledged.max(applied);
         Renewal::Granted
@@ -129,7 +129,7 @@
 
     /// Returns the sessions whose lapse is to be proposed now.
     ///
-    /// A session whose lapse doesn't get committed is returned again after a lease.
+    /// A session whose lapse is not committed is returned again after the duration of a lease.
     pub fn lapsed(&mut self, now: Instant) -> Vec<SessionId> {
         let again = now + self.lease;
         let mut lapsed = Vec::new();
@@ -142,37 +142,37 @@
         lapsed
     }
 
-    /// Returns when [`Self::lapsed`] will next have something to return.
+    /// Returns when [`Self::lapsed`] will next return a session.
     #[must_use]
     pub fn next_wake(&self) -> Option<Instant> {
         self.sessions.values().map(Tracked::next_wake).min()
     }
 
-    /// Returns how much is left of a session's lease and margin; `None` if the session
-    /// isn't tracked.
+    /// Returns the remaining time of a session's lease and margin; `None` if the session is not
+    /// tracked.
     #[must_use]
     pub fn lease_left(&self, session: SessionId, now: Instant) -> Option<Duration> {
         let tracked = self.sessions.get(&session)?;
         Some(tracked.lapses_at.saturating_duration_since(now))
     }
 
-    /// Returns the highest revision that a session has acknowledged; `None` if the
-    /// session isn't tracked.
+    /// Returns the highest revision that a session has acknowledged; `None` if the session is not
+    /// tracked.
     #[must_use]
     pub fn acknowledged(&self, session: SessionId) -> Option<Revision> {
         Some(self.sessions.get(&session)?.acknowledged)
     }
 
-    /// Returns the settled revision: the highest *r* up to the last change of the view
-    /// such that each open session that was opened before *r* has acknowledged *r*.
+    /// Returns the settled revision: the highest *r* up to the last change of the view such that
+    /// each open session that was opened before *r* has acknowledged *r*.
     ///
-    /// A session starts with a view at least as new as its own opening, so it never acts
-    /// on anything older than that, and holds back only what came later. Sessions that
-    /// the state has and the account hasn't count as having acknowledged nothing.
+    /// A session starts with a view at least as new as its own opening, so it never acts on
+    /// anything older and delays only later revisions. Sessions that are in the state but not
+    /// tracked count as having acknowledged nothing.
     ///
-    /// After a change of leader the value may be lower than one that was told before,
-    /// until entries have renewed. It is a lower bound each time, and what was settled
-    /// once stays so; whoever receives values keeps the highest.
+    /// After a change of leader the value may be lower than one that was returned before, until
+    /// entries have renewed. Each value is a lower bound, and a revision once settled remains
+    /// settled; receivers keep the highest value.
     #[must_use]
     pub fn settled_revision(&self, state: &ControlState) -> Revision {
         let view = state.view();
--- a/lib/src/view.rs
+++ b/lib/src/view.rs
@@ -1,7 +1,7 @@
-//! What every entry VM knows of the replicated state, and how it changes.
+//! Entry VMs' view of the replicated state, and its changes.
 //!
-//! Control sends a whole view when a session opens and afterwards one
-//! [`ViewChange`] for each log position that matters to entry VMs, in log order.
+//! Control sends the whole view when a session opens, and afterwards one [`ViewChange`] in log
+//! order for each log entry that matters to entry VMs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,148 +25,148 @@
 use crate::manifest_delta::DeltaError;
 use crate::manifest_delta::ManifestDelta;
 
-/// Tells where an entry VM is and how it is reached.
+/// Location and addresses of an entry VM.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EntryInfo {
-    /// The VM's name, from its settings.
+    /// Name of the VM, from its settings.
     pub vm: VmName,
-    /// The place that the VM stands in.
+    /// Failure domain (place) in which the VM runs.
     pub place: PlaceName,
-    /// The region of that place.
+    /// Region of that place.
     pub region: RegionName,
-    /// Where callers look up and send their requests (HTTP).
+    /// HTTP address at which callers look up backend servers and send their requests.
     pub callers: SocketAddr,
-    /// Where backend servers announce themselves (HTTP).
+    /// HTTP address at which backend servers announce themselves.
     pub backend_servers: SocketAddr,
-    /// Where other entry VMs reach it (gRPC).
+    /// gRPC address for other entry VMs.
     pub peers: SocketAddr,
-    /// Where other entry VMs forward requests to (HTTP/2).
+    /// HTTP/2 address to which other entry VMs forward requests.
     pub forward: SocketAddr,
 }
 
-/// Holds one session of an entry VM.
+/// A session of an entry VM.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EntrySession {
-    /// Identifies the session, and with it one life of the entry's process.
+    /// Identifies the session, and with it one incarnation of the entry's process.
     pub id: SessionId,
-    /// Where the entry VM is.
+    /// Location and addresses of the entry VM.
     pub info: EntryInfo,
-    /// Set once the entry leaves: it owns nothing and is named in no look-up.
+    /// Set once the entry is leaving: it owns nothing and is not returned by look-ups.
     pub leaving: bool,
 }
 
-/// Holds a manifest in force.
+/// A manifest in force.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ManifestInForce {
-    /// The revision that accepted it.
+    /// Revision at which the manifest was accepted.
     pub revision: Revision,
     /// Digest of the content that the operator submitted.
     pub digest: ContentDigest,
-    /// The checked manifest.
+    /// The validated manifest.
     pub manifest: Manifest,
 }
 
-/// Holds what an entry VM knows of the replicated state at one revision.
+/// An entry VM's view of the replicated state at one revision.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ControlView {
-    /// The last revision that this view includes.
+    /// Last revision that this view includes.
     pub revision: Revision,
-    /// The manifest in force, once one was accepted.
+    /// Manifest in force; `None` until one is accepted.
     pub manifest: Option<Arc<ManifestInForce>>,
-    /// Sessions that haven't lapsed or ended.
+    /// Sessions that have neither lapsed nor been closed.
     pub sessions: BTreeMap<SessionId, EntrySession>,
 }
 
-/// Holds one change of the replicated state as far as entry VMs need it.
+/// A change of the replicated state that is relevant to entry VMs.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ViewChange {
-    /// The revision of the change; higher than that of the view it applies to.
+    /// Revision of the change; higher than that of the view to which it applies.
     pub revision: Revision,
-    /// What changed.
+    /// The change itself.
     pub kind: ViewChangeKind,
 }
 
-/// Tells what changed.
+/// Kind of a change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ViewChangeKind {
     /// A manifest was accepted.
     Manifest(ManifestChange),
     /// A session was opened.
     SessionOpened(EntrySession),
-    /// The entry of a session began to leave.
+    /// The entry of a session is leaving.
     SessionLeaving(SessionId),
-    /// A session lapsed: its process has surely stopped dispatching, but requests that
-    /// it had dispatched may still run until their deadlines.
+    /// A session lapsed: its process has certainly stopped dispatching, but requests that it had
+    /// dispatched may run until their deadlines.
     SessionLapsed(SessionId),
-    /// A session ended: its process had finished everything that it had dispatched.
+    /// A session was closed: its process had completed everything that it had dispatched.
     SessionClosed(SessionId),
 }
 
-/// Carries an accepted manifest.
+/// An accepted manifest, whole or as a delta.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ManifestChange {
     /// The whole manifest.
     Whole(Arc<ManifestInForce>),
-    /// What differs from the manifest with the digest `base`.
+    /// Difference from the manifest with the digest `base`.
     Delta {
         /// Digest of the manifest that the delta applies to.
         base: ContentDigest,
-        /// Digest of the manifest that results.
+        /// Digest of the resulting manifest.
         digest: ContentDigest,
-        /// The difference, in the encoding of `manifest_delta`.
+        /// Encoded [`ManifestDelta`].
         delta: Vec<u8>,
     },
 }
 
-/// Tells why a change couldn't be applied to a view.
+/// Reason why a change could not be applied to a view.
 #[derive(Debug, Snafu)]
 pub enum ViewError {
-    /// The change is part of the view already, or older.
-    #[snafu(display("change {change} isn't newer than view {view}"))]
+    /// The change is not newer than the view.
+    #[snafu(display("change {change} is not newer than view {view}"))]
     NotNewer {
         /// Revision of the change.
         change: Revision,
         /// Revision of the view.
         view: Revision,
     },
-    /// A delta came although the view holds no manifest.
-    #[snafu(display("change {change} is a delta, and the view holds no manifest"))]
+    /// The change is a delta, but the view holds no manifest.
+    #[snafu(display("change {change} is a manifest delta, but the view holds no manifest"))]
     MissingBase {
         /// Revision of the change.
         change: Revision,
     },
-    /// A delta was made from another manifest than the view's.
-    #[snafu(display("the delta applies to {expected}; the view holds {found}"))]
+    /// The delta is based on another manifest than the view's.
+    #[snafu(display("the manifest delta applies to {expected}, but the view holds {found}"))]
     WrongBase {
         /// Digest of the manifest that the delta applies to.
         expected: ContentDigest,
         /// Digest of the manifest in the view.
         found: ContentDigest,
     },
-    /// A delta couldn't be read or gave another manifest than expected.
-    #[snafu(display("the manifest of change {change} can't be restored"))]
+    /// The delta cannot be decoded, or does not apply to the view's manifest.
+    #[snafu(display("the manifest delta of change {change} cannot be applied"))]
     Delta {
         /// Revision of the change.
         change: Revision,
-        /// The cause.
+        /// The underlying error.
         source: DeltaError,
     },
-    /// A manifest came whose version doesn't exceed that of the view's.
-    #[snafu(display("manifest version {change} isn't above version {view}"))]
+    /// The version of the manifest does not exceed that of the view's manifest.
+    #[snafu(display("manifest version {change} is not higher than version {view}"))]
     ManifestNotNewer {
         /// Version in the change.
         change: ManifestVersion,
         /// Version in the view.
         view: ManifestVersion,
     },
-    /// The change concerns a session that the view doesn't hold.
-    #[snafu(display("session {session} isn't part of the view"))]
+    /// The change refers to a session that the view does not contain.
+    #[snafu(display("session {session} is not part of the view"))]
     UnknownSession {
         /// The session.
         session: SessionId,
     },
-    /// The change opens a session that the view holds already.
-    #[snafu(display("session {session} is part of the view already"))]
+    /// The change opens a session that the view already contains.
+    #[snafu(display("session {session} is already part of the view"))]
     DuplicateSession {
         /// The session.
         session: SessionId,
@@ -178,11 +178,11 @@
     ///
     /// # Errors
     ///
-    /// Returns an error, and leaves the view as it was, if the change isn't newer than
-    /// the view or doesn't fit it. The holder then asks control for the whole view.
+    /// Returns an error and leaves the view unchanged if the change is not newer than the view or
+    /// cannot be applied to it. The caller then requests the whole view from control.
     pub fn apply(&mut self, change: &ViewChange) -> Result<(), ViewError> {
-        // Replies that overtake each other, or come from a replica that is behind,
-        // would otherwise bring back an older manifest or a session that is gone.
+        // Replies that arrive out of order, or come from a replica that lags behind, would
+        // otherwise restore an older manifest or a session that no longer exists.
         ensure!(
             change.revision > self.revision,
             NotNewerSnafu {
--- a/lib/src/view_log.rs
+++ b/lib/src/view_log.rs
@@ -1,4 +1,4 @@
-//! The recent changes of the view, so that entry VMs can resume from an older one.
+//! Recent changes of the view, from which entry VMs can resume.
 
 use std::collections::VecDeque;
 
@@ -13,11 +13,11 @@
 /// Number of changes kept.
 pub const VIEW_LOG_CAPACITY: usize = 1_024;
 
-/// Number of whole manifests kept among the changes. An entry that would need more of
-/// them is better served with the whole view.
+/// Number of whole manifests kept among the changes. An entry that needs more of them is better
+/// served with the whole view.
 pub const WHOLE_MANIFEST_CAPACITY: usize = 4;
 
-/// Holds the latest changes, in log order.
+/// The latest changes, in log order.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ViewLog {
     changes: VecDeque<ViewChange>,
@@ -26,7 +26,7 @@
 }
 
 impl ViewLog {
-    /// Creates a log that knows nothing of what came up to `revision`.
+    /// Creates an empty log that starts after `revision`.
     #[must_use]
     pub fn starting_at(revision: Revision) -> Self {
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Adds a change; the oldest give way beyond the capacities.
+    /// Appends a change, dropping the oldest ones beyond the capacities.
     pub fn push(&mut self, change: ViewChange) {
         self.changes.push_back(change);
         while self.overflows() {
