--- a/lib/tests/entry_model/mod.rs
+++ b/lib/tests/entry_model/mod.rs
@@ -1,10 +1,10 @@
-//! A deterministic model of control and of entry VMs with delays of their own.
+//! Deterministic model of control and of entry VMs with message delays.
 //!
-//! Control keeps the log of views, leases and acknowledgements as docs/architecture.md
-//! says; entry VMs learn of it late, freeze, lapse, leave and come back. Time passes in
-//! steps of [`STEP`].
+//! Control keeps the log of views, the leases and the acknowledgements as described in
+//! docs/architecture.md. Entry VMs receive changes late, freeze, lapse, leave and return. Time
+//! advances in steps of [`STEP`].
 
-// Each test binary uses its part of this module.
+// Each test binary uses only a part of this module.
 #![allow(dead_code)]
 
 #[path = "../common/entry_sample.rs"]
@@ -51,7 +51,7 @@
     ServiceName::new(SERVICE)
 }
 
-/// Builds a manifest of one service; each place is `(place, region)`.
+/// Builds a manifest with one service; each place is given as `(place, region)`.
 pub fn manifest(places: &[(&str, &str)], limit: PlaceLimit) -> Manifest {
     manifest_with_deadline(places, limit, 1_000)
 }
@@ -133,7 +133,7 @@
     })
 }
 
-/// What an entry VM decides with, under one session.
+/// Decision logic of an entry VM under one session.
 pub trait Decider {
     fn start(session: SessionId) -> Self;
     fn apply_view(&mut self, now: Instant, view: &Arc<ControlView>, step: ViewStep);
@@ -141,7 +141,7 @@
     fn extend_lease(&mut self, until: Instant);
 }
 
-/// Control's log and what it knows of the sessions.
+/// Control's log and its record of the sessions.
 pub struct Control {
     views: Vec<Arc<ControlView>>,
     contacts: BTreeMap<SessionId, SessionContact>,
@@ -163,14 +163,14 @@
     }
 
     pub fn view(&self) -> &Arc<ControlView> {
-        self.views.last().expect("there is always a view")
+        self.views.last().expect("the log is never empty")
     }
 
     pub fn settled(&self) -> Revision {
         self.settled
     }
 
-    /// Appends a change to the log.
+    /// Appends a change to the log and returns its revision.
     pub fn append(&mut self, change: impl FnOnce(&mut ControlView)) -> Revision {
         let mut next = ControlView::clone(self.view());
         next.revision = next.revision.next();
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Lapses sessions that weren't heard of for a lease and a margin.
+    /// Lapses sessions that sent nothing for a lease and a margin.
     fn lapse(&mut self, now: Instant) {
         let over = |contact: &SessionContact| now > contact.at + LEASE + LEASE_MARGIN;
         let lapsed: Vec<SessionId> = self
@@ -257,7 +257,7 @@
     }
 }
 
-/// What travels from control to an entry VM.
+/// Message in transit from control to an entry VM.
 struct Reply {
     arrives: Instant,
     sent: Instant,
@@ -270,7 +270,7 @@
     Lost,
 }
 
-/// What travels from an entry VM to control.
+/// Message in transit from an entry VM to control.
 struct Sync {
     arrives: Instant,
     sent: Instant,
@@ -285,9 +285,9 @@
     pub decider: Option<D>,
     pub view: Arc<ControlView>,
     pub frozen_until: Instant,
-    /// Until when nothing passes between it and control, while it goes on working.
+    /// End of a network partition from control, during which the entry VM continues to work.
     pub cut_until: Instant,
-    /// Longest delay of a message to or from control.
+    /// Highest delay of a message to or from control, in milliseconds.
     pub max_delay_ms: u64,
     next_sync: Instant,
     syncs: Vec<Sync>,
@@ -314,7 +314,7 @@
         now < self.frozen_until
     }
 
-    /// Kills the process and starts it again: a new life without a session.
+    /// Kills the process and starts a new incarnation without a session.
     pub fn restart(&mut self, now: Instant) {
         *self = Self::new(now, self.info.clone(), self.max_delay_ms);
     }
@@ -348,7 +348,7 @@
     }
 
     fn send_sync(&mut self, now: Instant, rng: &mut ChaCha8Rng) {
-        // One call at a time, as in the real process.
+        // As in the real process, only one call is in flight at a time.
         if now < self.next_sync || !self.syncs.is_empty() || !self.replies.is_empty() {
             return;
         }
@@ -410,7 +410,7 @@
     if !control.record_contact(now, session, sync.applied) {
         return ReplyKind::Lost;
     }
-    let from = usize::try_from(sync.applied.0 + 1).expect("few revisions");
+    let from = usize::try_from(sync.applied.0 + 1).expect("revision exceeds usize");
     ReplyKind::Granted(control.views[from..].to_vec(), control.settled)
 }
 
@@ -430,7 +430,7 @@
         }
     }
 
-    /// Lets one step of time pass.
+    /// Advances time by one step.
     pub fn step(&mut self, rng: &mut ChaCha8Rng) {
         self.now += STEP;
         self.control.lapse(self.now);
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -1,6 +1,7 @@
-//! One entry VM that follows control by a plan, and replicas that are lost, in time of its own.
+//! Simulation of one entry VM that follows control by a [`FollowPlan`] while replicas fail, in
+//! virtual time.
 //!
-//! What becomes of a question is worked out when it is asked: losses are known beforehand.
+//! The outcome of a request is computed when it is sent, since all failures are known in advance.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,26 +19,26 @@
 use heatherring_lib::replica_choice::Unusable;
 use heatherring_lib::replica_timeout::LONG_POLL_HOLD;
 
-/// Age up to which a replica's last proof that it is current counts.
+/// Age up to which a replica's last proof of being current is valid.
 const MAX_PROOF_AGE: Duration = Duration::from_millis(950);
 
-/// Time between two steps in which what is in force is looked at.
+/// Interval at which the manifest in force is sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Says what is wrong with a replica.
+/// Kind of failure of a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FaultKind {
-    /// Nothing reaches it or comes from it.
+    /// No packet reaches it or leaves it.
     Unreachable,
-    /// Its process does nothing, and goes on with what it has.
+    /// Its process is suspended, and later resumes with its state.
     Frozen,
-    /// Its process is gone; connections are refused.
+    /// Its process has ended; connections are refused.
     Killed,
-    /// The other replicas can't reach it.
+    /// It is partitioned from the other replicas, but reachable by entry VMs.
     Partitioned,
 }
 
-/// Holds what is wrong with one replica, and from when until when.
+/// Failure of one replica during an interval.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
     pub replica: usize,
@@ -52,15 +53,15 @@
     }
 }
 
-/// Describes the replicas and their links.
+/// Replicas, their network latency and failures, and the confirmed changes.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The place of each replica; each region has two places.
+    /// Place of each replica; each region has two places.
     pub places: Vec<usize>,
-    /// Time of one way between two regions.
+    /// One-way latency between two regions.
     pub between_regions: Duration,
     pub outages: Vec<Outage>,
-    /// When changes are confirmed.
+    /// Times at which changes are confirmed.
     pub changes: Vec<Duration>,
     pub ends: Duration,
 }
@@ -70,7 +71,7 @@
         place / 2
     }
 
-    /// Returns the replicas of which `matches` holds by place and region.
+    /// Returns the replicas whose place and region satisfy `matches`.
     pub fn replicas(&self, matches: impl Fn(usize, usize) -> bool) -> Vec<usize> {
         let places = self.places.iter().enumerate();
         places
@@ -101,7 +102,7 @@
         outages.map(|outage| outage.from).min()
     }
 
-    /// Returns how many changes a replica has applied.
+    /// Returns how many changes a replica has applied at `at`.
     fn applied(&self, replica: usize, at: Duration) -> usize {
         let known_until = self
             .start_of(replica, FaultKind::Partitioned, at)
@@ -116,7 +117,7 @@
         cut_at.is_none_or(|cut_at| at < cut_at + MAX_PROOF_AGE)
     }
 
-    /// Returns when a replica that is asked at `at` does anything; nothing if it doesn't.
+    /// Returns when a replica processes a request that arrives at `at`; `None` if it never does.
     fn responds_at(&self, replica: usize, at: Duration) -> Option<Duration> {
         if self.is_in(replica, FaultKind::Unreachable, at) {
             return None;
@@ -127,7 +128,7 @@
     }
 }
 
-/// Tells what a replica answered.
+/// Answer of a replica.
 #[derive(Clone, Copy, Debug)]
 enum Reply {
     Refused,
@@ -138,11 +139,11 @@
 struct PendingReply {
     at: Duration,
     reply: Reply,
-    /// Whether it answers a question for news.
+    /// Whether it answers a poll.
     is_poll: bool,
 }
 
-/// Runs the entry VM of a place.
+/// Runs the entry VM of one place.
 pub struct Model<'a> {
     scenario: &'a Scenario,
     place: usize,
@@ -154,7 +155,7 @@
     in_force: Vec<Option<Duration>>,
     pending: BTreeMap<SocketAddr, PendingReply>,
     connected: BTreeMap<SocketAddr, bool>,
-    /// Questions that were asked.
+    /// Number of requests sent.
     pub requests_sent: usize,
     /// Time for which a replica of another region was followed.
     pub far_followed: Duration,
@@ -207,14 +208,17 @@
         }
     }
 
-    /// Runs to the end. Returns for each change how long it took to be in force; until the end
-    /// for those that weren't.
+    /// Runs the scenario to its end. Returns for each change the time until it was in force, or
+    /// until the end if it never was.
     pub fn run(&mut self) -> Vec<Duration> {
         while self.now < self.scenario.ends {
             let steps = self.plan.wake(self.base + self.now);
             self.execute(steps);
             let wake = self.plan.next_wake().saturating_duration_since(self.base);
-            assert!(wake > self.now, "the plan wants to be woken again at once");
+            assert!(
+                wake > self.now,
+                "next_wake must be later than the current time"
+            );
             let arrives = self.pending.values().map(|pending| pending.at).min();
             let next = arrives
                 .unwrap_or(wake)
@@ -304,7 +308,7 @@
         }
     }
 
-    /// Returns what a replica replies to a question that arrives at `at`, and when.
+    /// Returns the reply of a replica to a request that arrives at `at`, and when it is sent.
     fn reply(&self, replica: usize, at: Duration, is_poll: bool) -> Option<(Duration, Reply)> {
         let mut at = self.scenario.responds_at(replica, at)?;
         let held_until = if is_poll { at + LONG_POLL_HOLD } else { at };
--- a/lib/tests/test_follow_lag.rs
+++ b/lib/tests/test_follow_lag.rs
@@ -1,4 +1,4 @@
-//! Who goes by an older manifest than is confirmed, as a replica hears of it.
+//! Tests of how a replica measures the lag of entry VMs behind confirmed manifests.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -98,8 +98,8 @@
     );
 }
 
-/// What an entry VM applied while it followed another replica, or before it started, says
-/// nothing of a lag.
+/// Guards against a lag reported for manifests that an entry VM applied while it followed another
+/// replica or before it started.
 #[test]
 fn test_manifests_applied_through_another_replica_give_no_lag() {
     let mut replica = Replica::new();
--- a/lib/tests/test_follow_plan.rs
+++ b/lib/tests/test_follow_plan.rs
@@ -1,4 +1,4 @@
-//! How long an entry VM may be without what is confirmed while control replicas are lost.
+//! Tests of how long an entry VM may lack confirmed changes while control replicas fail.
 
 mod follow_model;
 
@@ -16,26 +16,26 @@
 use crate::follow_model::Outage;
 use crate::follow_model::Scenario;
 
-/// Time between two changes at most.
+/// Highest interval between two changes, in milliseconds.
 const MAX_CHANGE_INTERVAL_MS: u64 = 400;
 
-/// Time until the first loss: by then the nearest replica is followed.
+/// Time until the first failure, by which the nearest replica is followed.
 const WARM_UP: Duration = Duration::from_secs(3);
 
 /// Time until the last change.
 const CHANGES_END: Duration = Duration::from_secs(20);
 
-/// Says how replicas are lost.
+/// How replicas fail.
 #[derive(Clone, Copy, Debug)]
 enum FailureMode {
     Only(FaultKind),
-    /// Cut off from the others, then dark.
+    /// Partitioned from the other replicas, then unreachable.
     PartitionedThenUnreachable,
-    /// Frozen again and again.
+    /// Frozen repeatedly.
     RepeatedFreeze,
 }
 
-/// Says which replicas are lost together.
+/// Which replicas fail together.
 #[derive(Clone, Copy, Debug)]
 enum FailureScope {
     Region,
@@ -74,7 +74,8 @@
     }
 }
 
-/// Loses replicas together, twice, the first ones being back for a while before the second.
+/// Lets a group of replicas fail, twice; the first group is back for a while before the second
+/// failure.
 fn inject_failures(
     rng: &mut ChaCha8Rng,
     scenario: &mut Scenario,
@@ -115,7 +116,7 @@
     }
 }
 
-/// Guards against an old manifest in force for too long while replicas are lost together.
+/// Guards against an outdated manifest in force for too long while several replicas fail together.
 #[rstest]
 #[case::unreachable(FailureMode::Only(FaultKind::Unreachable))]
 #[case::frozen(FailureMode::Only(FaultKind::Frozen))]
--- a/lib/tests/test_head_scanner.rs
+++ b/lib/tests/test_head_scanner.rs
@@ -1,4 +1,4 @@
-//! What is known of the heads that a connection's parser takes.
+//! Tests of how request heads are scanned ahead of a connection's parser.
 
 use heatherring_lib::head_scanner::HeadFraming;
 use heatherring_lib::head_scanner::HeadScanner;
@@ -9,8 +9,8 @@
 use proptest::sample::select;
 use rstest::rstest;
 
-/// Hands `bytes` on in pieces as they come in reads that end at `cuts`, up to the end of the
-/// first head; returns where that is.
+/// Passes `bytes` to the scanner in pieces, with reads that end at `cuts`, up to the end of the
+/// first head. Returns the position of that end.
 fn feed_until_head_end(watch: &mut HeadScanner, bytes: &[u8], cuts: &[usize]) -> usize {
     let mut at = 0;
     while at < bytes.len() {
@@ -19,7 +19,7 @@
         let taken = watch.next_piece(&bytes[at..read]);
         assert!(
             taken > 0,
-            "a piece without bytes is the end of a connection"
+            "an empty piece would signal the end of the connection"
         );
         at += taken;
         if bytes[..at].ends_with(b"\r\n\r\n") {
@@ -29,8 +29,8 @@
     at
 }
 
-/// Symptom: a request with a length and an encoding was passed on. Cause: the HTTP library keeps
-/// one of the two, and only the bytes tell of the other.
+/// Guards against forwarding a request with both a length and a transfer encoding: the HTTP library
+/// keeps only one of the two, so the conflict is visible only in the bytes.
 #[rstest]
 #[case::neither("host: a\r\n", None, HeadFraming::Plain)]
 #[case::a_length("Content-Length: 3\r\n", Some(3), HeadFraming::Plain)]
@@ -73,8 +73,8 @@
     }
 }
 
-/// Symptom to exclude: a head that the parser takes elsewhere than where a piece ends is judged
-/// by the bytes of another one. It is refused instead.
+/// Guards against judging a head by the bytes of another one, which happens if the parser accepts a
+/// head that does not end where a piece ends. Such a head is refused.
 #[test]
 fn test_a_head_that_ends_within_a_piece_is_unknown() {
     let mut watch = HeadScanner::default();
@@ -94,7 +94,7 @@
     Both,
 }
 
-/// Builds a request of this kind whose body holds `content`.
+/// Builds a request of the given kind whose body contains `content`, and its body length.
 fn request(kind: Kind, content: &str) -> (String, Option<u64>) {
     let chunks = format!("{:x}\r\n{content}\r\n0\r\n\r\n", content.len());
     let length = content.len();
@@ -119,8 +119,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
 
-    /// However requests follow each other and reads cut them, each head is judged by its own
-    /// bytes, also where bodies look like heads.
+    /// Each head is judged by its own bytes, for any sequence of requests and any division into
+    /// reads, even if bodies look like heads.
     #[test]
     fn test_each_head_is_judged_by_its_own_bytes(
         kinds in vec(select(&[Kind::Bare, Kind::Length, Kind::Chunks, Kind::Both][..]), 1..8),
@@ -151,7 +151,7 @@
             while at < request.len() {
                 let left = &request.as_bytes()[at..];
                 let read = later.iter().find(|cut| **cut > at).map_or(left.len(), |cut| cut - at);
-                // The parser of chunks, too, takes what it is handed up to their end at most.
+                // Like the chunked parser, take at most the bytes up to the end of the body.
                 at += watch.next_piece(&left[..read.min(left.len())]);
             }
             from += request.len();
--- a/lib/tests/test_log_rate.rs
+++ b/lib/tests/test_log_rate.rs
@@ -1,4 +1,4 @@
-//! Bounds on the volume of the log.
+//! Tests of the limit on the rate of log lines.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 
 const LENGTH: Duration = Duration::from_secs(10);
 
-/// Offers `routine` and `notable` lines a second, and returns how many of each were written.
+/// Offers `routine` and `notable` lines per second, and returns how many of each were written.
 fn count_written(routine: u32, notable: u32) -> (u32, u32) {
     let began = Instant::now();
     let mut rate = LogRateLimiter::new(began);
@@ -26,13 +26,13 @@
     written
 }
 
-/// Every line is written under an ordinary load: 60 requests a second.
+/// Every line is written under an ordinary load of 60 requests per second.
 #[test]
 fn test_log_rate_lets_an_ordinary_load_through() {
     assert_eq!(count_written(60, 5), (600, 50));
 }
 
-/// At ten times that load the volume is bounded, and what tells more goes first.
+/// At ten times that load the rate is bounded, and routine lines are dropped before notable ones.
 #[test]
 fn test_log_rate_drops_routine_lines_first() {
     let (routine, notable) = count_written(600, 150);
@@ -41,7 +41,7 @@
     assert_eq!(notable, 1_500);
 }
 
-/// Alarms are written even where notable lines are dropped.
+/// Alarms are written even while notable lines are dropped.
 #[test]
 fn test_log_rate_keeps_room_for_alarms() {
     let now = Instant::now();
--- a/lib/tests/test_numbered_set.rs
+++ b/lib/tests/test_numbered_set.rs
@@ -1,4 +1,4 @@
-//! A set that tells what changed in it.
+//! Tests of a set that sends numbered changes.
 
 use std::collections::BTreeSet;
 use std::num::NonZeroU64;
@@ -15,7 +15,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Whoever applies the updates knows the set, however rarely it asks.
+    /// A copy that applies the updates equals the set, however rarely it requests them.
     #[test]
     fn test_copies_follow_the_set(steps in proptest::collection::vec((0_u8..20, 0_u8..4), 1..200)) {
         let mut set = NumberedSet::starting_at(START);
@@ -33,7 +33,8 @@
     }
 }
 
-/// A copy that is too far behind, or whose number is another life's, gets everything.
+/// A copy that is too far behind, or whose number belongs to another incarnation of the owner,
+/// receives the whole set.
 #[test]
 fn test_whoever_is_behind_gets_the_whole_set() {
     let mut set = NumberedSet::starting_at(START);
@@ -46,12 +47,11 @@
     assert!(!set.update_from(set.number() - 5).whole);
 }
 
-/// Symptom: entry VMs took in 3 KB each time that any of them came or went, up to 5 times a
-/// second each.
+/// Returns the size of the updates sent to one entry VM while 20 of `vms` entry VMs leave and
+/// return, one after the other.
 ///
-/// Sequence: while `vms` of them take requests, 20 leave and come back, one after the other.
-///
-/// Cause: the answer to each of them named all that take requests.
+/// Guards against updates that name all entry VMs in service: each entry VM then received 3 KB
+/// whenever any of them left or returned, up to 5 times per second.
 fn update_bytes(vms: usize) -> usize {
     let mut absent = NumberedSet::starting_at(START);
     for number in 0..vms / 10 {
@@ -81,6 +81,6 @@
 #[test]
 fn test_update_size_is_independent_of_the_number_of_entry_vms() {
     let (small, large) = (update_bytes(100), update_bytes(400));
-    println!("bytes for 40 changes: {small} at 100 entry VMs, {large} at 400");
+    println!("bytes for 40 changes: {small} with 100 entry VMs, {large} with 400");
     assert_eq!(small, large);
 }
--- a/lib/tests/test_presence.rs
+++ b/lib/tests/test_presence.rs
@@ -1,4 +1,4 @@
-//! Who has been heard of lately.
+//! Tests of the presence of backend servers and entry VMs.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use heatherring_lib::presence_report::PresenceReport;
 use heatherring_lib::presence_report::ReplicaEndpoints;
 
-/// Time between two heartbeats.
+/// Interval between two heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(1_500);
 
 fn endpoints() -> ReplicaEndpoints {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Tells one replica what another hears, as often as reports go, from `from` to `until`.
+/// Sends reports of `there` to `here` at the usual interval, from `from` to `until`.
 fn report(there: &mut Presence, here: &mut Presence, from: Instant, until: Instant) {
     let peer = VmName::new("control-2");
     let mut known = 0;
@@ -40,11 +40,8 @@
     }
 }
 
-/// Symptom: a replica takes backend servers for dead that send their heartbeats elsewhere.
-///
-/// Sequence: heartbeats go to another replica, which reports them.
-///
-/// Cause: a verdict on what was heard here alone.
+/// Guards against counting backend servers as lost that send their heartbeats to another replica: a
+/// verdict must include what other replicas report.
 #[test]
 fn test_presence_counts_what_other_replicas_heard() {
     let start = Instant::now() + Duration::from_mins(1);
@@ -63,11 +60,12 @@
     assert!(!here.is_silent(heard_at + BACKEND_SILENCE / 2, &backend));
     let until = heard_at + BACKEND_SILENCE;
     report(&mut there, &mut here, heard_at + BACKEND_SILENCE / 2, until);
-    // It is told half a second late at most that the heartbeats have ceased.
+    // The end of the heartbeats is reported at most half a second late.
     assert!(here.is_silent(until + REPORT_INTERVAL, &backend));
 }
 
-/// A replica that ceases to report takes along what only it heard.
+/// When a replica ceases to report, the sources that only it received heartbeats from count as
+/// heard at its last report.
 #[test]
 fn test_presence_counts_a_silent_replicas_sources_from_its_last_report() {
     let start = Instant::now();
@@ -86,11 +84,8 @@
     }
 }
 
-/// Symptom: an isolated replica says that all entry VMs are gone.
-///
-/// Sequence: it is cut off from the other replicas, and hears of nobody.
-///
-/// Cause: silence is taken for death. Without a majority it gives no verdict.
+/// Guards against a partitioned replica that declares all entry VMs lost because it receives no
+/// heartbeats. Without a majority it must not conclude anything from silence.
 #[test]
 fn test_presence_reports_no_majority_without_enough_peers() {
     let start = Instant::now();
@@ -117,12 +112,10 @@
     assert!(presence.is_out_of_service(later, &vm));
 }
 
-/// Symptom: an entry VM that leaves is named to callers again.
-///
-/// Sequence: it said that it is ready to one replica, then turned to another and said there that
-/// it leaves; the first one still holds what it heard, and tells a third one all of it anew.
-///
-/// Cause: what arrived last was taken for what was said last.
+/// Guards against naming a leaving entry VM to callers again: it reported ready to one replica,
+/// then switched to another and reported there that it leaves. The first replica still holds the
+/// earlier state and sends it to a third one in a full report. The latest statement counts, not the
+/// latest report.
 #[test]
 fn test_presence_uses_the_latest_statement_of_an_entry() {
     let start = Instant::now();
@@ -141,10 +134,9 @@
     assert!(third.is_out_of_service(now, &vm));
 }
 
-/// Symptom: after a replica has started again, backend servers count as silent at others, or go
-/// on counting as heard. Sequence: reports are lost, come twice, or meet a process that knows
-/// nothing of the ones before. Cause: changes were applied to another state than the one that
-/// they start from.
+/// Guards against backend servers that count as silent, or keep counting as present, at other
+/// replicas after a replica restarts: reports that are lost, duplicated or sent by a new
+/// incarnation must not be applied to another state than the one they are based on.
 #[test]
 fn test_presence_requests_a_full_report_where_reports_do_not_follow_on() {
     let start = Instant::now();
@@ -155,7 +147,7 @@
     there.record_backend_heartbeat(start, &names[0]);
     let known = here.apply_report(start, &peer, &there.report(start, 0, &endpoints()));
     there.record_backend_heartbeat(start, &names[1]);
-    // A lost answer: the same changes are told again, along with later ones.
+    // The answer is lost, so the same changes are sent again, along with later ones.
     let first = there.report(start, known, &endpoints());
     there.record_backend_heartbeat(start, &names[2]);
     let second = there.report(start, known, &endpoints());
@@ -170,7 +162,7 @@
     for presence in [&here, &fresh] {
         assert!(names.iter().all(|name| !presence.is_silent(later, name)));
     }
-    // The replica starts again and hears nobody.
+    // The replica restarts and receives no heartbeats.
     let mut restarted = Presence::new(later, 5);
     restarted.expire(later);
     let refused = here.apply_report(later, &peer, &restarted.report(later, known, &endpoints()));
@@ -183,17 +175,17 @@
     assert!(names.iter().all(|name| here.is_silent(silent_at, name)));
 }
 
-/// Symptom: a control VM's bytes a second grew sevenfold from 100 VMs to 300, until they cost
-/// more than all callers' answers were worth.
-///
-/// Sequence: `vms` entry VMs and five times as many backend servers send heartbeats to 15
-/// replicas; the same 20 of them fall silent.
+/// Returns the size of the reports from one of 15 replicas to another in a minute, while `vms`
+/// entry VMs and five times as many backend servers send heartbeats, and the same 20 backend
+/// servers fall silent.
 ///
-/// Cause: each heartbeat was told to all other replicas, 22 to 30 bytes each.
+/// Guards against reporting each heartbeat to all other replicas, at 22 to 30 bytes each: a control
+/// VM's traffic then grew sevenfold from 100 VMs to 300, until it cost more than all answers to
+/// callers were worth.
 fn reported_bytes(vms: usize) -> usize {
     let start = Instant::now();
     let mut replica = Presence::new(start, 1);
-    // One replica of 15 hears a fifteenth of all.
+    // One replica of 15 receives the heartbeats of a fifteenth of all sources.
     let backends: Vec<BackendName> = (0..vms * 5 / 15)
         .map(|number| BackendName::new(format!("backend-{number:06}")))
         .collect();
@@ -220,7 +212,7 @@
         replica.expire(now);
         let report: PresenceReport = replica.report(now, known, &endpoints());
         known = report.heard.number;
-        // All are told once at the start.
+        // The first report contains all sources.
         if step > 0 {
             bytes += postcard::to_stdvec(&report).unwrap().len();
         }
@@ -231,7 +223,7 @@
 #[test]
 fn test_report_size_is_independent_of_the_number_of_heartbeat_sources() {
     let (small, large) = (reported_bytes(100), reported_bytes(400));
-    println!("bytes in a minute to one replica: {small} at 100 entry VMs, {large} at 400");
-    // Numbers of changes take a byte more.
+    println!("bytes per minute to one replica: {small} with 100 entry VMs, {large} with 400");
+    // Larger change numbers take a byte more.
     assert!(large <= small + small / 4, "{small} and {large}");
 }
--- a/lib/tests/test_replica_choice.rs
+++ b/lib/tests/test_replica_choice.rs
@@ -1,4 +1,4 @@
-//! Which control replica is followed.
+//! Tests of the choice of the control replica to follow.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,7 +17,7 @@
 use heatherring_lib::replica_choice::nearest_announcement_address;
 use rstest::rstest;
 
-/// Three regions of three places; the first place of each has a second replica.
+/// Three regions of three places; the first place of each has two replicas.
 fn regions() -> BTreeMap<PlaceName, RegionName> {
     (0..9)
         .map(|n| (place(n), RegionName::new(format!("region-{}", n / 3))))
@@ -54,8 +54,8 @@
     (0..9).find(|n| self::place(*n) == place).unwrap()
 }
 
-/// Symptom: control's messages between regions cost more than all callers' answers were worth
-/// at 300 VMs. Cause: each entry VM followed a replica drawn at random.
+/// Guards against entry VMs that follow replicas drawn at random: at 300 VMs, control's messages
+/// between regions then cost more than all answers to callers were worth.
 #[test]
 fn test_the_nearest_replica_is_followed_and_those_equally_near_share() {
     let now = Instant::now();
@@ -69,8 +69,8 @@
     assert!((30..=70).contains(&of_first), "{of_first}");
 }
 
-/// Where the near replicas are of no use, those of the region are taken, evenly; then the others.
-/// Where all are set aside, all are asked in turn.
+/// If the near replicas are unusable, those of the region are chosen, evenly, then the others. If
+/// all are in back-off, all are tried in turn.
 #[test]
 fn test_unusable_replicas_are_replaced_by_farther_ones() {
     let now = Instant::now();
@@ -98,8 +98,8 @@
     assert!(taken.values().all(|count| *count >= 15), "{taken:?}");
 }
 
-/// Symptom: a replica that comes back is asked by all entry VMs of its failure domain in one
-/// moment. Sequence: all are set back at once and try again. Cause: all wait equally long.
+/// Guards against a returning replica that is contacted by all entry VMs of its failure domain at
+/// the same moment: they all failed at once and would retry after equal delays.
 #[test]
 fn test_a_nearer_replica_is_returned_to_and_not_by_all_at_once() {
     let now = Instant::now();
@@ -130,10 +130,10 @@
     assert!(back_at.len() >= 15, "{back_at:?}");
 }
 
-/// Symptom: an entry VM hears late of a backend server that leaves; a request reached one 2.9 s
-/// after it had been confirmed. Sequence: the near replica is cut off from the others and says
-/// that it isn't current; a farther one is of use. Cause: the farther one was left for the near
-/// one twice a second.
+/// Guards against an entry VM that learns late that a backend server is leaving; a request was sent
+/// to one 2.9 s after its leave had been confirmed. The near replica was partitioned from the
+/// others and reported that it was not current, and the usable farther replica was left for it
+/// twice per second.
 #[test]
 fn test_a_usable_replica_is_not_left_for_a_recently_unusable_one() {
     let now = Instant::now();
@@ -153,15 +153,15 @@
                 .nearer_than(farther, now + Duration::from_secs(4))
                 .is_some()
         );
-        // One that is of no use any more may be left for it at once.
+        // A replica that has become unusable may be left at once.
         let later = now + Duration::from_millis(300);
         choice.back_off(farther, later, Unusable::Unresponsive, draw);
         assert_eq!(choice.pick(later), Some(address(4)));
     }
 }
 
-/// However often it was silent, a replica is asked again within 4 s: a region that was cut off
-/// has its own replicas back by then.
+/// A replica is tried again within 4 s however often it failed to answer, since a region that was
+/// partitioned has its own replicas back by then.
 #[rstest]
 #[case::silent(Unusable::Unresponsive, 4_000)]
 #[case::not_current(Unusable::NotCurrent, 1_000)]
@@ -177,7 +177,7 @@
     );
 }
 
-/// Guards against questions to replicas that are lost together.
+/// Guards against probing only replicas that are likely to fail together.
 #[test]
 fn test_replicas_probed_in_parallel_are_spread_over_regions() {
     let now = Instant::now();
@@ -192,11 +192,7 @@
             "{regions:?}"
         );
         let besides = choice.pick_spread(now, Some(address(3)), 12);
-        assert_eq!(
-            besides.len(),
-            11,
-            "each once, and not the one that is asked already"
-        );
+        assert_eq!(besides.len(), 11, "each once, without the excepted replica");
         let from_first = choice.pick_spread(now, Some(address(4)), 1);
         assert_eq!(place_of(from_first[0]) / 3, 1);
         assert_ne!(place_of(from_first[0]), 4);
@@ -209,12 +205,12 @@
         assert_eq!(
             choice.pick_spread(now, None, 3).len(),
             3,
-            "all are set aside"
+            "all are in back-off"
         );
     }
 }
 
-/// A nearer replica that lost against a farther one isn't turned to again at once.
+/// A nearer replica that answered later than a farther one is not tried again at once.
 #[test]
 fn test_return_to_a_passed_over_replica_is_deferred() {
     let now = Instant::now();
@@ -226,8 +222,8 @@
     assert_eq!(choice.nearer_than(farther, after(4_000)), Some(address(4)));
 }
 
-/// A seed of which nothing is known is asked when nothing better is known, and replicas that
-/// were dropped from the list aren't.
+/// A seed is contacted while nothing better is known, and replicas that were removed from the list
+/// are not.
 #[test]
 fn test_seeds_are_used_until_the_list_is_known() {
     let now = Instant::now();
--- a/lib/tests/test_replica_plan.rs
+++ b/lib/tests/test_replica_plan.rs
@@ -1,4 +1,4 @@
-//! How the set of control replicas repairs itself.
+//! Tests of how the set of control replicas repairs itself.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -47,15 +47,11 @@
     membership.ids().map(|id| (id, since)).collect()
 }
 
-/// Symptom: a replica that lost its disk takes twenty seconds to come back, and its process
-/// ends once more in between.
-///
-/// Sequence: the leader has led for long; it admits the replica as a learner; half a second
-/// later it looks for silent ones and removes it, before its process has formatted its
-/// folder. The replica starts, is no member, notices after seconds and begins anew.
-///
-/// Cause: a replica that wasn't heard yet counted from the leader's election. It counts from
-/// its admission.
+/// Guards against a replica that needs twenty seconds to return after it lost its disk, and whose
+/// process exits once in between. A long-standing leader admits it as a learner and removes it half
+/// a second later as silent, before its process has formatted its data folder; the process then
+/// starts, is no member, notices this after seconds and begins again. The silence of a replica that
+/// has not been heard from yet must count from its admission, not from the leader's election.
 #[test]
 fn test_replica_plan_gives_a_new_learner_time() {
     let now = Instant::now() + Duration::from_mins(1);
@@ -86,11 +82,8 @@
     assert_eq!(removal, Some(ReplicaId(77)));
 }
 
-/// Symptom: an entry that was acknowledged is gone.
-///
-/// Sequence: a replica loses its disk and comes back at its address, with an empty folder.
-///
-/// Cause: it counts as its former self, and votes without what that one held. It comes back
+/// Guards against the loss of an acknowledged entry: a replica that returns at its address with an
+/// empty folder must not vote as its former self, without the entries that this one held. It joins
 /// under a fresh identity, and the former one is removed once the new one votes.
 #[test]
 fn test_replica_plan_replaces_a_voter_that_lost_its_disk() {
@@ -107,7 +100,7 @@
     assert_eq!(admission, Admission::Change(change));
 }
 
-/// A replica that was admitted and lost its folder again before it caught up.
+/// A replica that was admitted and lost its data folder again before it caught up.
 #[test]
 fn test_replica_plan_removes_a_learner_that_never_caught_up() {
     let membership = Membership {
@@ -120,8 +113,8 @@
     assert_eq!(admission, Admission::Change(change));
 }
 
-/// A silent voter stays while nobody can take its place: without it, four voters would bear
-/// the loss of no more than five.
+/// A silent voter is kept while nobody can replace it: without it, four voters would tolerate the
+/// loss of no more replicas than five do.
 #[test]
 fn test_replica_plan_keeps_a_silent_voter_without_replacement() {
     let now = Instant::now() + Duration::from_mins(1);
@@ -137,12 +130,9 @@
     assert_eq!(removal, None);
 }
 
-/// Symptom: control stops at the second loss.
-///
-/// Sequence: a VM is replaced by another one at a new address, which joins as the sixth
-/// voter; the first one stays a voter for ever; another VM is lost.
-///
-/// Cause: three of six are no majority. The silent voter is removed.
+/// Guards against control stopping at the second loss: a VM was replaced by another one at a new
+/// address, which joined as the sixth voter, while the first one remained a voter; then another VM
+/// was lost. Since three of six are no majority, the silent voter must be removed.
 #[test]
 fn test_replica_plan_removes_a_silent_voter_beyond_the_target() {
     let now = Instant::now() + Duration::from_mins(1);
@@ -160,7 +150,7 @@
     assert_eq!(just_elected, None);
 }
 
-/// Eleven replicas of three regions: 1, 4, 7, 10 in the first one, and so on.
+/// Eleven replicas in three regions: 1, 4, 7 and 10 in the first one, and so on.
 fn regions() -> BTreeMap<ReplicaId, RegionName> {
     let region = |id: u64| RegionName::new(format!("region-{}", id % 3));
     (1..=11).map(|id| (ReplicaId(id), region(id))).collect()
@@ -183,9 +173,9 @@
     assert_eq!(next(&[1, 2, 3], &[4, 5], true, 0), Some(4));
     assert_eq!(next(&[1, 2, 3, 4], &[7, 10, 5], true, 0), Some(5));
     assert_eq!(next(&[1, 2, 3, 4], &[7, 10], true, 2_900), None);
-    // Nobody better came.
+    // No better learner has appeared.
     assert_eq!(next(&[1, 2, 3, 4], &[7, 10], true, 3_000), Some(7));
-    // Where they are isn't known yet.
+    // Their regions are not known yet.
     assert_eq!(next(&[1, 2, 3], &[4, 5], false, 2_900), None);
     assert_eq!(next(&[1, 2, 3], &[4, 5], false, 3_000), Some(4));
     assert_eq!(next(&[1, 2, 3], &[], true, 9_000), None);
--- a/lib/tests/test_replica_timeout.rs
+++ b/lib/tests/test_replica_timeout.rs
@@ -1,4 +1,4 @@
-//! How long an entry VM waits for control replicas.
+//! Tests of an entry VM's time-outs for control replicas.
 
 use std::time::Duration;
 
@@ -7,7 +7,8 @@
 use heatherring_lib::replica_timeout::LONG_POLL_HOLD;
 use heatherring_lib::replica_timeout::ReplicaTimeout;
 
-/// Guards against seconds without a view while replicas are still dark after a loss of power.
+/// Guards against seconds without a view while replicas are still unreachable after a loss of
+/// power.
 #[test]
 fn test_unreachable_replicas_delay_an_entry_vm_for_less_than_a_second() {
     let mut timeout = ReplicaTimeout::default();
@@ -19,7 +20,7 @@
     assert!(waited < Duration::from_secs(1), "{waited:?}");
 }
 
-/// Guards against an entry VM that changes replicas for ever since its link is full.
+/// Guards against an entry VM that switches replicas endlessly because its link is saturated.
 #[test]
 fn test_timeout_grows_on_a_saturated_link_and_resets_on_an_answer() {
     let mut timeout = ReplicaTimeout::default();
--- a/lib/tests/test_session_relay.rs
+++ b/lib/tests/test_session_relay.rs
@@ -1,4 +1,4 @@
-//! Tests of relayed sessions.
+//! Tests of sessions renewed through relays.
 
 #[path = "common/entry_sample.rs"]
 mod entry_sample;
@@ -24,7 +24,7 @@
 
 const LEASE: Duration = Duration::from_secs(3);
 const WAIT: Duration = Duration::from_millis(900);
-/// Longer than a relay collects renewals.
+/// Longer than a relay collects renewals for a batch.
 const COLLECTED: Duration = Duration::from_millis(600);
 
 fn renewal(session: u64, applied: u64) -> RelayedRenewal {
@@ -89,11 +89,10 @@
 
 #[test]
 fn test_session_relay_request_after_the_batch_left() {
-    // Symptom: two entry VMs dispatch to one backend server.
-    // Sequence: a relay hands a batch on; the entry VM loses its first request and sends
-    // another; the batch's answer comes.
-    // Cause: the second request was granted by the first one's batch. The entry VM counts
-    // its lease from the second request, control from before it.
+    // Guards against two entry VMs that dispatch to one backend server: an entry VM loses its first
+    // request and sends another while the batch with the first one is in flight. If that batch
+    // granted the second request, the entry VM would count its lease from the second request, and
+    // control from before it.
     let start = Instant::now();
     let mut relay = SessionRelay::default();
     let early = relay.renew(start, renewal(1, 7));
@@ -117,9 +116,9 @@
 
 #[test]
 fn test_session_relay_behind_control() {
-    // Symptom: an entry VM goes on under an old manifest while its lease is renewed.
-    // Sequence: the relay's own session is stuck; its batches still reach control.
-    // Cause: the grant was passed on although the relay lacks the view that goes with it.
+    // Guards against an entry VM that continues with an outdated manifest while its lease is
+    // renewed: the relay's own session is stuck, but its batches still reach control. A grant must
+    // not be passed on while the relay lacks the view that belongs to it.
     let start = Instant::now();
     let mut relay = SessionRelay::default();
     let key = relay.renew(start, renewal(1, 7));
@@ -133,10 +132,9 @@
 
 #[test]
 fn test_session_relay_change_does_not_wait_for_a_grant() {
-    // Symptom: actions are refused with `not_owner` while entry VMs are replaced.
-    // Sequence: a change reaches a relay while it collects renewals.
-    // Cause: the change was passed on only with control's grant, half a second later, and
-    // entry VMs with and without it disagreed on owners.
+    // Guards against actions refused with `not_owner` while entry VMs are replaced: a change that
+    // reaches a relay while it collects renewals must not wait for control's grant, half a second
+    // later, since entry VMs with and without the change disagree on owners.
     let start = Instant::now();
     let mut relay = SessionRelay::default();
     let key = relay.renew(start, renewal(1, 7));
@@ -170,9 +168,9 @@
 
 #[test]
 fn test_session_relay_control_silent() {
-    // Symptom: entry VMs lose their leases one region at a time.
-    // Sequence: control doesn't answer a relay's batch; the relay waits on.
-    // Cause: nobody told the entry VMs to ask control themselves while there was time.
+    // Guards against entry VMs of a whole region losing their leases: if control does not answer a
+    // relay's batch, the relay must tell the entry VMs to ask control themselves while there is
+    // time.
     let start = Instant::now();
     let mut relay = SessionRelay::default();
     let key = relay.renew(start, renewal(1, 7));
@@ -216,7 +214,7 @@
     }
     assert!(relays_of(&view, SessionId(9), 3).is_empty());
     assert!(relays(&view, &east, 6).is_empty());
-    // One that leaves is no relay any more.
+    // A leaving entry VM is no longer a relay.
     let leaver = *chosen.first().unwrap();
     view.sessions.get_mut(&leaver).unwrap().leaving = true;
     assert!(relays(&view, &east, 3).iter().all(|s| s.id != leaver));
--- a/lib/tests/test_session_tracker.rs
+++ b/lib/tests/test_session_tracker.rs
@@ -1,4 +1,4 @@
-//! Tests of the leader's account of sessions and of the entry's lease.
+//! Tests of the leader's record of sessions and of the entry's lease.
 
 #[path = "common/entry_sample.rs"]
 mod entry_sample;
@@ -25,7 +25,7 @@
 const A: SessionId = SessionId(1);
 const B: SessionId = SessionId(2);
 
-/// Counts milliseconds from the start of a test.
+/// Start of a test, from which times are counted in milliseconds.
 #[derive(Clone, Copy)]
 struct Start(Instant);
 
@@ -45,7 +45,7 @@
     tracker
 }
 
-/// Returns a state whose positions 1 to `count` each opened a session.
+/// Returns a state in which each of the log entries 1 to `count` opened a session.
 fn state(count: u64) -> ControlState {
     let mut state = ControlState::default();
     for _ in 0..count {
@@ -94,10 +94,9 @@
 fn test_tracker_grants_nothing_once_a_lapse_is_proposed() {
     let t = Start::now();
     let mut tracker = new_tracker(t);
-    // Symptom: two entries own one backend server.
-    // Sequence: a renewal arrives in time, waits for its quorum round past the end of
-    // the lease, and is granted while the proposed lapse is being committed.
-    // Cause: the renewal is judged by its arrival alone.
+    // Guards against two entries that own one backend server: a renewal that arrives in time, but
+    // waits for its quorum round past the end of the lease, must not be granted once the lapse is
+    // proposed and may be committed.
     assert_eq!(tracker.lapsed(t.ms(1_100)), [A, B]);
     let late = tracker.renewed(A, t.ms(1_050), Revision(9));
     assert_eq!(late, Renewal::Refused);
@@ -113,9 +112,9 @@
 fn test_tracker_gives_a_full_lease_after_an_election() {
     let t = Start::now();
     let mut tracker = new_tracker(t);
-    // Symptom: a healthy entry loses its session at a change of leader.
-    // Sequence: the old leader granted a renewal shortly before; the new one can't know.
-    // Cause: the new leader counts from what it knew itself, earlier.
+    // Guards against a healthy entry that loses its session at a change of leader: the new leader
+    // cannot know of a renewal that its predecessor granted shortly before, so it must not count
+    // from its own earlier knowledge.
     assert_eq!(tracker.lapsed(t.ms(1_100)), [A, B]);
     tracker.reset(t.ms(5_000), [B]);
     assert!(tracker.lapsed(t.ms(6_099)).is_empty());
@@ -132,7 +131,7 @@
     let mut state = state(3);
     let mut tracker = SessionTracker::new(LEASE, MARGIN);
     tracker.reset(t.ms(0), state.view().sessions.keys().copied());
-    // Session 1 may act on its first view yet; 2 and 3 never saw an older one.
+    // Session 1 may still act on its first view; 2 and 3 never had an older one.
     assert_eq!(tracker.settled_revision(&state), Revision(1));
     let _ = tracker.renewed(SessionId(1), t.ms(1), Revision(3));
     assert_eq!(tracker.settled_revision(&state), Revision(2));
@@ -142,8 +141,12 @@
     apply(&mut state, CommandKind::MarkLeaving(SessionId(2)));
     let _ = tracker.renewed(SessionId(1), t.ms(2), Revision(4));
     let _ = tracker.renewed(SessionId(3), t.ms(2), Revision(4));
-    assert_eq!(tracker.settled_revision(&state), Revision(3), "2 is behind");
-    // A proposed lapse doesn't settle anything; a committed one does.
+    assert_eq!(
+        tracker.settled_revision(&state),
+        Revision(3),
+        "session 2 lags behind"
+    );
+    // A proposed lapse does not settle anything; a committed one does.
     let _ = tracker.lapsed(t.ms(1_101));
     assert_eq!(tracker.settled_revision(&state), Revision(3));
     apply(&mut state, CommandKind::LapseSession(SessionId(2)));
@@ -154,16 +157,16 @@
 #[test]
 fn test_settled_counts_untracked_sessions_as_behind() {
     let t = Start::now();
-    // Symptom: a new owner starts while an entry still acts on the view before.
-    // Sequence: a leader that has just been elected is asked before its account is filled.
-    // Cause: a session that isn't in the account is taken for one that is gone.
+    // Guards against a new owner that starts while an entry still acts on the previous view: a
+    // leader may be asked directly after its election, before its tracker is filled, and must not
+    // treat an untracked session as one that has ended.
     let mut state = state(1);
     apply(&mut state, CommandKind::MarkLeaving(SessionId(1)));
     let mut tracker = SessionTracker::new(LEASE, MARGIN);
     assert_eq!(tracker.settled_revision(&state), Revision(1));
     tracker.reset(t.ms(0), [SessionId(1)]);
     assert_eq!(tracker.settled_revision(&state), Revision(1));
-    // An entry can't have applied more than there is.
+    // An entry cannot have applied more than exists.
     let _ = tracker.renewed(SessionId(1), t.ms(1), Revision(90));
     assert_eq!(tracker.settled_revision(&state), Revision(2));
 }
@@ -179,31 +182,33 @@
     let t = Start::now();
     let mut held = held_lease(t);
     assert!(held.is_valid(t.ms(999)));
-    assert!(!held.is_valid(t.ms(1_000)), "no timer is needed to notice");
+    assert!(
+        !held.is_valid(t.ms(1_000)),
+        "expiry must not depend on a timer"
+    );
     assert!(held.renewed(A, t.ms(500), LEASE, t.ms(900)));
     assert!(
         held.renewed(A, t.ms(300), LEASE, t.ms(950)),
-        "an overtaken reply"
+        "a reply out of order"
     );
     assert_eq!(held.expires_at(), Some(t.ms(1_500)));
     assert!(!held.expire(t.ms(1_499)));
     assert!(held.expire(t.ms(1_500)));
-    assert!(!held.expire(t.ms(1_501)), "told once");
+    assert!(!held.expire(t.ms(1_501)), "reported once");
 }
 
 #[test]
 fn test_lapsed_lease_is_not_revived_by_an_older_request() {
     let t = Start::now();
     let mut held = held_lease(t);
-    // Symptom: an entry that has told callers to go elsewhere works again on a lease
-    // from before that.
-    // Sequence: a renewal is sent, the lease runs out, and then the reply arrives.
-    // Cause: the reply is judged by the lease that it carries alone.
+    // Guards against an entry that directed callers elsewhere and then resumes work on an older
+    // lease: a renewal is sent, the lease expires, and only then does the reply arrive. The reply
+    // must not be judged by the lease that it carries alone.
     assert!(!held.renewed(A, t.ms(800), LEASE, t.ms(1_000)));
     assert!(!held.is_valid(t.ms(1_001)));
     assert!(
         held.renewed(A, t.ms(1_000), LEASE, t.ms(1_400)),
-        "sent afterwards"
+        "sent after the lease expired"
     );
     assert_eq!(held.expires_at(), Some(t.ms(2_000)));
 }
@@ -222,7 +227,7 @@
     let mut held = held_lease(t);
     assert!(
         !held.opened(B, t.ms(10), LEASE),
-        "a second opening's late reply"
+        "late reply to a second opening"
     );
     assert!(held.renewed(B, t.ms(900), LEASE, t.ms(950)));
     held.lost(B);
@@ -231,18 +236,18 @@
     held.lost(A);
     assert!(
         !held.renewed(A, t.ms(960), LEASE, t.ms(970)),
-        "the session is gone"
+        "the session was lost"
     );
     assert_eq!(held.session(), None);
 }
 
-/// A leader with its account, and the time from which it leads.
+/// A leader with its tracker, and the time since which it leads.
 struct Leader {
     tracker: SessionTracker,
     since: u64,
 }
 
-/// One renewal: when it is sent, and how long each of its legs takes.
+/// One renewal: the pause before it is sent, and the duration of each of its legs, in milliseconds.
 #[derive(Clone, Debug)]
 struct Sync {
     pause: u64,
@@ -280,7 +285,7 @@
     Replied(usize),
 }
 
-/// Lists what happens, in order of time: renewals overlap, each with three steps.
+/// Lists the events in order of time: renewals overlap, each with three steps.
 fn timeline(syncs: &[Sync], elections: &[u64]) -> Vec<(u64, Event)> {
     let mut events: Vec<_> = elections.iter().map(|&at| (at, Event::Elected)).collect();
     let mut sent = 0;
@@ -301,9 +306,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Symptom: an entry takes new work although its session was declared lapsed.
-    // Sequence: renewals overlap and are slow on any leg, while leaders change.
-    // Cause: entry and leaders count the lease from moments in the wrong order.
+    // Guards against an entry that accepts new requests after its session was declared lapsed, for
+    // renewals that overlap and are slow on any leg while leaders change.
     #[test]
     fn test_no_lease_is_valid_after_its_lapse(
         syncs in prop::collection::vec(any_sync(), 1..12),
@@ -358,7 +362,7 @@
     }
 }
 
-/// One step of entries and their leader; numbers pick one of the open sessions.
+/// One step of entries and their leader; numbers select one of the open sessions.
 #[derive(Clone, Debug)]
 enum Step {
     Open,
@@ -378,7 +382,7 @@
     ]
 }
 
-/// Holds what each open session's entry acts on.
+/// Revision on which each open session's entry acts.
 type EntryRevisions = BTreeMap<SessionId, Revision>;
 
 fn pick(entries: &EntryRevisions, number: usize) -> Option<SessionId> {
@@ -400,10 +404,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Symptom: two entries own one backend server, or a manifest that is reported in
-    // force isn't in force on some entry.
-    // Sequence: entries come, go and lag, and leaders change, in any order.
-    // Cause: a revision counts as settled while some entry acts on an older view.
+    // Guards against a revision that counts as settled while some entry acts on an older view, as
+    // entries open, lapse and lag and leaders change in any order. Otherwise two entries might own
+    // one backend server, or a manifest might be reported in force that is not in force on some
+    // entry.
     #[test]
     fn test_settled_stays_settled(steps in prop::collection::vec(any_step(), 1..60)) {
         let now = Instant::now();
--- a/lib/tests/test_view.rs
+++ b/lib/tests/test_view.rs
@@ -1,4 +1,4 @@
-//! Tests of how a view takes changes.
+//! Tests of how a view applies changes.
 
 #[path = "common/entry_sample.rs"]
 mod entry_sample;
@@ -110,15 +110,15 @@
                 let mut held = view();
                 let error = held.apply(&$change).unwrap_err();
                 assert!(matches!(error, $error), "{error:?}");
-                assert_eq!(held, view(), "a refused change left something behind");
+                assert_eq!(held, view(), "a refused change modified the view");
             }
         )+
     };
 }
 
-// Symptom: an entry acts on an older manifest, or brings back a session that is gone.
-// Sequence: a reply is delayed past its successor, or comes from a replica that is behind.
-// Cause: a change that isn't the next one is applied all the same.
+// Guards against an entry that acts on an older manifest or restores a session that has ended: a
+// reply may arrive after its successor, or come from a replica that lags behind. A change that is
+// not the next one must be refused.
 refused! {
     test_view_refuses_lower_revision: whole(9, 7) => ViewError::NotNewer { .. },
     test_view_refuses_equal_revision: whole(10, 7) => ViewError::NotNewer { .. },
