--- a/lib/src/audit.rs
+++ b/lib/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: who changed what, when, and with which result.
+//! Audit trail: a bounded record of who changed what, when, and with which result.
 
 use std::collections::VecDeque;
 
@@ -18,113 +18,115 @@
 use crate::id::VmName;
 use crate::request_fingerprint::Fingerprint;
 
-/// Number of records kept; the oldest give way.
+/// Maximum number of records kept; the oldest are evicted first.
 pub const AUDIT_CAPACITY: usize = 10_000;
 
-/// Number of characters kept of a name that an operator gives.
+/// Maximum length of [`AuditRecord::who`] in characters; longer names are truncated.
 const MAX_WHO_CHARS: usize = 128;
 
-/// Holds one change, or one refused attempt at a change.
+/// One change, or one rejected attempt at a change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AuditRecord {
-    /// The log position.
+    /// Log position of the command that caused the event.
     pub revision: Revision,
-    /// Wall clock of the replica that proposed it, in milliseconds since the epoch.
+    /// Wall-clock time of the replica that proposed the command, in milliseconds since the Unix
+    /// epoch. A change of replicas carries the time of the last command before it.
     pub wall_ms: u64,
-    /// The operator or VM that caused it; `control` for the replicas themselves.
+    /// Operator or VM that caused the event; `control` for the control replicas themselves and
+    /// `operator` for an operator who gave no name.
     pub who: String,
-    /// What happened.
+    /// Kind and details of the event.
     pub event: AuditEvent,
 }
 
-/// Tells what happened.
+/// Kind of an audited event, with its details.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum AuditEvent {
     /// A manifest came into force.
     ManifestAccepted {
-        /// Its version.
+        /// Version of the submitted manifest.
         version: ManifestVersion,
-        /// Digest of its text.
+        /// Digest of the submitted text.
         digest: ContentDigest,
     },
-    /// A manifest was refused since its version has another content already.
+    /// A manifest was rejected because its version is already taken by different content.
     ManifestConflict {
-        /// Its version.
+        /// Version of the submitted manifest.
         version: ManifestVersion,
-        /// Digest of its text.
+        /// Digest of the submitted text.
         digest: ContentDigest,
-        /// Digest of the content that holds the version.
+        /// Digest of the content that was accepted for the version.
         winner: ContentDigest,
     },
-    /// A manifest was refused since a higher version is in force.
+    /// A manifest was rejected because a higher version is in force.
     ManifestStale {
-        /// Its version.
+        /// Version of the submitted manifest.
         version: ManifestVersion,
-        /// Digest of its text.
+        /// Digest of the submitted text.
         digest: ContentDigest,
-        /// The version in force.
+        /// Version in force.
         current: ManifestVersion,
     },
     /// An entry VM opened a session.
     SessionOpened {
-        /// The session.
+        /// Identifier of the session, equal to the revision that opened it.
         session: SessionId,
-        /// The entry VM.
+        /// Name of the entry VM.
         vm: VmName,
     },
-    /// An entry VM began to leave.
+    /// An entry VM started to shut down and is no longer named to callers.
     SessionLeaving {
-        /// The session.
+        /// Identifier of the session, equal to the revision that opened it.
         session: SessionId,
-        /// The entry VM.
+        /// Name of the entry VM.
         vm: VmName,
     },
-    /// A session's lease ran out.
+    /// The lease of a session expired.
     SessionLapsed {
-        /// The session.
+        /// Identifier of the session, equal to the revision that opened it.
         session: SessionId,
-        /// The entry VM.
+        /// Name of the entry VM.
         vm: VmName,
     },
-    /// An entry VM ended its session.
+    /// An entry VM closed its session after finishing its requests.
     SessionClosed {
-        /// The session.
+        /// Identifier of the session, equal to the revision that opened it.
         session: SessionId,
-        /// The entry VM.
+        /// Name of the entry VM.
         vm: VmName,
     },
-    /// An operator asked for a change of the replicas.
+    /// An operator requested a change of the control replicas.
     MembershipRequested(MembershipChange),
-    /// The replicas changed.
+    /// A change of the control replicas took effect.
     MembershipChanged {
-        /// The replicas that vote.
+        /// Voting replicas after the change.
         voters: Vec<ReplicaId>,
-        /// The replicas that learn.
+        /// Non-voting replicas after the change.
         learners: Vec<ReplicaId>,
     },
-    /// An operator asked for a change of the route manifest.
+    /// An operator submitted a change of the route manifest.
     RoutesChange {
-        /// The version that the change makes.
+        /// Version that the change creates.
         version: ManifestVersion,
         /// Digest of the change.
         digest: ContentDigest,
-        /// Whether it was accepted, now or before.
+        /// Whether it was accepted; also true for a resend of an accepted change.
         accepted: bool,
     },
-    /// An operator evacuated a place or took it back into use.
+    /// An operator evacuated a place or returned it to service.
     Evacuation {
-        /// The place.
+        /// Name of the place.
         place: PlaceName,
-        /// Whether nothing is sent there from now on.
+        /// Whether the place receives no requests from this revision on.
         evacuated: bool,
     },
-    /// A request was put in quarantine or let out of it.
+    /// A request was quarantined or released from quarantine.
     Quarantine {
-        /// The request.
+        /// Fingerprint of the request's content.
         request: Fingerprint,
-        /// How it is treated from now on; nothing where it was let out.
+        /// Name of the verdict from this revision on; `None` if the request was released.
         verdict: Option<String>,
-        /// The backend servers that ended under it.
+        /// Backend servers that ended while handling the request.
         ended: Vec<BackendName>,
     },
 }
@@ -208,7 +210,7 @@
 }
 
 impl AuditRecord {
-    /// Renders the record as one line of JSON, without the line's end.
+    /// Renders the record as one line of JSON, without a trailing newline.
     #[must_use]
     pub fn to_json_line(&self) -> String {
         let mut fields = self.event.fields();
@@ -219,14 +221,14 @@
     }
 }
 
-/// Holds the latest audit records, in log order.
+/// The most recent audit records, in log order.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AuditTrail {
     records: VecDeque<AuditRecord>,
 }
 
 impl AuditTrail {
-    /// Adds a record; the oldest gives way if there are [`AUDIT_CAPACITY`] already.
+    /// Appends a record, evicting the oldest one if there are already [`AUDIT_CAPACITY`].
     pub(crate) fn push(&mut self, revision: Revision, wall_ms: u64, who: &str, event: AuditEvent) {
         let who = who.chars().take(MAX_WHO_CHARS).collect();
         if self.records.len() >= AUDIT_CAPACITY {
@@ -240,7 +242,7 @@
         });
     }
 
-    /// Iterates over the records after `revision`, oldest first.
+    /// Iterates over the records with a revision above `revision`, oldest first.
     pub fn after(&self, revision: Revision) -> impl Iterator<Item = &AuditRecord> {
         let start = self
             .records
--- a/lib/src/command.rs
+++ b/lib/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the replicated log: every input of the replicated state.
+//! Commands of the replicated log, the only inputs of the replicated state machine.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,57 +14,57 @@
 use crate::raft_message::ReplicaInfo;
 use crate::view::EntryInfo;
 
-/// Numbers the encoding of commands.
+/// Format version of encoded commands.
 const COMMAND_FORMAT: u8 = 2;
 
-/// Holds one command with the time of day at which a replica proposed it.
+/// One log command, with the wall-clock time at which a replica proposed it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Command {
-    /// Wall clock of the proposing replica, in milliseconds since the Unix epoch. For
+    /// Wall-clock time of the proposing replica, in milliseconds since the Unix epoch. For
     /// display and audit only: it may jump, and no decision depends on it.
     pub wall_ms: u64,
-    /// What is to be done.
+    /// Operation that the command performs.
     pub kind: CommandKind,
 }
 
-/// Tells what a command does.
+/// Operation of a command.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum CommandKind {
     /// Submits a manifest.
     SubmitManifest(Box<Submission>),
-    /// Opens a session of an entry VM; the command's revision becomes its identifier.
+    /// Opens a session for an entry VM; the command's revision becomes the session identifier.
     OpenSession(EntryInfo),
-    /// Notes that the entry of a session began to leave.
+    /// Marks a session whose entry VM has started to shut down.
     MarkLeaving(SessionId),
-    /// Ends a session whose lease and margin ran out at the leader.
+    /// Ends a session whose lease and safety margin expired at the leader.
     LapseSession(SessionId),
-    /// Ends a session whose entry has finished everything that it had dispatched.
+    /// Ends a session whose entry VM has finished all requests that it had dispatched.
     CloseSession(SessionId),
-    /// Notes who asked for a change of the replicas. The change itself is a log
-    /// payload of its own, which can't name the operator.
+    /// Records which operator requested a change of the control replicas. The change itself is
+    /// a separate log payload, which cannot carry the operator's name.
     RequestMembership(MembershipRequest),
-    /// Changes what direct dispatch goes by.
+    /// Changes the state of direct dispatch.
     Fleet(Box<FleetCommand>),
 }
 
-/// Holds a submitted manifest.
+/// A manifest submitted by an operator.
 ///
-/// The checked manifest travels with its text, so that replicas of different releases
-/// whose parsers differ still reach the same state.
+/// The parsed manifest is replicated along with its text, so that replicas of different
+/// releases reach the same state even if their parsers differ.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Submission {
-    /// The text as the operator sent it.
+    /// Manifest text exactly as the operator sent it.
     pub text: String,
-    /// What the proposing replica read from the text.
+    /// Manifest as parsed and checked by the proposing replica.
     pub manifest: Manifest,
-    /// Digest of the text.
+    /// Digest of `text`.
     pub digest: ContentDigest,
-    /// Who submitted it.
+    /// Name that the operator gave, for the audit trail.
     pub operator: String,
 }
 
 impl Submission {
-    /// Creates a submission, with the digest computed from `text`.
+    /// Creates a submission and computes the digest of `text`.
     #[must_use]
     pub fn new(text: String, manifest: Manifest, operator: String) -> Self {
         let digest = ContentDigest::of(text.as_bytes());
@@ -76,40 +76,40 @@
         }
     }
 
-    /// Returns the version of the manifest.
+    /// Returns the version that the parsed manifest declares.
     #[must_use]
     pub const fn version(&self) -> ManifestVersion {
         self.manifest.version
     }
 }
 
-/// Holds an operator's request to change the replicas.
+/// An operator's request to change the set of control replicas.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MembershipRequest {
-    /// Who asked.
+    /// Name that the operator gave, for the audit trail.
     pub operator: String,
-    /// What was asked for.
+    /// Requested change.
     pub change: MembershipChange,
 }
 
-/// Tells how an operator wants the replicas changed.
+/// Change of the set of control replicas.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum MembershipChange {
-    /// Adds a replica as a learner, to be promoted once it has caught up.
+    /// Adds a replica as a learner; it is promoted to a voter once it has caught up.
     Add {
-        /// The new replica.
+        /// Identifier of the new replica.
         replica: ReplicaId,
-        /// Where it is.
+        /// VM and address of the new replica.
         info: ReplicaInfo,
-        /// The replica to remove once the new one votes.
+        /// Replica to remove once the new one is a voter, if any.
         replaces: Option<ReplicaId>,
     },
-    /// Removes a replica.
+    /// Removes the replica with this identifier.
     Remove(ReplicaId),
 }
 
 impl Command {
-    /// Encodes the command for the log.
+    /// Encodes the command as a log entry.
     ///
     /// # Errors
     ///
@@ -118,12 +118,13 @@
         encoding::encode(COMMAND_FORMAT, self)
     }
 
-    /// Decodes a command of the log.
+    /// Decodes a command from a log entry.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes aren't a command of a known format. A replica that
-    /// meets one must stop: skipping it would make its state differ from the others'.
+    /// Returns an error if the bytes are not a command in a known format. A replica that
+    /// encounters such an entry must stop: skipping it would make its state diverge from that
+    /// of the other replicas.
     pub fn decode(encoded: &[u8]) -> Result<Self, EncodingError> {
         encoding::decode(COMMAND_FORMAT, encoded)
     }
--- a/lib/src/control_state.rs
+++ b/lib/src/control_state.rs
@@ -1,7 +1,7 @@
-//! The replicated state: what the positions of the log do, on every replica alike.
+//! Replicated state machine of the control replicas.
 //!
-//! Nothing here depends on anything but the log, so replicas that have applied the
-//! same positions hold equal states.
+//! The state is a deterministic function of the log, so replicas that have applied the same
+//! positions hold equal states.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -45,108 +45,111 @@
 use crate::view::ViewChangeKind;
 use crate::view_log::ViewLog;
 
-/// Numbers the encoding of snapshots.
+/// Format version of encoded snapshots.
 const SNAPSHOT_FORMAT: u8 = 6;
 
-/// The format before, which has nothing of teams.
+/// Previous snapshot format, which contains no teams.
 const SNAPSHOT_WITHOUT_TEAMS: u8 = 5;
 
-/// The one before that, which has nothing of suspected requests either.
+/// Snapshot format before that, which contains neither teams nor suspected requests.
 const SNAPSHOT_WITHOUT_SUSPECTS: u8 = 4;
 
-/// Names operators that don't say who they are in the audit trail.
-const OPERATOR: &str = "operator";
+/// Name recorded in the audit trail for operators who give no name.
+const ANONYMOUS_OPERATOR: &str = "operator";
 
-/// Names the replicas themselves in the audit trail.
+/// Name recorded in the audit trail for actions of the control replicas themselves.
 const CONTROL: &str = "control";
 
-/// Tells why a log position couldn't be applied. A replica that gets one must stop:
-/// its state and the log don't belong together.
+/// Reason why a log position could not be applied, or a snapshot not encoded or decoded.
+///
+/// A replica that fails to apply a position must stop, because its state and the log do not
+/// match.
 #[derive(Debug, Snafu)]
 pub enum ControlStateError {
-    /// The position doesn't follow the last one.
-    #[snafu(display("position {found} came where {expected} was next"))]
+    /// The position is not the successor of the last one applied.
+    #[snafu(display("log position {found} is out of order; expected {expected}"))]
     OutOfOrder {
-        /// The position that is next.
+        /// Position that must be applied next.
         expected: Revision,
-        /// The position that came.
+        /// Position that was given.
         found: Revision,
     },
-    /// A manifest couldn't be encoded.
-    #[snafu(display("the manifest of position {index} can't be encoded"))]
+    /// An accepted manifest could not be encoded to compute its delta.
+    #[snafu(display("the manifest at log position {index} cannot be encoded"))]
     Manifest {
-        /// The position.
+        /// Log position of the submission.
         index: Revision,
-        /// The cause.
+        /// Underlying encoding error.
         source: DeltaError,
     },
-    /// A snapshot couldn't be encoded or decoded.
-    #[snafu(display("the snapshot can't be encoded or decoded"))]
+    /// A snapshot could not be encoded or decoded.
+    #[snafu(display("the snapshot cannot be encoded or decoded"))]
     Snapshot {
-        /// The cause.
+        /// Underlying encoding error.
         source: EncodingError,
     },
 }
 
-/// Answers a command.
+/// Response to the proposer of a command.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Response {
-    /// Answers a submission.
+    /// Result of submitting a manifest.
     Submission(SubmissionAnswer),
-    /// The session was opened.
+    /// The session was opened under this identifier.
     SessionOpened(SessionId),
-    /// The command did what it says, or that had been done before.
+    /// The command has taken effect, now or earlier.
     Done,
-    /// The session isn't open, any more or yet.
+    /// No session with that identifier is open.
     UnknownSession,
-    /// Answers a change of the route manifest.
+    /// Result of changing the route manifest.
     Routes(RouteAnswer),
 }
 
-/// Holds what applying a command gave.
+/// Result of applying a command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
-    /// The answer for the one who proposed it.
+    /// Response to the proposer of the command.
     pub response: Response,
-    /// What changed for entry VMs; nothing, or one change.
+    /// Changes of the view that entry VMs follow: at most one.
     pub view_changes: Vec<ViewChange>,
 }
 
-/// Tells how an entry VM gets from the revision that it has applied to the newest.
+/// Update that takes an entry VM from the revision that it has applied to the latest one.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ViewUpdate {
-    /// By these changes, in order; by none, if it is up to date.
+    /// Changes to apply in order; empty if the entry VM is up to date.
     Changes(Vec<ViewChange>),
-    /// By the whole view.
+    /// Complete view that replaces the entry VM's own.
     Whole(ControlView),
-    /// Not by this replica, which is behind the entry. It must answer that it isn't
-    /// current: serving its view would take the entry back to an older manifest.
+    /// The replica is behind the entry VM. It must reply that it is not current, because
+    /// serving its view would revert the entry VM to an older manifest.
     ReplicaBehind,
 }
 
-/// Holds the replicated state after one log position.
+/// Replicated state of the control replicas as of one log position.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ControlState {
-    /// The last position applied.
+    /// Last log position applied.
     revision: Revision,
-    /// What entry VMs see; its revision is that of the last change that they see.
+    /// View that entry VMs follow; its revision is that of the last change to the view.
     view: ControlView,
     view_log: ViewLog,
     history: SubmissionHistory,
     audit: AuditTrail,
-    /// Wall clock of the last command.
+    /// Wall-clock time of the last command, in milliseconds since the Unix epoch.
     wall_ms: u64,
-    /// What direct dispatch goes by. Shared with those who read it meanwhile.
+    /// State of direct dispatch. Behind an `Arc`, so that readers can keep a copy while later
+    /// commands are applied.
     fleet: Arc<FleetState>,
 }
 
 impl ControlState {
-    /// Applies the command at position `index`.
+    /// Applies the command at log position `index`.
     ///
     /// # Errors
     ///
-    /// Returns an error if `index` isn't the next position or the command can't be
-    /// applied; the replica must stop then.
+    /// Returns an error if `index` is not the next position or the command cannot be
+    /// applied; the replica must then stop.
     pub fn apply(
         &mut self,
         index: Revision,
@@ -165,20 +168,20 @@
         }
     }
 
-    /// Applies a position that holds no command for the state.
+    /// Applies a log position that contains no command.
     ///
     /// # Errors
     ///
-    /// Returns an error if `index` isn't the next position.
+    /// Returns an error if `index` is not the next position.
     pub fn apply_noop(&mut self, index: Revision) -> Result<(), ControlStateError> {
         self.advance(index)
     }
 
-    /// Applies a position that changes the replicas.
+    /// Applies a log position that changes the set of replicas.
     ///
     /// # Errors
     ///
-    /// Returns an error if `index` isn't the next position.
+    /// Returns an error if `index` is not the next position.
     pub fn apply_membership(
         &mut self,
         index: Revision,
@@ -214,8 +217,8 @@
         let known = self.history.answer(version, digest);
         match known {
             None => self.accept(submission),
-            // A resend changes nothing, so it leaves no record either: a pipeline that
-            // repeats itself must not push everything else out of the audit trail.
+            // A resend changes nothing and is not audited: a pipeline that resends
+            // repeatedly must not evict all other records from the audit trail.
             Some(answer @ SubmissionAnswer::Accepted { .. }) => Ok(answered(answer)),
             Some(answer @ SubmissionAnswer::VersionConflict { winner }) => {
                 let event = AuditEvent::ManifestConflict {
@@ -327,19 +330,19 @@
         let answer = command.apply(self.revision, Arc::make_mut(&mut self.fleet));
         self.record_quarantine(command, &before);
         if let Some(event) = fleet_event(command, answer.as_ref()) {
-            self.record(OPERATOR, event);
+            self.record(ANONYMOUS_OPERATOR, event);
         }
         unchanged(answer.map_or(Response::Done, Response::Routes))
     }
 
-    /// Records which requests are in quarantine since a command, and which no more.
+    /// Records which requests a command quarantined or released from quarantine.
     fn record_quarantine(&mut self, command: &FleetCommand, before: &Quarantine) {
         let after = Arc::clone(self.fleet.quarantine());
         if after.revision() == before.revision() {
             return;
         }
         let who = match command {
-            FleetCommand::LiftSuspect(_) => OPERATOR,
+            FleetCommand::LiftSuspect(_) => ANONYMOUS_OPERATOR,
             _ => CONTROL,
         };
         for event in quarantine_events(before, &after) {
@@ -373,20 +376,21 @@
         }
     }
 
-    /// Returns the last position applied.
+    /// Returns the last log position applied.
     #[must_use]
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns what entry VMs see. Its revision is that of the last change that they
-    /// see, which may be lower than [`Self::revision`].
+    /// Returns the view that entry VMs follow. Its revision is that of the last change to the
+    /// view, which may be lower than [`Self::revision`].
     #[must_use]
     pub const fn view(&self) -> &ControlView {
         &self.view
     }
 
-    /// Returns how an entry VM gets on from `applied`; 0 stands for no view at all.
+    /// Returns the update for an entry VM that has applied `applied`; 0 means that it has no
+    /// view yet.
     #[must_use]
     pub fn update_from(&self, applied: Revision) -> ViewUpdate {
         if applied > self.view.revision {
@@ -401,25 +405,25 @@
         }
     }
 
-    /// Returns the accepted manifests of the recent past.
+    /// Returns the most recently accepted manifests.
     #[must_use]
     pub const fn history(&self) -> &SubmissionHistory {
         &self.history
     }
 
-    /// Returns what direct dispatch goes by.
+    /// Returns the state of direct dispatch.
     #[must_use]
     pub const fn fleet(&self) -> &Arc<FleetState> {
         &self.fleet
     }
 
-    /// Returns the audit trail.
+    /// Returns the most recent audit records.
     #[must_use]
     pub const fn audit(&self) -> &AuditTrail {
         &self.audit
     }
 
-    /// Encodes the state for a snapshot.
+    /// Encodes the state as a snapshot.
     ///
     /// # Errors
     ///
@@ -429,11 +433,11 @@
         encoding::encode(SNAPSHOT_FORMAT, &content).context(SnapshotSnafu)
     }
 
-    /// Decodes the state of a snapshot.
+    /// Decodes the state from a snapshot of the current or an earlier format.
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes aren't a state of a known format.
+    /// Returns an error if the bytes are not a state in a known format.
     pub fn decode_snapshot(encoded: &[u8]) -> Result<Self, ControlStateError> {
         if encoded.first() == Some(&SNAPSHOT_WITHOUT_SUSPECTS) {
             return encoding::decode(SNAPSHOT_WITHOUT_SUSPECTS, encoded).context(SnapshotSnafu);
@@ -460,8 +464,8 @@
     }
 }
 
-/// Returns what the audit trail keeps of a command: what operators ask for, and not the
-/// comings and goings of backend servers, which would push everything else out.
+/// Returns the audit event of a command. Only operators' commands are audited: records of
+/// backend servers that start and stop would evict all others.
 fn fleet_event(command: &FleetCommand, answer: Option<&RouteAnswer>) -> Option<AuditEvent> {
     if let Some(change) = command.manifest_change() {
         return Some(AuditEvent::RoutesChange {
@@ -479,7 +483,8 @@
     }
 }
 
-/// Returns which requests are treated otherwise than before: quarantined, or not any more.
+/// Returns an event for each request that was quarantined or released, or whose quarantine
+/// verdict changed.
 fn quarantine_events(before: &Quarantine, after: &Quarantine) -> Vec<AuditEvent> {
     let contents = before.suspects().chain(after.suspects());
     let contents: BTreeSet<&Fingerprint> = contents.map(|(request, _)| request).collect();
@@ -506,7 +511,7 @@
     unchanged(Response::Submission(answer))
 }
 
-/// Picks the smaller of the whole manifest and its difference to the one before.
+/// Returns the smaller of the whole manifest and its delta to the previous one.
 fn manifest_change(
     base: Option<&ManifestInForce>,
     target: &Arc<ManifestInForce>,
--- a/lib/src/fleet_command.rs
+++ b/lib/src/fleet_command.rs
@@ -1,4 +1,4 @@
-//! The commands of the replicated log that direct dispatch goes by.
+//! Commands of the replicated log that change the state of direct dispatch.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -18,50 +18,50 @@
 use crate::team_manifest::FleetChange;
 use crate::team_manifest::TeamChange;
 
-/// Tells what is to be done.
+/// Command that changes the state of direct dispatch.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum FleetCommand {
     /// Changes the route manifest.
     ChangeRoutes(RouteChange),
-    /// Evacuates a place, or takes it back into use.
+    /// Evacuates a place, or returns it to service.
     SetEvacuated {
-        /// The place.
+        /// Name of the place.
         place: PlaceName,
-        /// Whether nothing may be sent there from now on.
+        /// Whether no requests may be sent to the place from now on.
         evacuated: bool,
     },
-    /// Takes announcements of backend servers in.
+    /// Applies announcements of backend servers.
     Announce(Vec<BackendChange>),
-    /// Removes a backend server that says that it is gone.
+    /// Removes a backend server that announced its end.
     Withdraw(BackendIncarnation),
-    /// Removes backend servers that haven't been heard of for long.
+    /// Removes backend servers that have not been heard from within the retention time.
     ForgetBackends(Vec<BackendIncarnation>),
-    /// Takes an entry VM in, or its next life.
+    /// Registers an entry VM, or a new incarnation of a registered one.
     EnrollEntry {
-        /// The entry VM.
+        /// Name of the entry VM.
         vm: VmName,
-        /// Where it is.
+        /// Location, address and incarnation of the entry VM.
         record: EntryRecord,
     },
-    /// Removes an entry VM that hasn't been heard of for long.
+    /// Removes an entry VM that has not been heard from within the retention time.
     ForgetEntry {
-        /// The entry VM.
+        /// Name of the entry VM.
         vm: VmName,
-        /// The life that wasn't heard of.
+        /// Incarnation to remove; a different one stays registered.
         life: u64,
     },
-    /// Takes in what entry VMs saw of requests that may end backend servers.
+    /// Records observations of entry VMs about requests that may crash backend servers.
     NoteSuspects(Vec<SuspectNote>),
-    /// Lets suspected requests go one step, unless they were heard of later than at the
-    /// positions named.
+    /// Relaxes the verdict on suspected requests by one step, unless they were observed again
+    /// after the given positions.
     ReleaseSuspects(Vec<(Fingerprint, Revision)>),
-    /// Forgets a suspected request by order of an operator.
+    /// Clears a suspected request on an operator's request.
     LiftSuspect(Fingerprint),
-    /// Changes the manifest, its teams among the rest.
+    /// Changes the manifest, including its teams.
     ChangeTeams {
-        /// What it makes of the routes and services.
+        /// Change of the routes and services.
         routes: RouteChange,
-        /// What it makes of the teams.
+        /// Change of the teams.
         teams: TeamChange,
     },
 }
@@ -79,7 +79,8 @@
 }
 
 impl FleetCommand {
-    /// Returns the change of the manifest that the command asks for.
+    /// Returns the manifest change of the command, or `None` if the command changes something
+    /// else.
     #[must_use]
     pub const fn manifest_change(&self) -> Option<ChangeView<'_>> {
         match self {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Applies the command at `index`; a change of routes has an answer.
+    /// Applies the command at log position `index`. Only a manifest change has an answer.
     pub fn apply(&self, index: Revision, state: &mut FleetState) -> Option<RouteAnswer> {
         if let Some(change) = self.manifest_change() {
             return Some(state.change(index, change));
--- a/lib/src/fleet_record.rs
+++ b/lib/src/fleet_record.rs
@@ -1,4 +1,4 @@
-//! What the replicated state of direct dispatch knows of backend servers and entry VMs.
+//! Records of backend servers and entry VMs in the replicated state of direct dispatch.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,100 +14,101 @@
 use crate::id::ServiceName;
 use crate::id::VmName;
 
-/// Says whether a backend server takes new requests.
+/// Whether a backend server accepts new requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum BackendState {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has and leaves.
+    /// It finishes its current requests and then ends.
     Draining,
-    /// Another backend server has taken its address over.
+    /// Another backend server has taken over its address, so it must not be sent requests.
     Superseded,
 }
 
-/// Holds what a backend server told of itself when something last changed.
+/// Contents of the last announcement of a backend server that changed something.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BackendRecord {
-    /// The service that it belongs to.
+    /// Service that the backend server belongs to.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// The place that it stands in.
+    /// Place in which it runs.
     pub place: PlaceName,
-    /// Requests that it runs at a time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: BackendState,
-    /// When its process started, in milliseconds since the Unix epoch; 0 if it doesn't say.
-    /// A backend server that starts again may keep its name: a later birth is another life, of
-    /// which nothing of the earlier one holds.
+    /// Start time of its process, in milliseconds since the Unix epoch; 0 if not announced.
+    /// A backend server may keep its name across restarts: a later start time is a new
+    /// incarnation, to which nothing known of the earlier one applies.
     #[serde(default)]
     pub born: u64,
-    /// Number of its announcement, anew in each life; a lower one that comes later is stale.
+    /// Sequence number of the announcement, restarting in each incarnation. An announcement
+    /// with a lower number that arrives later is stale.
     pub sequence: u64,
-    /// How much longer it was cold when it said so.
+    /// Remaining cold-start time as of the announcement.
     pub cold_for: Duration,
 }
 
-/// Slots that a backend server may have. A larger number is no count of slots.
-const MOST_SLOTS: u32 = 1 << 16;
+/// Maximum number of slots of a backend server. A larger number cannot be a slot count.
+const MAX_SLOTS: u32 = 1 << 16;
 
-/// Time for which a backend server may be cold.
-const LONGEST_COLD: Duration = Duration::from_hours(1);
+/// Maximum remaining cold-start time of a backend server.
+const MAX_COLD_TIME: Duration = Duration::from_hours(1);
 
-/// Bytes of a name.
-const MOST_NAME_BYTES: usize = 256;
+/// Maximum length of a backend server's or service's name, in bytes.
+const MAX_NAME_BYTES: usize = 256;
 
-/// Tells why what is said of a backend server names none that can be used. It may come from
-/// a program of another release, or from one that isn't a backend server at all.
+/// Reason why a record does not describe a usable backend server. Such a record may come from
+/// a program of another release, or from one that is not a backend server at all.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum RecordProblem {
-    /// The name is empty or too long.
-    #[snafu(display("a name of {bytes} bytes"))]
+    /// The name of the backend server or service is empty or too long.
+    #[snafu(display("a name has {bytes} bytes; allowed are 1 to {MAX_NAME_BYTES}"))]
     Name {
-        /// Its length.
+        /// Length of the name in bytes.
         bytes: usize,
     },
-    /// No place of that name is known.
-    #[snafu(display("the place {place} isn't known"))]
+    /// The place does not exist.
+    #[snafu(display("unknown place {place}"))]
     Place {
-        /// The name.
+        /// Name of the place.
         place: PlaceName,
     },
-    /// Nothing can be reached there.
-    #[snafu(display("nothing can be reached at {address}"))]
+    /// The port is 0 or the IP address is unspecified.
+    #[snafu(display("address {address} cannot be connected to"))]
     Address {
-        /// The address.
+        /// Announced address.
         address: SocketAddr,
     },
-    /// The number of slots is out of bounds.
-    #[snafu(display("{slots} slots"))]
+    /// The number of slots is out of range.
+    #[snafu(display("{slots} slots announced; allowed are 1 to {MAX_SLOTS}"))]
     Slots {
-        /// The number.
+        /// Announced number of slots.
         slots: u32,
     },
-    /// The time for which it says that it stays cold is out of bounds.
-    #[snafu(display("cold for {} s", cold_for.as_secs()))]
+    /// The remaining cold-start time is out of range.
+    #[snafu(display("cold for {} s, which is longer than allowed", cold_for.as_secs()))]
     Cold {
-        /// The time.
+        /// Announced remaining cold-start time.
         cold_for: Duration,
     },
 }
 
 impl BackendRecord {
-    /// Checks whether the record can belong to a backend server called `name`, where
-    /// `is_place` knows the places there are.
+    /// Checks whether the record describes a usable backend server called `name`. `is_place`
+    /// returns whether a place exists.
     ///
     /// # Errors
     ///
-    /// Returns the first thing that is wrong.
+    /// Returns the first problem found.
     pub fn check(
         &self,
         name: &BackendName,
         is_place: impl Fn(&PlaceName) -> bool,
     ) -> Result<(), RecordProblem> {
         for bytes in [name.as_str().len(), self.service.as_str().len()] {
-            ensure!((1..=MOST_NAME_BYTES).contains(&bytes), NameSnafu { bytes });
+            ensure!((1..=MAX_NAME_BYTES).contains(&bytes), NameSnafu { bytes });
         }
         let place = &self.place;
         ensure!(
@@ -120,86 +121,91 @@
         let is_reachable = address.port() != 0 && !address.ip().is_unspecified();
         ensure!(is_reachable, AddressSnafu { address });
         let slots = self.slots;
-        ensure!((1..=MOST_SLOTS).contains(&slots), SlotsSnafu { slots });
+        ensure!((1..=MAX_SLOTS).contains(&slots), SlotsSnafu { slots });
         let cold_for = self.cold_for;
-        ensure!(cold_for <= LONGEST_COLD, ColdSnafu { cold_for });
+        ensure!(cold_for <= MAX_COLD_TIME, ColdSnafu { cold_for });
         Ok(())
     }
 
-    /// Returns whether the record says anything that `known` doesn't, the count of its
-    /// announcements and how cold it is aside. That a cold spell is over is news: an entry VM
-    /// that starts later counts the time for which a record is cold from its own start. After
-    /// a loss of all power each spared the backend servers that had ever been cold for 3 s;
-    /// 4 of 11 of one service took all of its requests, and of 555 requests to all services in
-    /// the first 2 s with power 7 were in time (182 with this, one play each).
+    /// Returns whether the record differs from `known` in more than the sequence number and the
+    /// remaining cold-start time.
+    ///
+    /// The end of a cold start counts as a difference, because an entry VM that starts later
+    /// counts the cold-start time of a record from its own start. Without this, after a power
+    /// loss of the whole system each entry VM avoided for 3 s every backend server that had ever
+    /// been cold: 4 of the 11 backend servers of one service received all of its requests, and
+    /// of 555 requests to all services in the first 2 s after power returned, 7 were answered in
+    /// time (182 with this rule, one run each).
     #[must_use]
     pub fn differs_materially_from(&self, known: &Self) -> bool {
-        let told = |record: &Self| (record.born, record.state, record.address, record.slots);
+        let compared = |record: &Self| (record.born, record.state, record.address, record.slots);
         let is_warm_again = self.cold_for.is_zero() && !known.cold_for.is_zero();
-        told(self) != told(known)
+        compared(self) != compared(known)
             || self.service != known.service
             || self.place != known.place
             || is_warm_again
     }
 
-    /// Returns whether it said in this life that it leaves.
+    /// Returns whether the backend server announced in this incarnation that it is draining.
     #[must_use]
-    pub fn drains_in(&self, life: &BackendIncarnation) -> bool {
-        self.born == life.born && self.state == BackendState::Draining
+    pub fn drains_in(&self, incarnation: &BackendIncarnation) -> bool {
+        self.born == incarnation.born && self.state == BackendState::Draining
     }
 
-    /// Returns what orders announcements of one name: the life, then the number in it.
+    /// Returns the key that orders announcements of one backend server name: the start time of
+    /// the incarnation, then the sequence number.
     #[must_use]
     pub const fn stamp(&self) -> (u64, u64) {
         (self.born, self.sequence)
     }
 }
 
-/// Names one life of a backend server.
+/// Identifies one incarnation of a backend server: one run of its process.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct BackendIncarnation {
-    /// The backend server.
+    /// Name of the backend server, which may be the same in several incarnations.
     pub backend: BackendName,
-    /// When it was born; earlier lives are meant too.
+    /// Start time of the incarnation, as in [`BackendRecord::born`]. Where an incarnation is
+    /// removed, earlier ones are too.
     pub born: u64,
 }
 
-/// Holds an announcement that changes something.
+/// An announcement of a backend server that changes the replicated state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BackendChange {
-    /// The backend server: one life of one process.
+    /// Name of the backend server; `record.born` identifies the incarnation.
     pub backend: BackendName,
-    /// What it says of itself.
+    /// Announced record.
     pub record: BackendRecord,
-    /// Whether it may take its address back from a backend server that hasn't been
-    /// heard of lately.
+    /// Whether it may reclaim its address from a backend server that has not been heard from
+    /// recently.
     pub reclaims: bool,
 }
 
-/// Holds where an entry VM is.
+/// Location, address and incarnation of an entry VM.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EntryRecord {
-    /// The place that it stands in.
+    /// Place in which the entry VM runs.
     pub place: PlaceName,
-    /// The region of that place.
+    /// Region of the place.
     pub region: RegionName,
-    /// Where callers reach it.
+    /// Address at which it accepts callers' requests.
     pub callers: SocketAddr,
-    /// Tells one life of its process from another; drawn at random at the start.
+    /// Identifies the incarnation of its process; drawn at random at start.
     pub life: u64,
 }
 
-/// Names what was removed from the state.
+/// Identifies an item that was removed from the replicated state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum RemovedItem {
-    /// A route.
+    /// A route, by name.
     Route(crate::id::RouteName),
-    /// A service.
+    /// A service, by name.
     Service(ServiceName),
-    /// A backend server.
+    /// A backend server, by name.
     Backend(BackendName),
-    /// An entry VM.
+    /// An entry VM, by name.
     Entry(VmName),
-    /// A team.
+    /// A team, by name.
     Team(crate::id::TeamName),
 }
--- a/lib/src/fleet_state.rs
+++ b/lib/src/fleet_state.rs
@@ -1,9 +1,9 @@
-//! The part of the replicated state that direct dispatch goes by: the route manifest,
-//! the places that are evacuated, backend servers and entry VMs.
+//! Replicated state of direct dispatch: the route manifest, evacuated places, backend servers
+//! and entry VMs.
 //!
-//! Heartbeats aren't part of it: they come several hundred times a second, and losing
-//! some does no harm. What entry VMs must agree on is: who is there at all, and who
-//! leaves.
+//! Heartbeats are not replicated: they arrive several hundred times a second, and losing some
+//! does no harm. The state contains only what entry VMs must agree on: which processes exist,
+//! and which of them are draining.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -40,33 +40,33 @@
 use crate::team_manifest::TeamManifest;
 use crate::team_state::TeamState;
 
-/// Accepted changes whose resends are still recognized. A pipeline that loses an answer
-/// asks again within seconds; this many last for hours at ten changes a minute.
-const REMEMBERED_CHANGES: usize = 4_096;
+/// Number of accepted changes whose resends are still recognized. A pipeline that loses an
+/// answer resends within seconds; this number covers hours at ten changes a minute.
+const ACCEPTED_CHANGE_CAPACITY: usize = 4_096;
 
-/// Removals that are still told one by one; an entry VM that is further behind takes the
-/// whole state. About 100 bytes each.
-const REMEMBERED_REMOVALS: usize = 1_024;
+/// Number of removals kept for incremental updates; an entry VM that is further behind receives
+/// the full state. Each takes about 100 bytes.
+const REMOVAL_CAPACITY: usize = 1_024;
 
-/// Backend servers that have withdrawn and whose late announcements are still recognized.
-/// At one replacement a second, this many last for over half an hour.
-const REMEMBERED_WITHDRAWALS: usize = 2_048;
+/// Number of withdrawn backend servers whose late announcements are still recognized. At one
+/// replacement a second, this number covers more than half an hour.
+const WITHDRAWAL_CAPACITY: usize = 2_048;
 
-/// Answers a change of the route manifest.
+/// Result of a change of the route manifest.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum RouteAnswer {
     /// The change is in force, or was accepted earlier.
     Accepted,
-    /// The change builds on another version than the one in force.
+    /// The change is based on a version other than the one in force.
     Conflict {
-        /// The version in force.
+        /// Version in force.
         current: ManifestVersion,
     },
-    /// The change would make an invalid manifest.
+    /// The change would result in an invalid manifest.
     Invalid(RouteProblem),
 }
 
-/// Holds a value and the revision that last changed it.
+/// A value with the revision that last changed it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 struct Stamped<T> {
     revision: Revision,
@@ -79,10 +79,10 @@
     digest: ContentDigest,
 }
 
-/// Holds the state of direct dispatch after one log position.
+/// Replicated state of direct dispatch as of one log position.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct FleetState {
-    /// The last position that changed anything here.
+    /// Last log position that changed this state.
     revision: Revision,
     manifest: RouteManifest,
     route_stamps: BTreeMap<RouteName, Revision>,
@@ -92,75 +92,78 @@
     backends: BTreeMap<BackendName, Stamped<Arc<BackendRecord>>>,
     entries: BTreeMap<VmName, Stamped<Arc<EntryRecord>>>,
     removed: VecDeque<Stamped<RemovedItem>>,
-    /// The last position whose removals were dropped from `removed`.
+    /// Log position of the latest removal that was evicted from `removed`.
     forgotten: Revision,
     withdrawn: VecDeque<BackendIncarnation>,
-    /// Snapshots hold the teams beside the state.
+    /// Stored separately in snapshots.
     #[serde(skip)]
     teams: Arc<TeamState>,
-    /// Numbered by itself: what is noted of suspected requests is no news to entry VMs unless
-    /// it changes a verdict. Snapshots hold it beside the state.
+    /// Has its own revision, because entry VMs need observations of suspected requests only
+    /// where these change a verdict. Stored separately in snapshots.
     #[serde(skip)]
     quarantine: Arc<Quarantine>,
 }
 
 impl FleetState {
-    /// Returns the last position that changed anything here.
+    /// Returns the last log position that changed this state, which may be lower than the last
+    /// one applied.
     #[must_use]
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns the route manifest in force.
+    /// Returns the route manifest in force, without its teams.
     #[must_use]
     pub const fn manifest(&self) -> &RouteManifest {
         &self.manifest
     }
 
-    /// Returns what is known of a backend server.
+    /// Returns the record of a backend server, or `None` if it is not registered.
     #[must_use]
     pub fn backend(&self, name: &BackendName) -> Option<&BackendRecord> {
         self.backends.get(name).map(|stamped| &*stamped.value)
     }
 
-    /// Returns all backend servers.
+    /// Iterates over the registered backend servers by name, superseded ones included.
     pub fn backends(&self) -> impl Iterator<Item = (&BackendName, &BackendRecord)> {
         self.backends
             .iter()
             .map(|(name, stamped)| (name, &*stamped.value))
     }
 
-    /// Returns whether a backend server of that birth has withdrawn for good. One that was
-    /// born later under the same name hasn't.
+    /// Returns whether the incarnation of a backend server that started at `born` has withdrawn.
+    /// A later incarnation of the same name is not affected.
     #[must_use]
     pub fn has_withdrawn(&self, name: &BackendName, born: u64) -> bool {
-        let covers = |life: &BackendIncarnation| life.backend == *name && born <= life.born;
+        let covers =
+            |withdrawn: &BackendIncarnation| withdrawn.backend == *name && born <= withdrawn.born;
         self.withdrawn.iter().any(covers)
     }
 
-    /// Returns all entry VMs.
+    /// Iterates over the registered entry VMs by name.
     pub fn entries(&self) -> impl Iterator<Item = (&VmName, &EntryRecord)> {
         self.entries
             .iter()
             .map(|(name, stamped)| (name, &*stamped.value))
     }
 
-    /// Returns what is known of an entry VM.
+    /// Returns the record of an entry VM, or `None` if it is not registered.
     #[must_use]
     pub fn entry(&self, vm: &VmName) -> Option<&EntryRecord> {
         self.entries.get(vm).map(|stamped| &*stamped.value)
     }
 
-    /// Applies a change of the route manifest at `index`.
+    /// Applies a change of the route manifest at log position `index`.
     ///
-    /// A change that was accepted before is accepted again, whatever came after it: its
-    /// sender lost the answer, and a refusal would make it believe that the change isn't
-    /// in the history.
+    /// A change that was accepted earlier is accepted again, regardless of later changes: its
+    /// sender lost the answer, and a rejection would make it believe that the change was never
+    /// in force.
     pub fn change_routes(&mut self, index: Revision, change: &RouteChange) -> RouteAnswer {
         self.change(index, change)
     }
 
-    /// Applies a change of the manifest, its teams among the rest, in the same way.
+    /// Applies a change of the manifest, including its teams, under the same rules as
+    /// [`Self::change_routes`].
     pub fn change<'a>(
         &mut self,
         index: Revision,
@@ -192,13 +195,13 @@
     }
 
     fn accept(&mut self, index: Revision, manifest: FleetManifest, digest: ContentDigest) {
-        let gone = if self.teams() == manifest.teams.as_ref() {
+        let removed_teams = if self.teams() == manifest.teams.as_ref() {
             Vec::new()
         } else {
             Arc::make_mut(&mut self.teams).accept(index, manifest.teams)
         };
-        for team in gone {
-            self.note_removed(index, RemovedItem::Team(team));
+        for team in removed_teams {
+            self.record_removal(index, RemovedItem::Team(team));
         }
         let before = std::mem::replace(&mut self.manifest, manifest.routes);
         let now = &self.manifest;
@@ -212,25 +215,25 @@
         let routes = routes.into_iter().map(RemovedItem::Route);
         let services = services.into_iter().map(RemovedItem::Service);
         for item in routes.chain(services) {
-            self.note_removed(index, item);
+            self.record_removal(index, item);
         }
         self.accepted.push_back(AcceptedChange {
             version: self.manifest.version,
             digest,
         });
-        if self.accepted.len() > REMEMBERED_CHANGES {
+        if self.accepted.len() > ACCEPTED_CHANGE_CAPACITY {
             self.accepted.pop_front();
         }
-        self.touch(index);
+        self.mark_changed(index);
     }
 
-    /// Returns the teams; nothing if requests need no key.
+    /// Returns the teams, or `None` if requests need no key.
     #[must_use]
     pub fn teams(&self) -> Option<&TeamManifest> {
         self.teams.manifest()
     }
 
-    /// Returns the whole manifest in force.
+    /// Returns the manifest in force, including its teams.
     #[must_use]
     pub fn whole_manifest(&self) -> FleetManifest {
         FleetManifest {
@@ -239,17 +242,17 @@
         }
     }
 
-    /// Returns the teams as a snapshot holds them.
+    /// Returns the state of the teams, as stored in snapshots.
     pub(crate) const fn team_state(&self) -> &Arc<TeamState> {
         &self.teams
     }
 
-    /// Puts back what a snapshot holds of the teams.
+    /// Restores the state of the teams from a snapshot.
     pub(crate) fn restore_teams(&mut self, teams: TeamState) {
         self.teams = Arc::new(teams);
     }
 
-    /// Evacuates a place, or takes it back into use.
+    /// Evacuates a place, or returns it to service.
     pub fn set_evacuated(&mut self, index: Revision, place: &PlaceName, evacuated: bool) {
         let changed = if evacuated {
             self.evacuated.insert(place.clone())
@@ -257,11 +260,12 @@
             self.evacuated.remove(place)
         };
         if changed {
-            self.touch(index);
+            self.mark_changed(index);
         }
     }
 
-    /// Takes announcements of backend servers in that change something.
+    /// Applies announcements of backend servers that change the state. Stale announcements, and
+    /// those of withdrawn incarnations, are ignored.
     pub fn announce(&mut self, index: Revision, changes: &[BackendChange]) {
         for change in changes {
             self.announce_one(index, change);
@@ -281,7 +285,7 @@
             }
         }
         let mut record = change.record.clone();
-        if self.has_heir(change) {
+        if self.address_has_newer_owner(change) {
             record.state = BackendState::Superseded;
         } else {
             self.supersede_others_at(index, change);
@@ -293,13 +297,14 @@
                 value: Arc::new(record),
             },
         );
-        self.touch(index);
+        self.mark_changed(index);
     }
 
-    /// Returns whether a backend server that was born later has the address. An announcement
-    /// that a cut held up may come after its sender has died and another one has started
-    /// there; it would push out the one that lives, until that one's next heartbeat.
-    fn has_heir(&self, change: &BackendChange) -> bool {
+    /// Returns whether a backend server that started later has the announced address. An
+    /// announcement delayed by a network partition may arrive after its sender has ended and
+    /// another backend server has started at the address; it would supersede the live one until
+    /// that one's next heartbeat.
+    fn address_has_newer_owner(&self, change: &BackendChange) -> bool {
         self.backends.iter().any(|(name, other)| {
             *name != change.backend
                 && other.value.address == change.record.address
@@ -309,8 +314,9 @@
         })
     }
 
-    /// Marks whoever had the address before: an address belongs to the life that was
-    /// announced there last, and requests meant for an earlier one must not go there.
+    /// Marks the previous owner of the address as superseded: an address belongs to the
+    /// incarnation that was last announced there, and requests meant for an earlier one must not
+    /// be sent to it.
     fn supersede_others_at(&mut self, index: Revision, change: &BackendChange) {
         for (name, other) in &mut self.backends {
             let same_address = other.value.address == change.record.address;
@@ -328,35 +334,35 @@
         }
     }
 
-    /// Removes a backend server that says that it is gone. Late announcements of this
-    /// life are recognized and ignored.
-    pub fn withdraw(&mut self, index: Revision, life: &BackendIncarnation) {
-        if self.has_withdrawn(&life.backend, life.born) {
+    /// Removes a backend server that announced its end. Late announcements of this incarnation
+    /// are ignored from now on.
+    pub fn withdraw(&mut self, index: Revision, incarnation: &BackendIncarnation) {
+        if self.has_withdrawn(&incarnation.backend, incarnation.born) {
             return;
         }
-        self.withdrawn.push_back(life.clone());
-        if self.withdrawn.len() > REMEMBERED_WITHDRAWALS {
+        self.withdrawn.push_back(incarnation.clone());
+        if self.withdrawn.len() > WITHDRAWAL_CAPACITY {
             self.withdrawn.pop_front();
         }
-        self.forget_backends(index, std::slice::from_ref(life));
+        self.forget_backends(index, std::slice::from_ref(incarnation));
     }
 
-    /// Removes backend servers that haven't been heard of for long, unless they have begun
-    /// another life meanwhile. They may come back.
-    pub fn forget_backends(&mut self, index: Revision, lives: &[BackendIncarnation]) {
-        for BackendIncarnation { backend, born } in lives {
+    /// Removes backend servers that have not been heard from within the retention time, except
+    /// those with a later incarnation. A removed backend server may announce itself again.
+    pub fn forget_backends(&mut self, index: Revision, incarnations: &[BackendIncarnation]) {
+        for BackendIncarnation { backend, born } in incarnations {
             if self
                 .backend(backend)
                 .is_some_and(|known| known.born <= *born)
             {
                 self.backends.remove(backend);
-                self.note_removed(index, RemovedItem::Backend(backend.clone()));
-                self.touch(index);
+                self.record_removal(index, RemovedItem::Backend(backend.clone()));
+                self.mark_changed(index);
             }
         }
     }
 
-    /// Takes an entry VM in, or its next life.
+    /// Registers an entry VM, or a new incarnation of a registered one.
     pub fn enroll_entry(&mut self, index: Revision, vm: &VmName, record: &EntryRecord) {
         if self.entry(vm) == Some(record) {
             return;
@@ -368,74 +374,75 @@
                 value: Arc::new(record.clone()),
             },
         );
-        self.touch(index);
+        self.mark_changed(index);
     }
 
-    /// Removes an entry VM that hasn't been heard of for long, unless it has begun
-    /// another life meanwhile.
+    /// Removes an entry VM that has not been heard from within the retention time, unless it
+    /// has registered with another incarnation.
     pub fn forget_entry(&mut self, index: Revision, vm: &VmName, life: u64) {
         if self.entry(vm).is_none_or(|entry| entry.life != life) {
             return;
         }
         self.entries.remove(vm);
-        self.note_removed(index, RemovedItem::Entry(vm.clone()));
-        self.touch(index);
+        self.record_removal(index, RemovedItem::Entry(vm.clone()));
+        self.mark_changed(index);
     }
 
-    /// Returns the requests that are suspected of ending backend servers.
+    /// Returns the requests that are suspected of crashing backend servers.
     #[must_use]
     pub const fn quarantine(&self) -> &Arc<Quarantine> {
         &self.quarantine
     }
 
-    /// Puts back what a snapshot holds of suspected requests.
+    /// Restores the suspected requests from a snapshot.
     pub(crate) fn restore_quarantine(&mut self, quarantine: Quarantine) {
         self.quarantine = Arc::new(quarantine);
     }
 
-    /// Takes in what entry VMs saw of requests. The end of a backend server that said that it
-    /// leaves is evidence against none.
+    /// Records observations of entry VMs about suspected requests. The end of a backend server
+    /// that was draining or had withdrawn is no evidence against any request.
     pub fn note_suspects(&mut self, index: Revision, notes: &[SuspectNote]) {
-        let counts = |note: &&SuspectNote| match note {
-            SuspectNote::Ended(ended) => !self.has_left(&ended.life),
+        let is_evidence = |note: &&SuspectNote| match note {
+            SuspectNote::Ended(ended) => !self.announced_end(&ended.life),
             SuspectNote::Answered(_) | SuspectNote::Refused(_) => true,
         };
-        let notes: Vec<&SuspectNote> = notes.iter().filter(counts).collect();
+        let notes: Vec<&SuspectNote> = notes.iter().filter(is_evidence).collect();
         Arc::make_mut(&mut self.quarantine).note(index, notes);
     }
 
-    fn has_left(&self, life: &BackendIncarnation) -> bool {
-        let known = self.backend(&life.backend);
-        known.is_some_and(|record| record.drains_in(life))
-            || self.has_withdrawn(&life.backend, life.born)
+    fn announced_end(&self, incarnation: &BackendIncarnation) -> bool {
+        let known = self.backend(&incarnation.backend);
+        known.is_some_and(|record| record.drains_in(incarnation))
+            || self.has_withdrawn(&incarnation.backend, incarnation.born)
     }
 
-    /// Lets suspected requests go one step.
+    /// Relaxes the verdict on suspected requests by one step, unless they were observed again
+    /// after the given positions.
     pub fn release_suspects(&mut self, index: Revision, requests: &[(Fingerprint, Revision)]) {
         Arc::make_mut(&mut self.quarantine).release(index, requests);
     }
 
-    /// Forgets a suspected request.
+    /// Clears a suspected request.
     pub fn lift_suspect(&mut self, index: Revision, request: &Fingerprint) {
         Arc::make_mut(&mut self.quarantine).lift(index, request);
     }
 
-    fn note_removed(&mut self, index: Revision, value: RemovedItem) {
+    fn record_removal(&mut self, index: Revision, value: RemovedItem) {
         let revision = index;
         self.removed.push_back(Stamped { revision, value });
     }
 
-    fn touch(&mut self, index: Revision) {
+    fn mark_changed(&mut self, index: Revision) {
         self.revision = index;
-        while self.removed.len() > REMEMBERED_REMOVALS {
+        while self.removed.len() > REMOVAL_CAPACITY {
             if let Some(dropped) = self.removed.pop_front() {
                 self.forgotten = dropped.revision;
             }
         }
     }
 
-    /// Returns what an entry VM that has applied `applied` lacks; 0 stands for nothing
-    /// at all. Nothing is returned if this state is the older one.
+    /// Returns the update for an entry VM that has applied revision `applied`; 0 means that it
+    /// has no state yet. Returns `None` if this state is older than that of the entry VM.
     #[must_use]
     pub fn update_from(&self, applied: Revision) -> Option<FleetUpdate> {
         if applied > self.revision {
@@ -477,7 +484,8 @@
     }
 }
 
-/// Stamps what a change of the manifest added or changed; returns what it removed.
+/// Stamps the items that a manifest change added or modified with `index`, drops the stamps of
+/// removed items and returns the names of these.
 pub(crate) fn restamp<K: Clone + Ord, V: PartialEq>(
     index: Revision,
     stamps: &mut BTreeMap<K, Revision>,
@@ -489,12 +497,12 @@
             stamps.insert(name.clone(), index);
         }
     }
-    let gone = before.keys().filter(|name| !now.contains_key(*name));
-    let gone: Vec<K> = gone.cloned().collect();
-    for name in &gone {
+    let removed = before.keys().filter(|name| !now.contains_key(*name));
+    let removed: Vec<K> = removed.cloned().collect();
+    for name in &removed {
         stamps.remove(name);
     }
-    gone
+    removed
 }
 
 fn newer<K: Clone + Ord, V>(
--- a/lib/src/fleet_update.rs
+++ b/lib/src/fleet_update.rs
@@ -1,4 +1,4 @@
-//! What an entry VM follows: its copy of the state of direct dispatch, and updates to it.
+//! An entry VM's copy of the state of direct dispatch, and updates to it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -31,41 +31,41 @@
 use crate::team_directory::TeamDirectory;
 use crate::team_directory::TeamUpdate;
 
-/// Numbers the encoding of updates.
+/// Format version of encoded updates.
 const UPDATE_FORMAT: u8 = 3;
 
-/// Holds what changed from one revision to another, or everything.
+/// Changes from one revision to another, or the full state.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct FleetUpdate {
-    /// Whether this is everything rather than what changed.
+    /// Whether this is the full state rather than changes since `base`.
     pub whole: bool,
-    /// The revision that the update starts from.
+    /// Revision that the update applies to.
     pub base: Revision,
-    /// The revision that it leads to.
+    /// Revision after the update.
     pub revision: Revision,
-    /// The version of the route manifest.
+    /// Version of the route manifest after the update.
     pub version: ManifestVersion,
-    /// Bounds on callers.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
-    /// New and changed routes.
+    /// Added and changed routes.
     pub routes: Vec<(RouteName, Arc<Route>)>,
-    /// New and changed services.
+    /// Added and changed services.
     pub services: Vec<(ServiceName, Arc<RouteService>)>,
-    /// New and changed backend servers.
+    /// Added and changed backend servers.
     pub backends: Vec<(BackendName, Arc<BackendRecord>)>,
-    /// New and changed entry VMs.
+    /// Added and changed entry VMs.
     pub entries: Vec<(VmName, Arc<EntryRecord>)>,
-    /// All places that are evacuated.
+    /// All evacuated places, also in an incremental update.
     pub evacuated: Vec<PlaceName>,
-    /// What was removed, and when. An item that was removed and added again is among
-    /// the new ones too, which goes first.
+    /// Removed items with the revisions that removed them; empty in a full update. An item that
+    /// was removed and added again is also among the added ones, which take precedence.
     pub removed: Vec<(Revision, RemovedItem)>,
-    /// What changed of the teams, if anything did.
+    /// Changes of the teams; `None` if nothing changed.
     pub teams: Option<TeamUpdate>,
 }
 
 impl FleetUpdate {
-    /// Encodes the update.
+    /// Encodes the update for the wire.
     ///
     /// # Errors
     ///
@@ -78,59 +78,60 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes aren't an update of a known format.
+    /// Returns an error if the bytes are not an update in a known format.
     pub fn decode(encoded: &[u8]) -> Result<Self, EncodingError> {
         encoding::decode(UPDATE_FORMAT, encoded)
     }
 }
 
-/// Tells why an update doesn't fit a view.
+/// Reason why an update cannot be applied to a view.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum FleetUpdateError {
-    /// The update starts from another revision.
-    #[snafu(display("the update starts from revision {base}, the view is at {revision}"))]
+    /// The update applies to another revision than that of the view.
+    #[snafu(display("the update applies to revision {base}, but the view is at {revision}"))]
     OtherBase {
-        /// Where the update starts.
+        /// Revision that the update applies to.
         base: Revision,
-        /// Where the view is.
+        /// Revision of the view.
         revision: Revision,
     },
-    /// The update would take the view back.
-    #[snafu(display("the update leads back from revision {revision} to {target}"))]
+    /// The update would revert the view to an older revision.
+    #[snafu(display("the update would revert the view from revision {revision} to {target}"))]
     Backwards {
-        /// Where the view is.
+        /// Revision of the view.
         revision: Revision,
-        /// Where the update leads.
+        /// Revision after the update.
         target: Revision,
     },
 }
 
-/// Holds an entry VM's copy of the state.
+/// An entry VM's copy of the state of direct dispatch.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// The revision; 0 before the first update.
+    /// Revision of the state; 0 before the first update.
     pub revision: Revision,
-    /// The version of the route manifest.
+    /// Version of the route manifest; 0 if there is none yet.
     pub version: ManifestVersion,
-    /// Bounds on callers.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
-    /// The services.
+    /// Services of the route manifest by name.
     pub services: BTreeMap<ServiceName, Arc<RouteService>>,
-    /// The backend servers.
+    /// Registered backend servers by name, superseded ones included.
     pub backends: BTreeMap<BackendName, Arc<BackendRecord>>,
-    /// The entry VMs.
+    /// Registered entry VMs by name.
     pub entries: BTreeMap<VmName, Arc<EntryRecord>>,
-    /// The places that are evacuated.
+    /// Places whose backend servers receive no requests.
     pub evacuated: BTreeSet<PlaceName>,
-    /// The teams.
+    /// Teams of the manifest, indexed for request authentication.
     pub teams: Arc<TeamDirectory>,
     routes: BTreeMap<RouteName, Arc<Route>>,
-    /// By host, the routes with the longest prefix first.
+    /// Routes by host, longest prefix first.
     by_host: BTreeMap<String, Vec<(RouteName, Arc<Route>)>>,
 }
 
 impl FleetView {
-    /// Returns whether a life of a backend server may be sent requests.
+    /// Returns whether requests may be sent to the incarnation of a backend server that started
+    /// at `born`.
     #[must_use]
     pub fn may_send(&self, backend: &BackendName, born: u64) -> bool {
         self.backends.get(backend).is_some_and(|record| {
@@ -140,7 +141,8 @@
         })
     }
 
-    /// Returns whether a life of a backend server is over since a later one has begun.
+    /// Returns whether an incarnation of a backend server later than the one that started at
+    /// `born` is registered, so that the earlier one has ended.
     #[must_use]
     pub fn has_later_incarnation(&self, backend: &BackendName, born: u64) -> bool {
         let known = self.backends.get(backend);
@@ -151,8 +153,9 @@
     ///
     /// # Errors
     ///
-    /// Fails if the update doesn't start here or leads back. A process that applied an
-    /// older state after a newer one would bring a replaced manifest back into force.
+    /// Returns an error if the update does not apply to this revision or would revert it. A
+    /// process that applied an older state after a newer one would bring a replaced manifest
+    /// back into force.
     pub fn updated(&self, update: &FleetUpdate) -> Result<Self, FleetUpdateError> {
         ensure!(
             update.revision >= self.revision,
@@ -212,7 +215,7 @@
             RemovedItem::Entry(vm) => {
                 self.entries.remove(vm);
             }
-            // Taken out with the update of the teams.
+            // Removed by the team update.
             RemovedItem::Team(_) => {}
         }
     }
@@ -228,14 +231,14 @@
         }
     }
 
-    /// Returns whether the entry VM has learned of a route manifest at all.
+    /// Returns whether the entry VM has received a route manifest.
     #[must_use]
     pub fn has_manifest(&self) -> bool {
         self.version != ManifestVersion::default()
     }
 
-    /// Returns the route of a request: among those of its host, the one with the longest
-    /// prefix of the path.
+    /// Returns the route of a request: among the routes of its host, the one with the longest
+    /// matching path prefix.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<(&RouteName, &Arc<Route>)> {
         let routes = self.by_host.get(host)?;
@@ -245,7 +248,8 @@
             .map(|(name, route)| (name, route))
     }
 
-    /// Returns the home regions of a host.
+    /// Returns the home regions of a host: those of its first route, by route name, that has
+    /// any; empty if none has.
     #[must_use]
     pub fn homes_of_host(&self, host: &str) -> &[RegionName] {
         place_lookup::homes(self.routes.values().map(|route| &**route), host)
--- a/lib/src/home_regions.rs
+++ b/lib/src/home_regions.rs
@@ -1,11 +1,11 @@
-//! Which regions a request may be served in.
+//! Regions in which a request may be served.
 
 use std::borrow::Cow;
 
 use crate::id::RegionName;
 
-/// Returns the regions that a team's and a route's homes allow together; empty allows all.
-/// Nothing is returned where no region is home to both.
+/// Returns the regions that the home regions of both a team and a route allow. An empty list,
+/// given or returned, allows all regions. Returns `None` if no region is allowed by both.
 #[must_use]
 pub fn intersection<'a>(
     team: &'a [RegionName],
--- a/lib/src/host_value.rs
+++ b/lib/src/host_value.rs
@@ -1,11 +1,11 @@
-//! The host that a request is meant for, as its `Host` field names it.
+//! Validation of the `Host` header field.
 
 use std::net::Ipv6Addr;
 
-/// Returns whether a value of the field is a host with a port or without (RFC 9112, 3.2).
+/// Returns whether a field value is a host with an optional port (RFC 9112, 3.2).
 ///
-/// An empty one is valid only where a request's target has no host at all. Callers ask by
-/// `http`, whose addresses always have one.
+/// An empty value is rejected: it is valid only if the target URI has no host, and `http` URIs,
+/// which callers use, always have one.
 #[must_use]
 pub fn is_valid(value: &[u8]) -> bool {
     let Ok(value) = std::str::from_utf8(value) else {
@@ -13,18 +13,19 @@
     };
     if let Some(rest) = value.strip_prefix('[') {
         let closed = rest.split_once(']');
-        return closed.is_some_and(|(address, behind)| is_address(address) && is_port(behind));
+        return closed
+            .is_some_and(|(address, suffix)| is_ipv6_address(address) && is_port_suffix(suffix));
     }
-    let (name, behind) = value.split_at(value.find(':').unwrap_or(value.len()));
-    is_name(name.as_bytes()) && is_port(behind)
+    let (name, suffix) = value.split_at(value.find(':').unwrap_or(value.len()));
+    is_name(name.as_bytes()) && is_port_suffix(suffix)
 }
 
-/// Returns whether what stands in brackets is an address.
-fn is_address(address: &str) -> bool {
+fn is_ipv6_address(address: &str) -> bool {
     address.parse::<Ipv6Addr>().is_ok()
 }
 
-/// Returns whether a name has no bytes but those that may stand in one (RFC 3986, 3.2.2).
+/// Returns whether a name is not empty and contains only characters that are allowed in a
+/// registered name (RFC 3986, 3.2.2).
 fn is_name(mut name: &[u8]) -> bool {
     if name.is_empty() {
         return false;
@@ -45,10 +46,10 @@
     true
 }
 
-/// Returns whether what stands behind a host is nothing, or a colon and a port.
-fn is_port(behind: &str) -> bool {
-    let Some(port) = behind.strip_prefix(':') else {
-        return behind.is_empty();
+/// Returns whether the text after the host is empty, or a colon and an optional port number.
+fn is_port_suffix(suffix: &str) -> bool {
+    let Some(port) = suffix.strip_prefix(':') else {
+        return suffix.is_empty();
     };
     port.bytes().all(|byte| byte.is_ascii_digit())
         && (port.is_empty() || port.parse::<u16>().is_ok())
--- a/lib/src/lookup.rs
+++ b/lib/src/lookup.rs
@@ -1,7 +1,7 @@
-//! Which entry VM a caller is told to use.
+//! Selection of the entry VM that a look-up returns to a caller.
 //!
-//! Callers keep the answer for a while, so a look-up moves traffic by itself: one that
-//! names an entry in another region than the caller's counts against the shift caps.
+//! Callers cache the answer, so a look-up shifts traffic by itself: an answer that names an
+//! entry VM in another region than the caller's is charged to the shift caps.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,37 +26,37 @@
 use crate::view::ControlView;
 use crate::view::EntrySession;
 
-/// Entries named beside the one to use.
+/// Maximum number of backup entry VMs in an answer.
 const MAX_BACKUPS: usize = 3;
 
-/// Time after which a caller may look up again when no entry can be named.
+/// Time after which a caller may retry a look-up if no entry VM is available.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Names the entry that a caller is to use, and whom to ask when that fails.
+/// Answer to a look-up: the entry VM to use, and backups for when it fails.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LookupAnswer {
-    /// The entry to use; also the primary of the ticket.
+    /// Session of the entry VM to use; also the primary of an action's ticket.
     pub entry: EntrySession,
-    /// Others, best first.
+    /// Sessions of the backup entry VMs, best first; at most three.
     pub backups: Vec<EntrySession>,
-    /// Time for which the caller may keep the answer.
+    /// Time for which the caller may cache the answer.
     pub cache: Duration,
 }
 
-/// Answers look-ups of one session.
+/// Answers callers' look-ups on behalf of one session.
 #[derive(Debug)]
 pub struct Lookups {
     view: Arc<ControlView>,
-    /// Entries that may be named, by the caller's place, for as long as the view holds.
-    /// Without it each look-up would sort all sessions of the deployment.
+    /// Cache of the eligible entry VMs by the caller's place, valid for the current view.
+    /// Without it, each look-up would classify all sessions of the deployment.
     tiers: BTreeMap<PlaceName, Tiers>,
     shifts: ShiftBudgets,
 }
 
-/// Holds entries by their distance, nearest first.
+/// Sessions of entry VMs grouped by [`Distance`], nearest first.
 type Tiers = [Vec<SessionId>; 3];
 
-/// Tells how far an entry is from a caller; nearer ones order first.
+/// Distance from a caller to an entry VM; nearer ones order first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Distance {
     SamePlace,
@@ -72,7 +72,7 @@
 ];
 
 impl Lookups {
-    /// Starts with no view.
+    /// Creates an instance without a view, which refuses all look-ups.
     #[must_use]
     pub fn new(session: SessionId) -> Self {
         Self {
@@ -82,25 +82,27 @@
         }
     }
 
-    /// Applies a view.
+    /// Replaces the view that look-ups are answered from.
     pub fn apply_view(&mut self, view: &Arc<ControlView>, step: ViewStep) {
         self.view = Arc::clone(view);
         self.tiers.clear();
-        // Look-ups are shared among all sessions, so no owner matters.
+        // The look-up budget is shared among all sessions, so ownership is irrelevant.
         self.shifts.apply_view(view, &OwnerTable::default(), step);
     }
 
-    /// Notes that `revision` is settled.
+    /// Records that `revision` is settled, for the shift budgets.
     pub fn settle(&mut self, now: Instant, revision: Revision) {
         self.shifts.settle(now, revision);
     }
 
-    /// Returns the entry to name to a caller at `origin`; `caller` spreads callers over
-    /// entries, the same one always to the same entry.
+    /// Returns the entry VM for a caller at `origin`. `caller` distributes callers over entry VMs
+    /// by rendezvous hashing, so the same value keeps its entry VM for as long as that is
+    /// eligible.
     ///
     /// # Errors
     ///
-    /// Returns a refusal if no entry may be named now.
+    /// Returns a refusal if there is no manifest, the service is unknown, no entry VM is
+    /// eligible or a shift cap is exhausted.
     pub fn look_up(
         &mut self,
         now: Instant,
@@ -116,7 +118,7 @@
         if !manifest.services.contains_key(service) {
             return Err(NotRun::proved(NotRunReason::ServiceUnknown));
         }
-        // Only places of the manifest are kept, so that the table stays small.
+        // Only places of the manifest are cached, so that callers cannot grow the table.
         let tiers = if manifest.places.contains_key(origin) {
             self.tiers
                 .entry(origin.clone())
@@ -124,8 +126,8 @@
         } else {
             &tiers(&view, manifest, origin)
         };
-        let near_first = nearest(&view, tiers, caller);
-        let Some((&(distance, entry), others)) = near_first.split_first() else {
+        let by_distance = nearest(&view, tiers, caller);
+        let Some((&(distance, entry), others)) = by_distance.split_first() else {
             return Err(refused(NotRunReason::Leaving, RETRY_AFTER));
         };
         if distance == Distance::OtherRegion {
@@ -165,22 +167,22 @@
     NotRun::proved(reason).with_retry_after(retry_after)
 }
 
-/// Returns the entries that may be named to callers at `origin`, by their distance.
+/// Groups the entry VMs that are eligible for callers at `origin` by their distance.
 fn tiers(view: &ControlView, manifest: &Manifest, origin: &PlaceName) -> Tiers {
     let region = manifest.places.get(origin).map(|place| &place.region);
     let mut tiers = Tiers::default();
-    let named = view
+    let eligible = view
         .sessions
         .values()
         .filter(|session| !session.leaving && !is_drained(manifest, session));
-    for session in named {
+    for session in eligible {
         tiers[distance(session, origin, region) as usize].push(session.id);
     }
     tiers
 }
 
-/// Returns the nearest entries, as many as an answer names; those of one distance in the
-/// caller's own order.
+/// Returns the nearest entry VMs, as many as an answer contains. Those at the same distance are
+/// in the caller's rendezvous-hash order.
 fn nearest<'v>(
     view: &'v ControlView,
     tiers: &Tiers,
