--- a/lib/src/control_state.rs
+++ b/lib/src/control_state.rs
@@ -501,7 +501,9 @@
             verdict: verdict(after, request).map(|verdict| verdict.name().to_owned()),
             ended: after.suspect(request).map_or_else(Vec::new, |noted| {
                 let ended = noted.suspect.ended().into_iter();
-                ended.map(|life| life.backend.clone()).collect()
+                ended
+                    .map(|incarnation| incarnation.backend.clone())
+                    .collect()
             }),
         })
         .collect()
--- a/lib/src/fleet_command.rs
+++ b/lib/src/fleet_command.rs
@@ -107,8 +107,8 @@
                 state.set_evacuated(index, place, *evacuated);
             }
             Self::Announce(changes) => state.announce(index, changes),
-            Self::Withdraw(life) => state.withdraw(index, life),
-            Self::ForgetBackends(lives) => state.forget_backends(index, lives),
+            Self::Withdraw(incarnation) => state.withdraw(index, incarnation),
+            Self::ForgetBackends(incarnations) => state.forget_backends(index, incarnations),
             Self::EnrollEntry { vm, record } => state.enroll_entry(index, vm, record),
             Self::ForgetEntry { vm, life } => state.forget_entry(index, vm, *life),
             Self::NoteSuspects(notes) => state.note_suspects(index, notes),
--- a/lib/src/fleet_state.rs
+++ b/lib/src/fleet_state.rs
@@ -278,9 +278,9 @@
         }
         if let Some(known) = self.backends.get(&change.backend) {
             let stale = change.record.stamp() <= known.value.stamp();
-            let same_life = change.record.born == known.value.born;
+            let same_incarnation = change.record.born == known.value.born;
             let superseded = known.value.state == BackendState::Superseded && !change.reclaims;
-            if stale || (superseded && same_life) {
+            if stale || (superseded && same_incarnation) {
                 return;
             }
         }
--- a/lib/src/lookup.rs
+++ b/lib/src/lookup.rs
@@ -96,8 +96,7 @@
     }
 
     /// Returns the entry VM for a caller at `origin`. `caller` distributes callers over entry VMs
-    /// by rendezvous hashing, so the same value keeps its entry VM for as long as that is
-    /// eligible.
+    /// by rendezvous hashing: the same value selects the same one from an unchanged set.
     ///
     /// # Errors
     ///
--- a/lib/src/manifest_check.rs
+++ b/lib/src/manifest_check.rs
@@ -1,4 +1,4 @@
-//! Checks of a manifest that look at more than one value.
+//! Validation of a manifest beyond the checks of single values.
 
 use std::collections::BTreeSet;
 use std::collections::HashSet;
@@ -23,141 +23,141 @@
 use crate::nearest_name::nearest_name;
 use crate::ticket::MAX_TICKET_MS;
 
-/// Methods that callers may use.
+/// HTTP methods that an operation may have.
 const METHODS: [&str; 6] = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"];
 
-/// Tells what doesn't fit in a manifest, and what is allowed.
+/// A problem of a manifest. Each message states what is allowed.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum ManifestProblem {
-    /// Versions start at 1; 0 stands for none.
-    #[snafu(display("the version is 0; allowed are versions from 1 up"))]
+    /// The version is 0, which is reserved for the state without a manifest.
+    #[snafu(display("the version is 0; allowed are versions of at least 1"))]
     VersionZero,
-    /// The manifest has no places.
-    #[snafu(display("there are no places; allowed is at least 1"))]
+    /// The manifest defines no places.
+    #[snafu(display("no places are defined; at least 1 is required"))]
     NoPlaces,
-    /// A place is named that isn't described.
+    /// A place is referred to but not defined.
     #[snafu(display("unknown place \"{place}\"{}; allowed are the names under \"places\"", did_you_mean(nearest.as_ref())))]
     UnknownPlace {
-        /// The name.
+        /// Name of the undefined place.
         place: PlaceName,
-        /// The known place whose name is nearest, if one is near.
+        /// Most similar name of a defined place, if any is similar enough.
         nearest: Option<String>,
     },
-    /// A region is named that no place belongs to.
+    /// A region is referred to that no place belongs to.
     #[snafu(display("unknown region \"{region}\"{}; allowed are the regions of the places", did_you_mean(nearest.as_ref())))]
     UnknownRegion {
-        /// The name.
+        /// Name of the undefined region.
         region: RegionName,
-        /// The known region whose name is nearest, if one is near.
+        /// Most similar name of a defined region, if any is similar enough.
         nearest: Option<String>,
     },
-    /// A service could be asked for but never served.
-    #[snafu(display("service {service} has no limits; allowed is at least 1 place"))]
+    /// A service has no limits, so none of its requests could be served.
+    #[snafu(display("service {service} has no limits; at least 1 place is required"))]
     NoLimits {
-        /// The service.
+        /// Name of the service.
         service: ServiceName,
     },
-    /// Some slots of a backend server could never be used.
+    /// A service allows fewer connections than slots, so some slots could never be used.
     #[snafu(display(
         "max_connections_per_backend is {connections}; allowed is at least max_slots_per_backend, {slots}"
     ))]
     FewerConnectionsThanSlots {
-        /// Bound on connections.
+        /// Value of `max_connections_per_backend`.
         connections: u32,
-        /// Bound on slots.
+        /// Value of `max_slots_per_backend`.
         slots: u32,
     },
     /// Two operations of a service have the same name.
-    #[snafu(display("operation \"{name}\" is described already; allowed is each name once"))]
+    #[snafu(display("duplicate operation \"{name}\"; names must be unique within a service"))]
     OperationTwice {
-        /// The name.
+        /// Name of both operations.
         name: String,
     },
-    /// An earlier operation takes every request that this one describes.
+    /// An earlier operation matches every request that this one would match.
     #[snafu(display(
-        "operation \"{name}\" is never reached, since \"{earlier}\" before it matches all its \
-         requests; allowed is the longer prefix first"
+        "operation \"{name}\" is unreachable because the earlier operation \"{earlier}\" matches \
+         all of its requests; the longer prefix must come first"
     ))]
     OperationUnreachable {
-        /// The operation.
+        /// Name of the unreachable operation.
         name: String,
-        /// The one before it.
+        /// Name of the earlier operation.
         earlier: String,
     },
-    /// The method is none that callers may use.
-    #[snafu(display("method \"{method}\" isn't known; allowed are {}", METHODS.join(", ")))]
+    /// The HTTP method is not supported.
+    #[snafu(display("unknown method \"{method}\"; allowed are {}", METHODS.join(", ")))]
     UnknownMethod {
-        /// The method.
+        /// Method as given.
         method: String,
     },
-    /// No path starts with this prefix.
+    /// The path prefix cannot match any path.
     #[snafu(display(
-        "no path starts with \"{path_prefix}\"; allowed are prefixes that start with \"/\" and \
-         have no '?', '#' or white space"
+        "path prefix \"{path_prefix}\" never matches; allowed are prefixes that start with \"/\" \
+         and contain no '?', '#' or white space"
     ))]
     PathPrefixNeverMatches {
-        /// The prefix.
+        /// Prefix as given.
         path_prefix: String,
     },
-    /// A cap whose ends make every request no shift.
+    /// A shift cap has a `to` that contains its `from`, so it would apply to no request.
     #[snafu(display(
-        "no request is a shift from {from} to {to}; allowed are ends of which the second \
-         doesn't hold the first"
+        "the cap on shifts from {from} to {to} never applies, because \"to\" contains \"from\"; \
+         allowed are scopes with callers outside \"to\""
     ))]
     CapNeverApplies {
-        /// Where the callers are.
+        /// Scope of the callers' places, as text.
         from: String,
-        /// Where the requests are served.
+        /// Scope of the serving places, as text.
         to: String,
     },
-    /// Two caps have the same ends.
-    #[snafu(display("the shift from {from} to {to} has a cap already; allowed is one"))]
+    /// Two shift caps have the same `from` and `to`.
+    #[snafu(display("duplicate cap on shifts from {from} to {to}; allowed is one"))]
     CapTwice {
-        /// Where the callers are.
+        /// Scope of the callers' places, as text.
         from: String,
-        /// Where the requests are served.
+        /// Scope of the serving places, as text.
         to: String,
     },
-    /// A link leads to where it starts.
-    #[snafu(display("the link leads from {region} to itself; allowed are two regions"))]
+    /// A link has the same region at both ends.
+    #[snafu(display("the link connects {region} to itself; allowed are two different regions"))]
     LinkToItself {
-        /// The region.
+        /// Region at both ends.
         region: RegionName,
     },
-    /// Two limits are for the same link.
-    #[snafu(display("the link from {from} to {to} has a limit already; allowed is one"))]
+    /// Two limits apply to the same link.
+    #[snafu(display("duplicate limit for the link from {from} to {to}; allowed is one"))]
     LinkTwice {
-        /// Where the link starts.
+        /// Sending region.
         from: RegionName,
-        /// Where it leads.
+        /// Receiving region.
         to: RegionName,
     },
-    /// Two drains plan the same.
-    #[snafu(display("this drain is planned already; allowed is once"))]
+    /// Two drains are equal.
+    #[snafu(display("duplicate drain; allowed is one"))]
     DrainTwice,
-    /// Two blocks are the same.
-    #[snafu(display("block {block} is given already; allowed is once"))]
+    /// Two address blocks are equal.
+    #[snafu(display("duplicate block {block}; allowed is one"))]
     BlockTwice {
-        /// The block.
+        /// Duplicate address block.
         block: BlockPrefix,
     },
-    /// A caller could use a cached look-up whose ticket is over.
+    /// Tickets expire before cached look-ups, so a caller could use an expired ticket.
     #[snafu(display("ticket_ms is {ticket_ms}; allowed is at least cache_ms, {cache_ms}"))]
     TicketShorterThanCache {
-        /// Time for which a ticket may be used.
+        /// Lifetime of a ticket in milliseconds.
         ticket_ms: u32,
-        /// Time for which an answer may be cached.
+        /// Time for which an answer may be cached, in milliseconds.
         cache_ms: u32,
     },
-    /// Records of actions would have to be kept for too long.
+    /// Tickets are valid for so long that records of actions would have to be kept for too long.
     #[snafu(display("ticket_ms is {ticket_ms}; allowed is at most {MAX_TICKET_MS}"))]
     TicketTooLong {
-        /// Time for which a ticket may be used.
+        /// Lifetime of a ticket in milliseconds.
         ticket_ms: u32,
     },
 }
 
-/// Finds what doesn't fit in a manifest.
+/// Returns all problems of a manifest, each with its location.
 #[must_use]
 pub fn check(manifest: &Manifest) -> Vec<LocatedProblem> {
     let mut checker = Checker::new(manifest);
@@ -282,7 +282,7 @@
             };
             self.add(path.field("name"), problem);
         }
-        if let Some(other) = earlier.iter().find(|other| hides(other, operation)) {
+        if let Some(other) = earlier.iter().find(|other| shadows(other, operation)) {
             let problem = ManifestProblem::OperationUnreachable {
                 name: operation.name.clone(),
                 earlier: other.name.clone(),
@@ -302,7 +302,7 @@
             let to = cap.to.to_string();
             if !seen.insert((&cap.from, &cap.to)) {
                 self.add(path, ManifestProblem::CapTwice { from, to });
-            } else if never_shifts(cap, self.manifest) {
+            } else if never_applies(cap, self.manifest) {
                 self.add(path, ManifestProblem::CapNeverApplies { from, to });
             }
         }
@@ -375,17 +375,18 @@
 }
 
 fn prefix_matches_some_path(prefix: &str) -> bool {
-    let clean = |c: char| !c.is_whitespace() && !c.is_control() && c != '?' && c != '#';
-    prefix.starts_with('/') && prefix.chars().all(clean)
+    let is_allowed = |c: char| !c.is_whitespace() && !c.is_control() && c != '?' && c != '#';
+    prefix.starts_with('/') && prefix.chars().all(is_allowed)
 }
 
-/// Tells whether `earlier` matches every request that `later` matches.
-fn hides(earlier: &Operation, later: &Operation) -> bool {
+/// Returns whether `earlier` matches every request that `later` matches.
+fn shadows(earlier: &Operation, later: &Operation) -> bool {
     earlier.method == later.method && later.path_prefix.starts_with(&earlier.path_prefix)
 }
 
-/// Tells whether every caller of the cap's `from` already stands in its `to`.
-fn never_shifts(cap: &ShiftCap, manifest: &Manifest) -> bool {
+/// Returns whether the cap's `to` contains all places of its `from`, so that the cap applies to
+/// no request.
+fn never_applies(cap: &ShiftCap, manifest: &Manifest) -> bool {
     let region_of = |place: &PlaceName| manifest.places.get(place).map(|place| &place.region);
     match (&cap.from, &cap.to) {
         (Scope::Any, _) | (_, Scope::Any) => false,
--- a/lib/src/manifest_delta.rs
+++ b/lib/src/manifest_delta.rs
@@ -1,8 +1,8 @@
-//! The difference of two manifests, item by item.
+//! Deltas between two manifests, item by item.
 //!
-//! Most new manifests differ from the one before in a few items, while the client
-//! blocks alone may be millions. Control therefore sends entry VMs what differs, and
-//! the digest of what must result.
+//! Most new manifests differ from the previous one in a few items, while the client blocks
+//! alone may number millions. Control replicas therefore send entry VMs a delta, with the
+//! digest of the manifest that must result.
 
 use std::collections::BTreeMap;
 
@@ -29,38 +29,38 @@
 use crate::manifest::Service;
 use crate::manifest::ShiftCap;
 
-/// Numbers the encoding of deltas.
+/// Format version of encoded deltas.
 const DELTA_FORMAT: u8 = 1;
 
-/// Numbers the encoding of a manifest under its digest.
+/// Format version of the encoded manifest that digests are computed of.
 const MANIFEST_FORMAT: u8 = 1;
 
-/// Tells why a delta couldn't be made, read or applied.
+/// Reason why a delta could not be computed, decoded or applied.
 #[derive(Debug, Snafu)]
 pub enum DeltaError {
     /// Encoding or decoding failed.
-    #[snafu(display("the manifest delta can't be encoded or decoded"))]
+    #[snafu(display("the manifest delta cannot be encoded or decoded"))]
     Encoding {
-        /// The cause.
+        /// Underlying encoding error.
         source: EncodingError,
     },
-    /// A list's part doesn't fit the list that it is applied to.
-    #[snafu(display("the manifest delta doesn't fit its base"))]
+    /// The delta of a list does not fit the list that it is applied to.
+    #[snafu(display("the manifest delta does not fit its base"))]
     List {
-        /// The cause.
+        /// Underlying error of the list delta.
         source: ListDeltaError,
     },
-    /// The result isn't the manifest that the delta was made for.
-    #[snafu(display("the manifest delta gave {found} instead of {expected}"))]
+    /// The resulting manifest is not the target of the delta.
+    #[snafu(display("the manifest delta produced digest {found} instead of {expected}"))]
     ResultDigest {
-        /// Digest of the manifest that the delta was made for.
+        /// Digest of the target manifest.
         expected: ContentDigest,
-        /// Digest of what resulted.
+        /// Digest of the resulting manifest.
         found: ContentDigest,
     },
 }
 
-/// Holds what differs between two manifests.
+/// Differences between a base and a target manifest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ManifestDelta {
     version: ManifestVersion,
@@ -76,13 +76,13 @@
 }
 
 impl ManifestDelta {
-    /// Computes what turns `base` into `target`.
+    /// Computes the delta that turns `base` into `target`.
     ///
     /// # Errors
     ///
-    /// Returns an error if `target` can't be encoded for its digest.
+    /// Returns an error if `target` cannot be encoded to compute its digest.
     pub fn between(base: &Manifest, target: &Manifest) -> Result<Self, DeltaError> {
-        // Taken apart without `..`, so that a new field can't be forgotten here.
+        // Destructured without `..`, so that a new field fails to compile until it is handled.
         let Manifest {
             version,
             deployment,
@@ -108,13 +108,13 @@
         })
     }
 
-    /// Applies the difference to `base`.
+    /// Applies the delta to `base`.
     ///
     /// # Errors
     ///
-    /// Returns an error if the result isn't the manifest that the delta was made for;
-    /// that is so whenever `base` isn't the manifest that it was made from, unless what
-    /// differs is overwritten anyway.
+    /// Returns an error if the result is not the target manifest. This is the case for any base
+    /// other than the one that the delta was computed from, unless the delta overwrites all
+    /// items in which the two bases differ.
     pub fn apply(&self, base: &Manifest) -> Result<Manifest, DeltaError> {
         let result = Manifest {
             version: self.version,
@@ -154,13 +154,13 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the bytes aren't a delta of a known format.
+    /// Returns an error if the bytes are not a delta in a known format.
     pub fn decode(encoded: &[u8]) -> Result<Self, DeltaError> {
         encoding::decode(DELTA_FORMAT, encoded).context(EncodingSnafu)
     }
 }
 
-/// Encodes a whole manifest, for its digest and to compare sizes.
+/// Encodes a whole manifest, to compute its digest and to compare its size with that of a delta.
 ///
 /// # Errors
 ///
@@ -177,7 +177,7 @@
     (base != target).then(|| target.clone())
 }
 
-/// Holds what differs between two maps.
+/// Differences between two maps.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct MapDelta<K: Ord, V> {
     removed: Vec<K>,
--- a/lib/src/manifest_summary.rs
+++ b/lib/src/manifest_summary.rs
@@ -1,4 +1,4 @@
-//! Tells what one manifest changes against another, line by line, for people.
+//! Human-readable summary of the changes from one manifest to another, one line per change.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -17,32 +17,32 @@
 use crate::manifest::Service;
 use crate::manifest::ShiftCap;
 
-/// Client blocks that are listed one by one; of more only the number is told.
+/// Maximum number of changed client blocks listed individually; the rest is given as a count.
 const MAX_LISTED_BLOCKS: usize = 20;
 
-/// Tells how something differs.
+/// Kind of a change between two manifests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Difference {
-    /// It is new.
+    /// The item exists only in the later manifest.
     Added,
-    /// It is gone.
+    /// The item exists only in the earlier manifest.
     Removed,
-    /// It is another than before.
+    /// The item exists in both manifests, with different values.
     Changed,
 }
 
-/// Holds one difference between two manifests.
+/// One difference between two manifests.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// How it differs.
+    /// Kind of the change.
     pub difference: Difference,
-    /// What differs, as in `services.registry.warm_up_ms`.
+    /// Path of the changed item, such as `services.registry.warm_up_ms`.
     pub what: String,
-    /// What it was.
+    /// Value in the earlier manifest; `None` if the item was added or the path includes the value.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub before: Option<String>,
-    /// What it is.
+    /// Value in the later manifest; `None` if the item was removed or the path includes the value.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub after: Option<String>,
 }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Lists what `after` changes against `before`, in the order of the manifest's fields.
+/// Returns the changes from `before` to `after`, in the order of the manifest's fields.
 #[must_use]
 pub fn changes(before: &Manifest, after: &Manifest) -> Vec<Change> {
     let mut changes = Changes::default();
@@ -111,25 +111,25 @@
         }
     }
 
-    fn map<K: fmt::Display + Ord, V: Described + PartialEq>(
+    fn map<K: fmt::Display + Ord, V: Describe + PartialEq>(
         &mut self,
         what: &str,
         before: &BTreeMap<K, V>,
         after: &BTreeMap<K, V>,
-        differing: impl Fn(&mut Self, &str, &V, &V),
+        compare: impl Fn(&mut Self, &str, &V, &V),
     ) {
         for (key, old) in before {
             let what = format!("{what}.{key}");
             match after.get(key) {
-                None => self.add(Difference::Removed, what, Some(old.described()), None),
-                Some(new) if old != new => differing(self, &what, old, new),
+                None => self.add(Difference::Removed, what, Some(old.describe()), None),
+                Some(new) if old != new => compare(self, &what, old, new),
                 Some(_) => {}
             }
         }
         for (key, new) in after {
             if !before.contains_key(key) {
                 let what = format!("{what}.{key}");
-                self.add(Difference::Added, what, None, Some(new.described()));
+                self.add(Difference::Added, what, None, Some(new.describe()));
             }
         }
     }
@@ -155,7 +155,7 @@
             &field("limits"),
             &before.limits,
             &after.limits,
-            Self::described_value,
+            Self::describe_change,
         );
         self.operations(&field("operations"), &before.operations, &after.operations);
     }
@@ -171,7 +171,7 @@
             what,
             &by_name(before),
             &by_name(after),
-            Self::described_value,
+            Self::describe_change,
         );
         let order = |operations: &[Operation]| -> String {
             let names: Vec<&str> = operations
@@ -186,9 +186,9 @@
         }
     }
 
-    fn described_value<T: Described>(&mut self, what: &str, before: &T, after: &T) {
-        let before = Some(before.described());
-        let after = Some(after.described());
+    fn describe_change<T: Describe>(&mut self, what: &str, before: &T, after: &T) {
+        let before = Some(before.describe());
+        let after = Some(after.describe());
         self.add(Difference::Changed, what.to_owned(), before, after);
     }
 
@@ -201,7 +201,7 @@
         };
         let before = by_ends(before);
         let after = by_ends(after);
-        self.map("shift_caps", &before, &after, Self::described_value);
+        self.map("shift_caps", &before, &after, Self::describe_change);
     }
 
     fn links(&mut self, before: &[LinkLimit], after: &[LinkLimit]) {
@@ -214,7 +214,7 @@
         };
         let before = by_ends(before);
         let after = by_ends(after);
-        self.map("links", &before, &after, Self::described_value);
+        self.map("links", &before, &after, Self::describe_change);
     }
 
     fn drains(&mut self, before: &[Drain], after: &[Drain]) {
@@ -240,7 +240,7 @@
             "client_blocks",
             &by_block(before),
             &by_block(after),
-            Self::described_value,
+            Self::describe_change,
         );
         let unlisted = listed.0.len().saturating_sub(MAX_LISTED_BLOCKS);
         listed.0.truncate(MAX_LISTED_BLOCKS);
@@ -257,9 +257,9 @@
     }
 }
 
-/// Describes a value on one line.
-trait Described {
-    fn described(&self) -> String;
+/// A value that can be described on one line.
+trait Describe {
+    fn describe(&self) -> String;
 }
 
 #[derive(PartialEq)]
@@ -268,32 +268,32 @@
 #[derive(PartialEq)]
 struct Kilobytes(u32);
 
-impl Described for Percent {
-    fn described(&self) -> String {
+impl Describe for Percent {
+    fn describe(&self) -> String {
         format!("{}%", self.0)
     }
 }
 
-impl Described for Kilobytes {
-    fn described(&self) -> String {
+impl Describe for Kilobytes {
+    fn describe(&self) -> String {
         format!("{} kB/s", self.0)
     }
 }
 
-impl Described for PlaceName {
-    fn described(&self) -> String {
+impl Describe for PlaceName {
+    fn describe(&self) -> String {
         self.to_string()
     }
 }
 
-impl Described for Place {
-    fn described(&self) -> String {
+impl Describe for Place {
+    fn describe(&self) -> String {
         format!("region {}", self.region)
     }
 }
 
-impl Described for PlaceLimit {
-    fn described(&self) -> String {
+impl Describe for PlaceLimit {
+    fn describe(&self) -> String {
         format!(
             "{} in flight, {} per second",
             self.max_in_flight, self.max_per_second
@@ -301,8 +301,8 @@
     }
 }
 
-impl Described for Operation {
-    fn described(&self) -> String {
+impl Describe for Operation {
+    fn describe(&self) -> String {
         let runs = if self.idempotent {
             "idempotent"
         } else {
@@ -315,8 +315,8 @@
     }
 }
 
-impl Described for Service {
-    fn described(&self) -> String {
+impl Describe for Service {
+    fn describe(&self) -> String {
         format!(
             "{} operations at {} places",
             self.operations.len(),
--- a/lib/src/manifest_text.rs
+++ b/lib/src/manifest_text.rs
@@ -1,4 +1,4 @@
-//! Reads manifests from JSON with comments.
+//! Parsing of manifests from JSON with comments.
 
 use crate::config_fault::ConfigFault;
 use crate::config_fault::ConfigFaults;
@@ -8,15 +8,15 @@
 use crate::manifest::Manifest;
 use crate::manifest_check;
 
-/// Bytes that a manifest's text may have. Control holds several texts and manifests in
-/// memory, so the bound is also one on its memory.
+/// Maximum size of a manifest's text in bytes. Control replicas keep several texts and manifests
+/// in memory, so this also bounds their memory use.
 pub const MAX_MANIFEST_BYTES: usize = 16 * 1024 * 1024;
 
-/// Reads and checks a manifest; `file` names the text in faults.
+/// Parses and checks a manifest; `file` is the file name reported in faults.
 ///
 /// # Errors
 ///
-/// Returns every fault that was found, each with its line and column.
+/// Returns all faults found, each with its line and column.
 pub fn read_manifest(file: &str, text: &str) -> Result<Manifest, ConfigFaults> {
     if text.len() > MAX_MANIFEST_BYTES {
         return Err(too_large(file, text.len()));
--- a/lib/src/nearest_name.rs
+++ b/lib/src/nearest_name.rs
@@ -1,9 +1,9 @@
-//! Finds the known name that a mistyped one was meant to be.
+//! Suggestions for misspelled names.
 
-/// Least similarity at which a name is worth suggesting, from 0 to 1.
+/// Minimum Jaro-Winkler similarity of a suggested name, from 0 to 1.
 const MIN_SIMILARITY: f64 = 0.75;
 
-/// Returns the known name that is most similar to `name`, if one is similar at all.
+/// Returns the known name that is most similar to `name`, or `None` if none is similar enough.
 pub fn nearest_name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     known
         .into_iter()
--- a/lib/src/place_lookup.rs
+++ b/lib/src/place_lookup.rs
@@ -1,4 +1,4 @@
-//! Which entry VMs a caller is told to use.
+//! Selection of the entry VMs that a look-up of direct dispatch returns to a caller.
 
 use std::net::SocketAddr;
 
@@ -6,14 +6,15 @@
 use crate::id::RegionName;
 use crate::route_manifest::Route;
 
-/// Entry VMs that one answer names at most.
-pub const MAX_NAMED: usize = 64;
+/// Maximum number of entry VMs in one answer.
+pub const MAX_ADDRESSES: usize = 64;
 
-/// Picks the entry VMs for a caller in `region`, out of those that take requests.
+/// Selects entry VMs for a caller in `region` from those that accept requests.
 ///
-/// Those of the caller's own region come first: any other costs each request a way to
-/// another region and back. Without one there, those in the request's home regions do,
-/// since a body may not lie anywhere else; without homes, all others.
+/// Entry VMs in the caller's region are preferred, because any other adds a round trip to
+/// another region to each request. If there are none, those in the request's home regions are
+/// returned, because its body may not be held anywhere else; if there are none of these either,
+/// all of them.
 #[must_use]
 pub fn pick<'a>(
     live: impl Iterator<Item = &'a EntryRecord>,
@@ -21,18 +22,18 @@
     homes: &[RegionName],
 ) -> Vec<SocketAddr> {
     let live: Vec<&EntryRecord> = live.collect();
-    let own: Vec<SocketAddr> = addresses(&live, |entry| entry.region == *region);
-    if !own.is_empty() {
-        return own;
+    let in_region: Vec<SocketAddr> = addresses(&live, |entry| entry.region == *region);
+    if !in_region.is_empty() {
+        return in_region;
     }
-    let at_home = addresses(&live, |entry| homes.contains(&entry.region));
-    if !at_home.is_empty() {
-        return at_home;
+    let in_home_regions = addresses(&live, |entry| homes.contains(&entry.region));
+    if !in_home_regions.is_empty() {
+        return in_home_regions;
     }
     addresses(&live, |_| true)
 }
 
-/// Returns the home regions of a host: those of the first of its routes that has any.
+/// Returns the home regions of a host: those of its first route that has any; empty if none has.
 #[must_use]
 pub fn homes<'a>(routes: impl Iterator<Item = &'a Route>, host: &str) -> &'a [RegionName] {
     routes
@@ -42,10 +43,10 @@
         .unwrap_or_default()
 }
 
-fn addresses(live: &[&EntryRecord], fits: impl Fn(&EntryRecord) -> bool) -> Vec<SocketAddr> {
+fn addresses(live: &[&EntryRecord], predicate: impl Fn(&EntryRecord) -> bool) -> Vec<SocketAddr> {
     live.iter()
-        .filter(|entry| fits(entry))
+        .filter(|entry| predicate(entry))
         .map(|entry| entry.callers)
-        .take(MAX_NAMED)
+        .take(MAX_ADDRESSES)
         .collect()
 }
--- a/lib/src/route_check.rs
+++ b/lib/src/route_check.rs
@@ -1,4 +1,4 @@
-//! What makes a route manifest invalid, and what a change makes of one.
+//! Validation of route manifests and their changes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,76 +22,79 @@
 use crate::team::KeyDigest;
 use crate::team_manifest::TeamManifest;
 
-/// Least excess of a latency objective over its route's timeout that is a slip of the
-/// unit rather than a generous objective.
-const OBJECTIVE_EXCESS: Duration = Duration::from_mins(1);
+/// Excess of a latency objective over its route's timeout from which the objective is rejected:
+/// it is more likely given in the wrong unit than meant to be generous.
+const REJECTED_OBJECTIVE_EXCESS: Duration = Duration::from_mins(1);
 
-/// Tells what is wrong with a route manifest.
+/// Reason why a route manifest or a change of one is invalid.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize, Snafu)]
 pub enum RouteProblem {
-    /// The version is not above the one in force.
-    #[snafu(display("version {version} is not above {current}, which is in force"))]
+    /// The version is not higher than the one in force.
+    #[snafu(display("version {version} is not higher than {current}, which is in force"))]
     Version {
-        /// The version of the change.
+        /// Version of the change.
         version: ManifestVersion,
-        /// The version in force.
+        /// Version in force.
         current: ManifestVersion,
     },
-    /// A route names a service that isn't there.
-    #[snafu(display("route {route} names the service {service}, which isn't there"))]
+    /// A route refers to a service that is not defined.
+    #[snafu(display("route {route} refers to unknown service {service}"))]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: RouteName,
-        /// The service.
+        /// Name of the undefined service.
         service: ServiceName,
     },
-    /// A weight is negative or no number.
-    #[snafu(display("route {route} gives {service} the weight {weight}; allowed is 0 and more"))]
+    /// A weight of a split is negative or not finite.
+    #[snafu(display(
+        "route {route} has weight {weight} for service {service}; allowed is at least 0"
+    ))]
     Weight {
-        /// The route.
+        /// Name of the route.
         route: RouteName,
-        /// The service.
+        /// Service with the invalid weight.
         service: ServiceName,
-        /// The weight.
+        /// Invalid weight.
         weight: f64,
     },
-    /// The objective lies far beyond the timeout.
+    /// The latency objective exceeds the timeout by a minute or more.
     #[snafu(display("route {route} has a latency objective a minute or more above its timeout"))]
     Objective {
-        /// The route.
+        /// Name of the route.
         route: RouteName,
     },
     /// Two teams have the same key.
-    #[snafu(display("the teams {first} and {second} share a key"))]
+    #[snafu(display("teams {first} and {second} share a key"))]
     SharedKey {
-        /// One of them.
+        /// First team with the key, by name.
         first: TeamName,
-        /// The other.
+        /// Second team with the key.
         second: TeamName,
     },
-    /// A limit is negative or no number.
-    #[snafu(display("team {team} has the limit {value}; allowed is 0 and more"))]
+    /// A rate or burst limit is negative or not finite.
+    #[snafu(display("team {team} has limit {value}; allowed is at least 0"))]
     Limit {
-        /// The team.
+        /// Name of the team.
         team: TeamName,
-        /// The rate or burst.
+        /// Invalid rate or burst.
         value: f64,
     },
-    /// A key is empty.
+    /// A team has an empty key.
     #[snafu(display("team {team} has an empty key"))]
     EmptyKey {
-        /// The team.
+        /// Name of the team.
         team: TeamName,
     },
-    /// No request on the route could be sent.
-    #[snafu(display("route {route} allows no attempt; allowed is 1 and more"))]
+    /// A route allows no attempts, so none of its requests could be sent.
+    #[snafu(display("route {route} allows no attempts; at least 1 is required"))]
     NoAttempts {
-        /// The route.
+        /// Name of the route.
         route: RouteName,
     },
 }
 
-/// Checks the teams of a manifest.
+/// Checks that the limits of all teams are valid and that each key is non-empty and belongs to
+/// one team only.
 ///
 /// # Errors
 ///
@@ -124,10 +127,10 @@
     Ok(())
 }
 
-/// Returns the manifest that a change makes of `present`, if that is valid.
+/// Applies a change to the manifest `present` and returns the result if it is valid.
 ///
-/// The base version is the caller's to compare: a change on another base is a conflict,
-/// not a fault of the change.
+/// The base version is not checked here: a change with another base is a conflict, for which
+/// the caller checks, and not an invalid change.
 ///
 /// # Errors
 ///
@@ -199,9 +202,9 @@
             route: name.clone()
         }
     );
-    let latest = route.timeout.saturating_add(OBJECTIVE_EXCESS);
+    let bound = route.timeout.saturating_add(REJECTED_OBJECTIVE_EXCESS);
     ensure!(
-        route.latency_objective < latest,
+        route.latency_objective < bound,
         ObjectiveSnafu {
             route: name.clone()
         }
--- a/lib/src/route_manifest.rs
+++ b/lib/src/route_manifest.rs
@@ -1,7 +1,7 @@
-//! The manifest of direct dispatch: which requests go to which services.
+//! Route manifest of direct dispatch, which maps requests to services.
 //!
-//! A route is chosen by host and by the longest path prefix. It names one service, or
-//! several with weights, and says how requests on it may be treated.
+//! A route is selected by host and longest path prefix. It targets one service, or several with
+//! weights, and specifies how its requests are handled.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,42 +16,42 @@
 use crate::id::RouteName;
 use crate::id::ServiceName;
 
-/// Holds one route.
+/// A route: the requests that it matches, their target and how they are handled.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Route {
-    /// The host that callers name, in lower case and without a port.
+    /// Host of matching requests, in lower case and without a port.
     pub host: String,
-    /// The path prefix; begins and ends with a slash.
+    /// Path prefix of matching requests; starts and ends with a slash.
     pub prefix: String,
-    /// Whether a request may run more than once without harm.
+    /// Whether a request may be executed more than once without harm.
     pub idempotent: bool,
-    /// Longest time for which a caller is kept waiting.
+    /// Maximum time until a caller gets an answer.
     pub timeout: Duration,
-    /// Time within which an answer is worth most to the caller.
+    /// Time within which an answer is most valuable to the caller.
     pub latency_objective: Duration,
-    /// Rank among requests; 0 goes first.
+    /// Priority among requests; 0 is the highest.
     pub priority: u32,
-    /// Where requests go.
+    /// Service or services that requests are sent to.
     pub target: RouteTarget,
-    /// Backend servers to which one request may be sent, the first included.
+    /// Maximum number of backend servers to which one request is sent, including the first.
     pub max_attempts: u32,
-    /// Whether backend servers answer faster for objects that they handled lately.
+    /// Whether backend servers answer faster for objects that they handled recently.
     pub affinity: bool,
-    /// Regions outside of which requests may not be served; empty allows all.
+    /// Regions in which requests may be served; empty allows all.
     pub home_regions: Vec<RegionName>,
 }
 
-/// Says where the requests of a route go.
+/// Target of a route's requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum RouteTarget {
-    /// All to one service.
+    /// One service receives all requests.
     Service(ServiceName),
-    /// To several, in proportion to their weights.
+    /// Several services receive requests in proportion to their weights.
     Split(Vec<WeightedService>),
 }
 
 impl RouteTarget {
-    /// Returns the services named.
+    /// Iterates over the target services, in the order given.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         let (one, split) = match self {
             Self::Service(service) => (Some(service), &[][..]),
@@ -62,42 +62,42 @@
     }
 }
 
-/// Holds one part of a split.
+/// One part of a split target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct WeightedService {
-    /// The service.
+    /// Service that receives this part of the requests.
     pub service: ServiceName,
-    /// Its share, relative to the other parts' weights.
+    /// Share of the requests, relative to the other parts' weights; finite and at least 0.
     pub weight: f64,
 }
 
-/// Holds what is known of a service beforehand.
+/// Static properties of a service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouteService {
-    /// The path of its health check.
+    /// Path of its health check.
     pub health_path: String,
-    /// Connections that one backend server takes from all callers together.
+    /// Maximum number of connections that one backend server accepts from all callers together.
     pub max_connections: u32,
-    /// The protocol that its backend servers speak, as the operator names it.
+    /// Protocol of its backend servers, as named by the operator.
     pub protocol: String,
     /// Whether its backend servers expect TLS.
     pub tls: bool,
-    /// Time for which a backend server stays cold after its start.
+    /// Time for which a backend server is cold after its start.
     pub cold_start: Duration,
-    /// Requests a second that one cold backend server bears from all senders together.
+    /// Requests per second that one cold backend server sustains from all senders together.
     pub cold_rate: f64,
 }
 
-/// Bounds what a caller may send, and how long it may take.
+/// Limits on the size of callers' requests and on the duration of their connections.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub max_header_bytes: u64,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub max_body_bytes: u64,
-    /// Time within which a request's head must arrive.
+    /// Maximum time for a request's head to arrive.
     pub header_timeout: Duration,
-    /// Time for which a connection may be idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -112,54 +112,54 @@
     }
 }
 
-/// Holds a whole manifest.
+/// A complete route manifest, without its teams.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RouteManifest {
-    /// The version; 0 before the first one.
+    /// Version of the manifest; 0 before the first one is accepted.
     pub version: ManifestVersion,
-    /// The routes.
+    /// Routes by name.
     pub routes: BTreeMap<RouteName, Arc<Route>>,
-    /// The services.
+    /// Services by name.
     pub services: BTreeMap<ServiceName, Arc<RouteService>>,
-    /// Bounds on callers.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
 }
 
-/// Holds a change that an operator asks for.
+/// A change of the route manifest requested by an operator.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RouteChange {
-    /// The version that the change makes.
+    /// Version that the change creates.
     pub version: ManifestVersion,
-    /// The version that it builds on; 0 for the first manifest.
+    /// Version that the change is based on; 0 for the first manifest.
     pub base: ManifestVersion,
-    /// What changes.
+    /// Replacement or patch of the base version.
     pub content: RouteContent,
 }
 
-/// Says what a change replaces.
+/// Content of a change of the route manifest.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum RouteContent {
-    /// Everything.
+    /// Replaces the whole manifest.
     Whole {
-        /// The routes.
+        /// All routes by name.
         routes: BTreeMap<RouteName, Arc<Route>>,
-        /// The services.
+        /// All services by name.
         services: BTreeMap<ServiceName, Arc<RouteService>>,
-        /// Bounds on callers.
+        /// Limits on callers' requests and connections.
         limits: CallerLimits,
     },
-    /// Items by name; the rest stays.
+    /// Changes items by name and keeps the rest.
     Patch(RoutePatch),
 }
 
-/// Holds the items that a patch changes.
+/// Items of the route manifest that a patch changes.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RoutePatch {
-    /// Routes to add or to replace.
+    /// Routes to add or replace.
     pub routes: BTreeMap<RouteName, Arc<Route>>,
-    /// Services to add or to replace.
+    /// Services to add or replace.
     pub services: BTreeMap<ServiceName, Arc<RouteService>>,
-    /// New bounds on callers.
+    /// New limits on callers; `None` keeps the present ones.
     pub limits: Option<CallerLimits>,
     /// Routes to remove.
     pub removed_routes: Vec<RouteName>,
@@ -168,11 +168,11 @@
 }
 
 impl RouteChange {
-    /// Returns the digest of the change, by which a resend is recognized.
+    /// Returns the digest of the change, which identifies resends of it.
     #[must_use]
     pub fn digest(&self) -> ContentDigest {
-        // Maps of this type encode without fail; an empty encoding would merely make
-        // resends of different changes look alike to a check that compares versions too.
+        // Encoding these types cannot fail. An empty encoding would only give different changes
+        // the same digest, and the check for resends also compares versions.
         ContentDigest::of(&postcard::to_stdvec(self).unwrap_or_default())
     }
 }
--- a/lib/src/submission_history.rs
+++ b/lib/src/submission_history.rs
@@ -1,4 +1,4 @@
-//! Answers to submissions, kept so that a resend gets its original answer.
+//! History of accepted manifests, kept so that a resent submission gets its original answer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,51 +11,52 @@
 use crate::id::ManifestVersion;
 use crate::id::Revision;
 
-/// Number of accepted versions whose answers are kept.
+/// Maximum number of accepted versions whose answers are kept.
 pub const HISTORY_CAPACITY: usize = 10_000;
 
-/// Number of accepted versions whose texts are kept.
+/// Maximum number of accepted versions whose texts are kept.
 pub const TEXT_CAPACITY: usize = 16;
 
-/// Bytes of text kept; the latest text stays whatever its size.
+/// Maximum total size of the texts kept, in bytes; the latest text is kept whatever its size.
 pub const TEXT_BYTES_CAPACITY: usize = 64 << 20;
 
-/// Answers a submission.
+/// Answer to a submission.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum SubmissionAnswer {
-    /// The manifest was accepted, by this submission or an earlier copy of it.
+    /// The manifest was accepted, through this submission or an earlier copy of it.
     Accepted {
-        /// The revision that accepted it.
+        /// Revision at which it was accepted.
         revision: Revision,
     },
-    /// Another content holds the version.
+    /// Different content was accepted for the version.
     VersionConflict {
-        /// Digest of that content.
+        /// Digest of the accepted content.
         winner: ContentDigest,
     },
-    /// The version is none that is known, and a higher one is in force.
+    /// The version is not in the history, and a higher one is in force.
     StaleVersion {
-        /// The version in force.
+        /// Version in force.
         current: ManifestVersion,
     },
 }
 
-/// Records an accepted manifest.
+/// Record of an accepted manifest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AcceptedManifest {
-    /// Its version.
+    /// Version of the manifest.
     pub version: ManifestVersion,
-    /// Digest of its text.
+    /// Digest of the submitted text.
     pub digest: ContentDigest,
-    /// The revision that accepted it.
+    /// Revision at which it was accepted.
     pub revision: Revision,
-    /// Who submitted it.
+    /// Name that the operator gave with the submission.
     pub operator: String,
-    /// Wall clock of the replica that proposed it, in milliseconds since the epoch.
+    /// Wall-clock time of the replica that proposed the submission, in milliseconds since the
+    /// Unix epoch.
     pub wall_ms: u64,
 }
 
-/// Holds the accepted manifests of the recent past.
+/// The most recently accepted manifests.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SubmissionHistory {
     accepted: BTreeMap<ManifestVersion, AcceptedManifest>,
@@ -63,12 +64,13 @@
 }
 
 impl SubmissionHistory {
-    /// Returns the answer that a submission gets if the state stays as it is, or `None`
-    /// if it would be accepted as something new.
+    /// Returns the answer to a submission in the current state, or `None` if it would be
+    /// accepted as a new version.
     ///
-    /// Versions only grow, so one that was accepted and has left the history is lower
-    /// than the one in force. It gets [`SubmissionAnswer::StaleVersion`]: without its
-    /// digest nobody can tell a resend from a conflict, but it is never accepted twice.
+    /// Versions only increase, so a version that was accepted and has been evicted from the
+    /// history is lower than the one in force. It is answered with
+    /// [`SubmissionAnswer::StaleVersion`]: without its digest, a resend cannot be distinguished
+    /// from a conflict, but it is never accepted twice.
     #[must_use]
     pub fn answer(
         &self,
@@ -120,25 +122,25 @@
         too_many || too_large
     }
 
-    /// Returns the record of the version in force.
+    /// Returns the record of the version in force, or `None` before the first one.
     #[must_use]
     pub fn latest(&self) -> Option<&AcceptedManifest> {
         self.accepted.last_key_value().map(|(_, latest)| latest)
     }
 
-    /// Returns the record of `version`, if it is still kept.
+    /// Returns the record of `version`, or `None` if it was not accepted or has been evicted.
     #[must_use]
     pub fn get(&self, version: ManifestVersion) -> Option<&AcceptedManifest> {
         self.accepted.get(&version)
     }
 
-    /// Returns the text of `version`, if it is still kept.
+    /// Returns the text of `version`, or `None` if it was not accepted or has been evicted.
     #[must_use]
     pub fn text(&self, version: ManifestVersion) -> Option<&str> {
         self.texts.get(&version).map(|text| &**text)
     }
 
-    /// Iterates over the records, newest first.
+    /// Iterates over the records by descending version.
     pub fn newest_first(&self) -> impl Iterator<Item = &AcceptedManifest> {
         self.accepted.values().rev()
     }
--- a/lib/tests/test_manifest_text.rs
+++ b/lib/tests/test_manifest_text.rs
@@ -1,4 +1,4 @@
-//! Reading manifests: every fault has its line, its column and what is allowed.
+//! Tests of parsing manifests: each fault reports its line, its column and what is allowed.
 
 mod common;
 
@@ -43,7 +43,7 @@
     };
 }
 
-// `^` marks where the fault must be reported.
+// `^` marks the position at which the fault must be reported.
 fault_cases! {
     test_manifest_text_syntax:
         r#""version": 1,"# => r#""version" ^1,"#,
@@ -51,7 +51,7 @@
     test_manifest_text_hexadecimal:
         r#""version": 1,"# => r#""version": ^0x1,"#,
         r"Hexadecimal numbers are not allowed; allowed is JSON with comments";
-    test_manifest_text_wrong_kind:
+    test_manifest_text_wrong_type:
         r#""version": 1,"# => r#""version": ^"1","#,
         r"found a string; allowed is a whole number from 0 to 18446744073709551615";
     test_manifest_text_number_beyond_u64:
@@ -92,7 +92,7 @@
         r#"an object with 2 keys isn't allowed here; allowed is one of "any", {"region": ..}, {"place": ..}"#;
     test_manifest_text_version_zero:
         r#""version": 1,"# => r#""version": ^0,"#,
-        r"the version is 0; allowed are versions from 1 up";
+        r"the version is 0; allowed are versions of at least 1";
     test_manifest_text_limit_of_unknown_place:
         r#""fko-hakata": {"max_in_flight""# => r#"^"fko-hakato": {"max_in_flight""#,
         r#"unknown place "fko-hakato", did you mean "fko-hakata"?; allowed are the names under "places""#;
@@ -107,28 +107,28 @@
         r#"unknown region "kumamotto", did you mean "kumamoto"?; allowed are the regions of the places"#;
     test_manifest_text_link_to_itself:
         r#""fukuoka", "to": "kumamoto", "max"# => r#""fukuoka", "to": ^"fukuoka", "max"#,
-        r"the link leads from fukuoka to itself; allowed are two regions";
+        r"the link connects fukuoka to itself; allowed are two different regions";
     test_manifest_text_block_twice:
         r#""127.11.0.0/16""# => r#"^"127.10.0.0/16""#,
-        r"block 127.10.0.0/16 is given already; allowed is once";
+        r"duplicate block 127.10.0.0/16; allowed is one";
     test_manifest_text_drain_twice:
         r#"// {"vm": "entry-2"}"# => r#"{"vm": "a"}, ^{"vm": "a"}"#,
-        r"this drain is planned already; allowed is once";
+        r"duplicate drain; allowed is one";
     test_manifest_text_cap_within_one_place:
         r#"{"from": "any", "to""# => r#"^{"from": {"place": "fko-hakata"}, "to""#,
-        r"no request is a shift from place fko-hakata to place fko-hakata; allowed are ends of which the second doesn't hold the first";
+        r#"the cap on shifts from place fko-hakata to place fko-hakata never applies, because "to" contains "from"; allowed are scopes with callers outside "to""#;
     test_manifest_text_cap_twice:
         r#"{"from": "any", "to": {"place": "fko-kokura"}"# => r#"^{"from": "any", "to": {"place": "fko-hakata"}"#,
-        r"the shift from any place to place fko-hakata has a cap already; allowed is one";
+        r"duplicate cap on shifts from any place to place fko-hakata; allowed is one";
     test_manifest_text_operation_unreachable:
         r#""path_prefix": "/intake""# => r#""path_prefix": ^"/bookings/intake""#,
-        r#"operation "log-intake" is never reached, since "book-crushing-slot" before it matches all its requests; allowed is the longer prefix first"#;
+        r#"operation "log-intake" is unreachable because the earlier operation "book-crushing-slot" matches all of its requests; the longer prefix must come first"#;
     test_manifest_text_prefix_without_slash:
         r#""path_prefix": "/intake""# => r#""path_prefix": ^"intake""#,
-        r#"no path starts with "intake"; allowed are prefixes that start with "/" and have no '?', '#' or white space"#;
-    test_manifest_text_method_in_small_letters:
+        r#"path prefix "intake" never matches; allowed are prefixes that start with "/" and contain no '?', '#' or white space"#;
+    test_manifest_text_method_in_lower_case:
         r#""method": "GET""# => r#""method": ^"get""#,
-        r#"method "get" isn't known; allowed are GET, HEAD, POST, PUT, PATCH, DELETE"#;
+        r#"unknown method "get"; allowed are GET, HEAD, POST, PUT, PATCH, DELETE"#;
     test_manifest_text_fewer_connections_than_slots:
         r#""max_connections_per_backend": 330"# => r#""max_connections_per_backend": ^2"#,
         r"max_connections_per_backend is 2; allowed is at least max_slots_per_backend, 3";
