--- a/lib/tests/common/action_sample.rs
+++ b/lib/tests/common/action_sample.rs
@@ -1,4 +1,4 @@
-//! Keys and requests for the tests of actions.
+//! Sample keys and requests for the tests of actions.
 
 use heatherring_lib::action_record::ActionKey;
 use heatherring_lib::action_record::ActionQuery;
@@ -17,7 +17,7 @@
 pub const PRIMARY: SessionId = SessionId(7);
 pub const BACKUP: SessionId = SessionId(8);
 
-/// Issues a ticket that ends at `expires_unix_ms`.
+/// Issues a ticket that expires at `expires_unix_ms`.
 pub fn ticket(expires_unix_ms: u64) -> Ticket {
     let session = |session, vm| TicketSession {
         session,
--- a/lib/tests/common/entry_sample.rs
+++ b/lib/tests/common/entry_sample.rs
@@ -1,4 +1,4 @@
-//! What control knows of a sample entry VM.
+//! Sample description of an entry VM, as known to control replicas.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,16 @@
 use heatherring_lib::id::VmName;
 use heatherring_lib::view::EntryInfo;
 
-/// Returns an entry VM whose listeners nobody calls.
+/// Returns an entry VM whose addresses are placeholders that no test connects to.
 pub fn entry_info(vm: &str, place: &str, region: &str) -> EntryInfo {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
+    let placeholder = SocketAddr::from(([127, 0, 0, 1], 1));
     EntryInfo {
         vm: VmName::new(vm),
         place: PlaceName::new(place),
         region: RegionName::new(region),
-        callers: nowhere,
-        backend_servers: nowhere,
-        peers: nowhere,
-        forward: nowhere,
+        callers: placeholder,
+        backend_servers: placeholder,
+        peers: placeholder,
+        forward: placeholder,
     }
 }
--- a/lib/tests/common/mod.rs
+++ b/lib/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! What several tests share.
+//! Helpers shared by several tests.
 
 use heatherring_lib::config_fault::ConfigFaults;
 
-/// Replaces the first `from` in `sample` by `to`, and expects the one fault `expected`
-/// where `to` has the mark `^`. The text's name must be `f`.
+/// Replaces the first `from` in `sample` with `to` and asserts that reading the result reports
+/// exactly the fault `expected` at the position that the marker `^` has in `to`. The file name
+/// passed to the reader must be `f`.
 pub fn expect_fault(
     sample: &str,
     from: &str,
--- a/lib/tests/test_control_state.rs
+++ b/lib/tests/test_control_state.rs
@@ -1,4 +1,4 @@
-//! Tests of the replicated state.
+//! Tests of the replicated state machine of the control replicas.
 
 #[path = "common/entry_sample.rs"]
 mod entry_sample;
@@ -57,7 +57,7 @@
 
 const SEED: u64 = 20_261_202;
 
-/// Returns a submission; `content` tells apart those of one version.
+/// Returns a submission; `content` distinguishes submissions of the same version.
 fn submission(version: u64, content: u8) -> Submission {
     let manifest = json!({
         "version": version,
@@ -78,11 +78,11 @@
     submission(version, content).digest
 }
 
-fn open() -> CommandKind {
+fn open_session() -> CommandKind {
     CommandKind::OpenSession(entry_info("entry-1", "alm-a", "almaty"))
 }
 
-/// Applies a command at the next position, by way of its encoding.
+/// Encodes and decodes a command, and applies it at the next log position.
 fn apply(state: &mut ControlState, kind: CommandKind) -> Response {
     let index = state.revision().next();
     let wall_ms = 1_000 * index.0;
@@ -111,7 +111,7 @@
     })
 }
 
-macro_rules! answers {
+macro_rules! submission_cases {
     ($($name:ident: [$($earlier:expr),*], $last:expr => $answer:expr;)+) => {
         $(
             #[test]
@@ -129,17 +129,17 @@
                 assert_eq!(apply(&mut state, submit(version, content)), $answer);
                 assert_eq!(apply(&mut after_snapshot, submit(version, content)), $answer);
                 assert_eq!(after_snapshot, state);
-                assert_eq!(*state.view(), before, "an old or refused manifest took force");
+                assert_eq!(*state.view(), before, "a stale or refused manifest came into force");
             }
         )+
     };
 }
 
-// Symptom: a pipeline that resends after a lost answer is told something else than the
-// first time, or two operators with one version are both told that they won.
-// Sequence: a submission, others after it, perhaps a restart from a snapshot, a resend.
-// Cause: answers are derived from the newest manifest instead of being kept.
-answers! {
+// A resent submission gets the same answer as the first time, after later submissions and after
+// a restart from a snapshot. If answers were derived from the latest manifest instead of the
+// history, a pipeline that resends after a lost answer would get a different one, or two
+// operators who submit the same version would both be told that theirs was accepted.
+submission_cases! {
     test_submission_resent_at_once: [(5, 1)], (5, 1) => accepted(1);
     test_submission_resent_after_later_versions: [(5, 1), (6, 1), (9, 2)], (5, 1) => accepted(1);
     test_submission_resent_after_conflict: [(5, 1), (5, 2)], (5, 1) => accepted(1);
@@ -151,9 +151,8 @@
 
 #[test]
 fn test_submission_beyond_history_is_never_accepted_again() {
-    // Symptom: a manifest of months ago takes force.
-    // Sequence: a submission is resent after so many others that its answer is dropped.
-    // Cause: what isn't in the history is taken for new.
+    // A submission that is resent after its answer has been evicted from the history must not
+    // be treated as new, or a months-old manifest would come into force.
     let mut state = ControlState::default();
     let count = HISTORY_CAPACITY as u64 + 1;
     for version in 1..=count {
@@ -193,7 +192,7 @@
 fn test_session_ends_once() {
     let mut state = ControlState::default();
     assert_eq!(
-        apply(&mut state, open()),
+        apply(&mut state, open_session()),
         Response::SessionOpened(SessionId(1))
     );
     assert_eq!(
@@ -205,7 +204,7 @@
     assert_eq!(
         state.view().revision,
         marked,
-        "a repeated mark is no change"
+        "marking a session again must not change the view"
     );
     assert_eq!(
         apply(&mut state, CommandKind::CloseSession(SessionId(1))),
@@ -219,26 +218,25 @@
 }
 
 #[test]
-fn test_replica_behind_an_entry_says_so() {
-    // Symptom: an entry goes back to an older manifest.
-    // Sequence: it moves to a replica that has applied less than the entry has.
-    // Cause: the replica answers a revision that it hasn't reached with its own view.
+fn test_update_from_newer_revision_reports_replica_behind() {
+    // An entry VM that moves to a replica which has applied less than it has must not be served
+    // that replica's view, or it would revert to an older manifest.
     let mut state = ControlState::default();
     apply(&mut state, submit(1, 1));
     assert_eq!(state.update_from(Revision(2)), ViewUpdate::ReplicaBehind);
 }
 
 #[test]
-fn test_entry_far_behind_gets_the_whole_view() {
+fn test_update_from_before_the_view_log_is_the_whole_view() {
     let mut state = ControlState::default();
     for _ in 0..=VIEW_LOG_CAPACITY {
-        apply(&mut state, open());
+        apply(&mut state, open_session());
     }
     let ViewUpdate::Changes(changes) = state.update_from(Revision(1)) else {
-        panic!("the oldest kept revision must do");
+        panic!("the view log must cover the oldest revision kept");
     };
     assert_eq!(changes.len(), VIEW_LOG_CAPACITY);
-    apply(&mut state, open());
+    apply(&mut state, open_session());
     let whole = ViewUpdate::Whole(state.view().clone());
     assert_eq!(state.update_from(Revision(1)), whole);
     assert_eq!(state.update_from(Revision(0)), whole);
@@ -265,7 +263,7 @@
     }
 }
 
-fn repair(new: u16, replaced: u16) -> CommandKind {
+fn replace_replica(new: u16, replaced: u16) -> CommandKind {
     CommandKind::RequestMembership(MembershipRequest {
         operator: "kim".to_owned(),
         change: MembershipChange::Add {
@@ -290,10 +288,10 @@
         submit(5, 1),
         submit(5, 2),
         submit(4, 3),
-        open(),
+        open_session(),
         CommandKind::MarkLeaving(SessionId(5)),
         CommandKind::LapseSession(SessionId(5)),
-        repair(9, 3),
+        replace_replica(9, 3),
     ] {
         apply(&mut state, kind);
     }
@@ -316,8 +314,8 @@
     assert_eq!(state.audit().after(Revision(5)).count(), 4);
 }
 
-/// Symptom: a request that is in quarantine ends backend servers again. Sequence: a replica takes
-/// the state from a snapshot. Cause: suspected requests aren't part of it.
+/// Snapshots must contain suspected requests, or a quarantined request would crash backend
+/// servers again after a replica restores its state from a snapshot.
 #[test]
 fn test_snapshot_holds_suspected_requests() {
     let mut state = ControlState::default();
@@ -350,8 +348,8 @@
     assert!(audited[0].contains("backend-3"), "{audited:?}");
 }
 
-/// Symptom: after a restart whoever sends no key is served, or a key that was taken away works
-/// again. Sequence: a replica takes the state from a snapshot. Cause: teams aren't part of it.
+/// Snapshots must contain the teams, or requests without a key or with a revoked key would be
+/// served after a replica restores its state from a snapshot.
 #[test]
 fn test_snapshot_holds_teams() {
     let mut state = ControlState::default();
@@ -386,7 +384,7 @@
 }
 
 #[test]
-fn test_snapshot_of_the_formats_before_is_read() {
+fn test_snapshot_of_earlier_formats_is_decoded() {
     let mut state = ControlState::default();
     apply(&mut state, submit(1, 0));
     let encoded = encoding::encode(4, &state).unwrap();
@@ -422,7 +420,7 @@
 fn any_command() -> impl Strategy<Value = CommandKind> {
     prop_oneof![
         4 => (0_u64..12, 0_u8..3).prop_map(|(version, content)| submit(version, content)),
-        2 => Just(open()),
+        2 => Just(open_session()),
         1 => (1_u64..40).prop_map(|id| CommandKind::MarkLeaving(SessionId(id))),
         1 => (1_u64..40).prop_map(|id| CommandKind::LapseSession(SessionId(id))),
         1 => (1_u64..40).prop_map(|id| CommandKind::CloseSession(SessionId(id))),
@@ -446,17 +444,16 @@
             }
         }
         ViewUpdate::Whole(whole) => *view = whole,
-        ViewUpdate::ReplicaBehind => panic!("the replica is current"),
+        ViewUpdate::ReplicaBehind => panic!("the replica must not be behind the entry VM"),
     }
 }
 
 proptest! {
     #![proptest_config(config())]
 
-    // Symptom: an entry that came a different way holds a different view, or a replica
-    // that restarted from a snapshot decides differently from the others.
-    // Sequence: any commands; entries that resume at any time; a snapshot at any time.
-    // Cause: a change is applied to the state in one way and described in another.
+    // Entry VMs that follow from any revision hold the view of the state, and replicas that
+    // restart from a snapshot at any point hold the same state as the others. They would diverge
+    // if a view change did not describe what its command did to the state.
     #[test]
     fn test_views_and_snapshots_follow_the_state(
         steps in prop::collection::vec((any_command(), any::<bool>(), any::<bool>()), 1..40),
@@ -478,11 +475,10 @@
         }
     }
 
-    // Symptom: two contents are accepted for one version, or a lower version takes force.
-    // Sequence: any submissions in any order, resent at any time.
-    // Cause: any of the rules of submission has a gap.
+    // For submissions in any order, resent at any time, one content is accepted per version,
+    // and no version below the highest accepted one comes into force.
     #[test]
-    fn test_submissions_have_one_winner_a_version(
+    fn test_submissions_accept_one_content_per_version(
         submissions in prop::collection::vec((0_u64..8, 0_u8..3), 1..60),
     ) {
         let mut state = ControlState::default();
--- a/lib/tests/test_decoders.rs
+++ b/lib/tests/test_decoders.rs
@@ -1,8 +1,8 @@
-//! No decoder panics, whatever it is given.
+//! No decoder panics on any input.
 //!
-//! Symptom that this is for: a process dies on one damaged or hostile message, and so
-//! does each process that the message is sent to next. Inputs are random bytes, and
-//! valid ones with a few bytes changed, which get further into a decoder.
+//! A panic would let one corrupted or malicious message crash every process that it is sent to
+//! in turn. Inputs are random bytes, and valid encodings with a few bytes changed, which reach
+//! deeper into the decoders.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -59,7 +59,7 @@
     }
 }
 
-/// Changes bytes at drawn positions, and cuts the end off at a drawn one.
+/// Changes of bytes at random positions, and a truncation at a random position.
 #[derive(Clone, Debug)]
 struct Damage {
     edits: Vec<(Index, u8)>,
@@ -90,10 +90,10 @@
         .prop_map(|(edits, cut)| Damage { edits, cut })
 }
 
-/// Damages text with characters that mean something to the reader.
+/// Damages text with characters that are significant in JSON with comments.
 fn text_damage() -> impl Strategy<Value = Damage> {
-    let meaningful = prop::sample::select(br#"{}[],:"/*\-0e.nt"#.to_vec());
-    let edits = vec((any::<Index>(), meaningful), 1..4);
+    let significant = prop::sample::select(br#"{}[],:"/*\-0e.nt"#.to_vec());
+    let edits = vec((any::<Index>(), significant), 1..4);
     (edits, proptest::option::weighted(0.2, any::<Index>()))
         .prop_map(|(edits, cut)| Damage { edits, cut })
 }
@@ -140,7 +140,7 @@
     }
 }
 
-/// Returns a valid change of [`view`] by a delta.
+/// Returns a valid manifest change of [`view`] in the form of a delta.
 fn delta_change() -> ViewChange {
     let mut target = manifest();
     target.version.0 += 1;
@@ -234,7 +234,7 @@
     #[test]
     fn test_decoders_damaged_change_of_view(damage in damage()) {
         let change = delta_change();
-        assert!(view().apply(&change).is_ok(), "the undamaged change must fit");
+        assert!(view().apply(&change).is_ok(), "the undamaged change must apply");
         apply_change(&damage.apply(&postcard::to_stdvec(&change).unwrap()));
     }
 
--- a/lib/tests/test_fleet_state.rs
+++ b/lib/tests/test_fleet_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state of direct dispatch, and what entry VMs follow of it.
+//! Tests of the replicated state of direct dispatch and of the updates that entry VMs follow.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -99,7 +99,7 @@
     }
 }
 
-fn life(name: &str, born: u64) -> BackendIncarnation {
+fn incarnation(name: &str, born: u64) -> BackendIncarnation {
     BackendIncarnation {
         backend: BackendName::new(name),
         born,
@@ -112,13 +112,9 @@
         .map(|record| record.state)
 }
 
-/// Symptom: an operator that lost an answer resends its change and is told that it conflicts,
-/// though it is in the history.
-///
-/// Sequence: a change is accepted, its answer is lost, another operator's change follows, and
-/// the first one is sent again.
-///
-/// Cause: the base version no longer fits. The digest is looked up before it is compared.
+/// An operator whose answer was lost resends its change after another operator's change. The
+/// base version no longer matches, so the change must be recognized by its digest first, or it
+/// would be reported as a conflict although it was accepted.
 #[test]
 fn test_fleet_state_accepts_a_resend_after_later_changes() {
     let mut state = FleetState::default();
@@ -140,20 +136,18 @@
     assert_eq!(state.manifest().routes.len(), 2);
 }
 
-/// Symptom: two operators are both told that their change is in force, and one isn't.
-///
-/// Sequence: both build on the same version, under the same number.
-///
-/// Cause: without a comparison with the base version the later one would replace the earlier.
+/// Of two changes with the same base and version, the second must be refused as a conflict.
+/// Without the check of the base version, it would replace the first, and both operators would
+/// be told that their change is in force.
 #[test]
-fn test_fleet_state_lets_one_of_two_racing_changes_win() {
+fn test_fleet_state_accepts_one_of_two_concurrent_changes() {
     let mut state = FleetState::default();
     state.change_routes(Revision(1), &whole(1, 0, route("/a/")));
-    let won = state.change_routes(Revision(2), &patch(2, 1, "b", route("/b/")));
-    let lost = state.change_routes(Revision(3), &patch(2, 1, "b", route("/c/")));
-    assert_eq!(won, RouteAnswer::Accepted);
+    let first = state.change_routes(Revision(2), &patch(2, 1, "b", route("/b/")));
+    let second = state.change_routes(Revision(3), &patch(2, 1, "b", route("/c/")));
+    assert_eq!(first, RouteAnswer::Accepted);
     let current = ManifestVersion(2);
-    assert_eq!(lost, RouteAnswer::Conflict { current });
+    assert_eq!(second, RouteAnswer::Conflict { current });
     let in_force = &state.manifest().routes[&RouteName::new("b")];
     assert_eq!(in_force.prefix, "/b/");
 }
@@ -175,7 +169,7 @@
 #[rstest]
 #[case::unknown_service(with_target(RouteTarget::Service(ServiceName::new("nobody"))))]
 #[case::negative_weight(with_target(split(-1.0)))]
-#[case::weight_no_number(with_target(split(f64::NAN)))]
+#[case::weight_nan(with_target(split(f64::NAN)))]
 #[case::no_attempts(Route { max_attempts: 0, ..route("/a/") })]
 #[case::objective_above_timeout(Route { latency_objective: Duration::from_secs(61), ..route("/a/") })]
 fn test_fleet_state_refuses_an_invalid_manifest(#[case] route: Route) {
@@ -197,13 +191,10 @@
     assert_eq!(answer, RouteAnswer::Invalid(problem));
 }
 
-/// Symptom: requests go to an address where another backend server listens by now.
-///
-/// Sequence: a backend server crashes; a new one starts at its address; a heartbeat of the
-/// first, held up by a cut, arrives after that.
-///
-/// Cause: the late heartbeat is taken for the latest word on the address. A life that was
-/// superseded gets the address back only if whoever has it is silent.
+/// A backend server crashes, a new one starts at its address, and then a heartbeat of the first
+/// arrives that a network partition had delayed. If it took the address over, requests for the
+/// first would be sent to the second. A superseded incarnation may reclaim its address only
+/// from a backend server that has not been heard from recently.
 #[test]
 fn test_fleet_state_ignores_a_late_announcement_of_a_dead_backend_server() {
     let mut state = FleetState::default();
@@ -212,37 +203,34 @@
     state.announce(Revision(3), &[backend("old", 80, 9)]);
     assert_eq!(state_of(&state, "new"), Some(BackendState::Ready));
     assert_eq!(state_of(&state, "old"), Some(BackendState::Superseded));
-    let back = BackendChange {
+    let reclaiming = BackendChange {
         reclaims: true,
         ..backend("old", 80, 10)
     };
-    state.announce(Revision(4), &[back]);
+    state.announce(Revision(4), &[reclaiming]);
     assert_eq!(state_of(&state, "old"), Some(BackendState::Ready));
     assert_eq!(state_of(&state, "new"), Some(BackendState::Superseded));
 }
 
-/// Symptom: a backend server that has left gets requests again.
-///
-/// Sequence: it says that it leaves, then that it is gone; earlier heartbeats arrive late.
-///
-/// Cause: without the sequence number and the memory of who is gone, a late "ready" undoes
-/// both.
+/// A backend server announces that it is draining and then withdraws, and earlier heartbeats
+/// arrive late. Without sequence numbers and the list of withdrawn incarnations, a late "ready"
+/// would undo both, and the ended backend server would be sent requests again.
 #[test]
-fn test_fleet_state_ignores_late_announcements_of_one_that_leaves() {
+fn test_fleet_state_ignores_late_announcements_of_a_draining_backend_server() {
     let mut state = FleetState::default();
     state.announce(Revision(1), &[backend("one", 80, 1)]);
-    let mut leaving = backend("one", 80, 5);
-    leaving.record.state = BackendState::Draining;
-    state.announce(Revision(2), &[leaving]);
+    let mut draining = backend("one", 80, 5);
+    draining.record.state = BackendState::Draining;
+    state.announce(Revision(2), &[draining]);
     state.announce(Revision(3), &[backend("one", 80, 4)]);
     assert_eq!(state_of(&state, "one"), Some(BackendState::Draining));
-    state.withdraw(Revision(4), &life("one", 0));
+    state.withdraw(Revision(4), &incarnation("one", 0));
     state.announce(Revision(5), &[backend("one", 80, 6)]);
     assert_eq!(state_of(&state, "one"), None);
 }
 
 #[test]
-fn test_fleet_state_forgets_an_entry_of_that_life_only() {
+fn test_fleet_state_forgets_an_entry_of_that_incarnation_only() {
     let mut state = FleetState::default();
     let vm = VmName::new("entry-1");
     let record = EntryRecord {
@@ -258,9 +246,9 @@
     assert!(state.entry(&vm).is_none());
 }
 
-/// A view that follows by updates holds the same as one that takes everything at once.
+/// A view that follows incremental updates equals one built from a single full update.
 #[test]
-fn test_fleet_update_changes_add_up() {
+fn test_fleet_update_increments_equal_a_full_update() {
     let mut state = FleetState::default();
     let mut followed = FleetView::default();
     let mut follow = |state: &FleetState| {
@@ -271,7 +259,7 @@
     state.announce(Revision(2), &[backend("one", 80, 1), backend("two", 81, 1)]);
     follow(&state);
     state.change_routes(Revision(3), &patch(2, 1, "b", route("/a/b/")));
-    state.withdraw(Revision(4), &life("one", 0));
+    state.withdraw(Revision(4), &incarnation("one", 0));
     state.set_evacuated(Revision(5), &PlaceName::new("fko-hakata"), true);
     follow(&state);
     let whole = state.update_from(Revision(0)).unwrap();
@@ -285,14 +273,11 @@
     assert!(followed.route("other.example", "/a/").is_none());
 }
 
-/// Symptom: a manifest that was replaced is in force again at one entry VM.
-///
-/// Sequence: it follows a replica that lags after one that was ahead.
-///
-/// Cause: the older state is applied. An update that leads back is refused, and a replica
-/// that is behind has none to give.
+/// An entry VM switches to a replica that is behind the one it followed before. Applying the
+/// older state would bring a replaced manifest back into force, so the replica returns no
+/// update for a newer revision, and the view refuses an update to an older one.
 #[test]
-fn test_fleet_update_never_leads_back() {
+fn test_fleet_update_never_reverts_a_view() {
     let mut ahead = FleetState::default();
     ahead.change_routes(Revision(1), &whole(1, 0, route("/a/")));
     let behind = ahead.clone();
--- a/lib/tests/test_host_value.rs
+++ b/lib/tests/test_host_value.rs
@@ -1,4 +1,4 @@
-//! Which values name a host.
+//! Tests of the validation of `Host` header values.
 
 use heatherring_lib::host_value;
 use rstest::rstest;
@@ -15,31 +15,31 @@
 #[case::encoded("a%2Db", true)]
 #[case::empty("", false)]
 #[case::port_alone(":80", false)]
-#[case::word_as_port("a:http", false)]
+#[case::service_name_as_port("a:http", false)]
 #[case::signed_port("a:+80", false)]
 #[case::port_out_of_range("a:65536", false)]
 #[case::two_ports("a:80:80", false)]
 #[case::address_without_brackets("::1", false)]
 #[case::open_bracket("[::1", false)]
 #[case::name_in_brackets("[a]", false)]
-#[case::behind_brackets("[::1]a", false)]
-#[case::user("x@a", false)]
+#[case::text_after_brackets("[::1]a", false)]
+#[case::user_info("x@a", false)]
 #[case::path("a/b", false)]
-#[case::question("a?b", false)]
+#[case::query("a?b", false)]
 #[case::fragment("a#b", false)]
-#[case::address_of_a_page("http://a", false)]
+#[case::url("http://a", false)]
 #[case::space("a b", false)]
 #[case::list_with_a_space("a, b", false)]
-#[case::half_encoded("a%2", false)]
-#[case::badly_encoded("a%zz", false)]
-#[case::above_ascii("\u{e4}", false)]
+#[case::truncated_percent_encoding("a%2", false)]
+#[case::invalid_percent_encoding("a%zz", false)]
+#[case::non_ascii("\u{e4}", false)]
 #[case::quote("\"a\"", false)]
-#[case::zero("a\0", false)]
+#[case::nul("a\0", false)]
 fn test_host_value(#[case] value: &str, #[case] valid: bool) {
     assert_eq!(host_value::is_valid(value.as_bytes()), valid);
 }
 
 #[test]
-fn test_host_value_that_is_no_text() {
+fn test_host_value_invalid_utf8() {
     assert!(!host_value::is_valid(&[b'a', 0xff]));
 }
--- a/lib/tests/test_manifest_delta.rs
+++ b/lib/tests/test_manifest_delta.rs
@@ -1,4 +1,4 @@
-//! Tests of the difference of two manifests.
+//! Tests of deltas between two manifests.
 
 use heatherring_lib::manifest::Manifest;
 use heatherring_lib::manifest_delta::DeltaError;
@@ -54,7 +54,7 @@
 }
 
 prop_compose! {
-    /// Draws from few values each, so that two manifests have much in common.
+    /// Generates each part from few values, so that two manifests have many items in common.
     fn any_manifest()(
         version in 1_u64..4,
         deployment in 0..2,
@@ -107,11 +107,11 @@
         prop_assert_eq!(delta.apply(&base).unwrap(), target);
     }
 
-    // Symptom: an entry holds a manifest that no operator ever submitted.
-    // Sequence: a delta meets a manifest that it wasn't made from.
-    // Cause: the steps happen to fit, and nobody compares the result.
+    // A delta applied to a manifest other than its base either fails or yields its target. If
+    // the result were not compared with the digest, the steps of a delta might happen to fit,
+    // and an entry VM would use a manifest that no operator submitted.
     #[test]
-    fn test_manifest_delta_never_gives_a_third_manifest(
+    fn test_manifest_delta_yields_target_or_fails_on_other_base(
         base in any_manifest(),
         target in any_manifest(),
         other in any_manifest(),
@@ -122,9 +122,9 @@
         }
     }
 
-    // Symptom: an entry crashes on, or believes, a delta that was damaged on the way.
-    // Sequence: one bit of the encoding flips.
-    // Cause: the decoder trusts lengths, or nobody compares the result.
+    // A delta with one flipped bit neither panics nor yields another manifest than its target,
+    // as it could if the decoder trusted encoded lengths or the result were not compared with
+    // the digest.
     #[test]
     fn test_manifest_delta_survives_flipped_bit(
         base in any_manifest(),
@@ -144,7 +144,7 @@
 
 const BLOCKS: u32 = 20_000;
 
-macro_rules! stays_small {
+macro_rules! delta_size_cases {
     ($($name:ident: $blocks:expr,)+) => {
         $(
             #[test]
@@ -155,13 +155,13 @@
                 assert_eq!(delta.apply(&base).unwrap(), target);
                 let size = delta.encode().unwrap().len();
                 let whole = encode_manifest(&target).unwrap().len();
-                assert!(size * 10 < whole, "{size} bytes against {whole}");
+                assert!(size * 10 < whole, "delta of {size} bytes, manifest of {whole} bytes");
             }
         )+
     };
 }
 
-stays_small! {
+delta_size_cases! {
     test_manifest_delta_stays_small_for_scattered_blocks:
         (0..BLOCKS).map(|n| if n % 1_000 == 7 { n + BLOCKS } else { n }),
     test_manifest_delta_stays_small_for_removed_blocks:
--- a/lib/tests/test_manifest_summary.rs
+++ b/lib/tests/test_manifest_summary.rs
@@ -1,4 +1,4 @@
-//! What a manifest changes against another.
+//! Tests of the summary of changes between two manifests.
 
 use heatherring_lib::manifest_summary::changes;
 use heatherring_lib::manifest_text::read_manifest;
