--- a/lib/tests/test_backend_life.rs
+++ b/lib/tests/test_backend_life.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dispatch_model::Probe;
-use heatherring_lib::dispatch_ask::SendOutcome;
+use heatherring_lib::dispatch_request::SendOutcome;
 use heatherring_lib::encoding;
 use heatherring_lib::fleet_record::BackendChange;
 use heatherring_lib::fleet_record::BackendIncarnation;
--- a/server/src/crash_watch.rs
+++ b/server/src/crash_watch.rs
@@ -18,7 +18,7 @@
 use heatherring_lib::crash_evidence::BackendLives;
 use heatherring_lib::crash_evidence::CrashEvidence;
 use heatherring_lib::crash_evidence::Treatment;
-use heatherring_lib::dispatch_ask::Choice;
+use heatherring_lib::dispatch_request::Choice;
 use heatherring_lib::fleet_record::BackendIncarnation;
 use heatherring_lib::fleet_update::FleetView;
 use heatherring_lib::id::BackendName;
