--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -80,6 +80,7 @@
 mod object_rank;
 pub mod outcome;
 pub mod ownership;
+pub mod ownership_state;
 pub mod place_lookup;
 pub mod planned_stop;
 pub mod presence;
