--- a/lib/src/backend_registry.rs
+++ b/lib/src/backend_registry.rs
@@ -167,7 +167,12 @@
     ///
     /// The one with the smallest share of its slots in use; among equals the one used
     /// last, whose connection is open and whose caches are warm.
-    pub fn place(&mut self, now: Instant, warm_up: Duration, idempotent: bool) -> Option<BackendEndpoint> {
+    pub fn place(
+        &mut self,
+        now: Instant,
+        warm_up: Duration,
+        idempotent: bool,
+    ) -> Option<BackendEndpoint> {
         let name = self
             .servers
             .iter()
--- a/lib/src/dispatch_assess.rs
+++ b/lib/src/dispatch_assess.rs
@@ -72,7 +72,13 @@
             let backend = &self.backends[**key];
             backend.usable && self.is_cold(now, backend)
         });
-        self.assess(now, cold.map(|key| (*key, SPARE_RANK)), service, latency_key, ask)
+        self.assess(
+            now,
+            cold.map(|key| (*key, SPARE_RANK)),
+            service,
+            latency_key,
+            ask,
+        )
     }
 
     fn assess(
@@ -168,7 +174,9 @@
             fault,
             risk: risk + tie_break(rank),
             load: there / slots,
-            slow_above: service.latency_key.expected(latency_key, known_warm) * factor * SLOW_MARGIN,
+            slow_above: service.latency_key.expected(latency_key, known_warm)
+                * factor
+                * SLOW_MARGIN,
             warm,
             near: backend.region == self.cfg.region,
             region: backend.region_hash,
--- a/lib/src/group_admission.rs
+++ b/lib/src/group_admission.rs
@@ -9,10 +9,10 @@
 use crate::announcement::Announcement;
 use crate::announcement::REPEAT_MS;
 use crate::backend_registry::BackendEndpoint;
+use crate::backend_registry::BackendEndpoint;
 use crate::backend_registry::BackendRegistry;
 use crate::backend_registry::HeldSlot;
 use crate::backend_registry::LAPSE;
-use crate::backend_registry::BackendEndpoint;
 use crate::id::BackendName;
 use crate::id::PlaceName;
 use crate::id::Revision;
@@ -27,6 +27,8 @@
 use crate::ownership::Release;
 use crate::ownership::ReleasedBackend;
 use crate::ownership_state::Acquisition;
+use crate::ownership_state::Acquisition;
+use crate::ownership_state::OwnershipState;
 use crate::ownership_state::OwnershipState;
 use crate::rate_meter::RateMeter;
 use crate::retry_advice::RetryAdvice;
@@ -34,8 +36,6 @@
 use crate::settled_share::SettledShare;
 use crate::shift_budget::Shift;
 use crate::shift_budget::ShiftBudgets;
-use crate::ownership_state::Acquisition;
-use crate::ownership_state::OwnershipState;
 use crate::usage_window::RecentUse;
 use crate::usage_window::UsageWindow;
 use crate::wait_queue::WaitQueue;
@@ -171,7 +171,8 @@
 
     /// Notes that `revision` is settled.
     pub fn settle(&mut self, now: Instant, revision: Revision) {
-        self.ownership_state.settle(now, revision, self.longest_deadline);
+        self.ownership_state
+            .settle(now, revision, self.longest_deadline);
         self.rate_share.settle(now, revision);
     }
 
--- a/lib/src/service_latency.rs
+++ b/lib/src/service_latency.rs
@@ -248,7 +248,10 @@
         self.mean.unwrap_or_else(|| {
             #[expect(clippy::cast_precision_loss, reason = "64 at most")]
             let count = self.routes.len().max(1) as f64;
-            let expected = self.routes.values().map(|known| known.latency.expected(true));
+            let expected = self
+                .routes
+                .values()
+                .map(|known| known.latency.expected(true));
             expected.sum::<f64>() / count
         })
     }
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -432,7 +432,8 @@
         self.pool.give_back_for(self.connection, self.keep);
         self.followed.answered();
         let took = self.began.elapsed();
-        self.dispatch.note_streamed(self.backend, self.latency_key, took);
+        self.dispatch
+            .note_streamed(self.backend, self.latency_key, took);
     }
 
     fn broken(self: Box<Self>) {
