--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -81,7 +81,6 @@
 pub mod outcome;
 pub mod ownership;
 pub mod ownership_state;
-pub mod ownership_state;
 pub mod place_lookup;
 pub mod planned_stop;
 pub mod presence;
