--- a/lib/tests/test_cold_watch.rs
+++ b/lib/tests/test_cold_tracker.rs
@@ -192,7 +192,7 @@
 /// Cause: control's word was their only source on evacuations and on what is cold. 76
 /// requests reached a backend server within a second; it bears 16.
 #[test]
-fn test_cold_watch_finds_cold_backend_servers_without_control() {
+fn test_cold_tracker_finds_cold_backend_servers_without_control() {
     let mut region = Region::new(4);
     region.play(Duration::from_secs(5));
     assert_eq!(region.refused, 0, "a good word lets requests through");
@@ -204,7 +204,7 @@
 
 /// With control in reach nobody is asked, and nothing is held back.
 #[test]
-fn test_cold_watch_asks_nobody_while_control_is_in_reach() {
+fn test_cold_tracker_asks_nobody_while_control_is_in_reach() {
     let mut region = Region::new(4);
     for _ in 0..10 {
         region.play(Duration::from_millis(800));
@@ -219,7 +219,7 @@
 
 /// Nobody answers the questions: all that is left is what cold backend servers bear.
 #[test]
-fn test_cold_watch_is_careful_without_a_word() {
+fn test_cold_tracker_is_careful_without_a_word() {
     let mut region = Region::new(4);
     region.play(Duration::from_secs(2));
     region.cold_from = Some(region.now + Duration::from_millis(250));
@@ -240,7 +240,7 @@
 /// Cause: the next questions were due a quarter of a second after the oldest one, for ever in
 /// the past: the task that asks never paused.
 #[test]
-fn test_cold_watch_pauses_where_a_place_is_asked_no_more() {
+fn test_cold_tracker_pauses_where_a_place_is_asked_no_more() {
     let began = Instant::now();
     let mut watch = ColdTracker::new(began);
     let asked_at = began + CONTROL_LOST_AFTER;
