--- a/lib/src/backend_health.rs
+++ b/lib/src/backend_health.rs
@@ -7,14 +7,14 @@
 use std::time::Instant;
 
 /// Weight of the latest observation. Three bad ones in a row move a rate above 0.6.
-const WEIGHT: f64 = 0.3;
+const OBSERVATION_WEIGHT: f64 = 0.3;
 
 /// Time in which half of a bad impression fades: long enough that a slow backend server
 /// gets a probe every few seconds rather than a share of the traffic.
 const HALF_LIFE: Duration = Duration::from_millis(2_500);
 
 /// Bounds of a single observation of slowness, so that one outlier doesn't rule.
-const SLOWEST: f64 = 10.0;
+const MAX_EXCESS: f64 = 10.0;
 
 /// Pause after a failed connection. It doubles with each further failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(300);
@@ -24,23 +24,23 @@
 #[derive(Debug)]
 pub struct BackendHealth {
     /// Observed over expected service time, less 1; 0 is as expected.
-    excess: Fading,
+    excess: DecayingAverage,
     /// Share of requests that broke.
-    failures: Fading,
+    failures: DecayingAverage,
     /// Share of requests that were turned away.
-    sheds: Fading,
+    sheds: DecayingAverage,
     pause: Duration,
     paused_until: Option<Instant>,
 }
 
 /// Holds an average that fades towards 0.
 #[derive(Clone, Copy, Debug)]
-struct Fading {
+struct DecayingAverage {
     value: f64,
     at: Instant,
 }
 
-impl Fading {
+impl DecayingAverage {
     const fn new(now: Instant) -> Self {
         Self {
             value: 0.0,
@@ -54,7 +54,7 @@
     }
 
     fn observe(&mut self, now: Instant, value: f64) {
-        self.value = self.read(now) * (1.0 - WEIGHT) + value * WEIGHT;
+        self.value = self.read(now) * (1.0 - OBSERVATION_WEIGHT) + value * OBSERVATION_WEIGHT;
         self.at = now;
     }
 }
@@ -64,9 +64,9 @@
     #[must_use]
     pub const fn new(now: Instant) -> Self {
         Self {
-            excess: Fading::new(now),
-            failures: Fading::new(now),
-            sheds: Fading::new(now),
+            excess: DecayingAverage::new(now),
+            failures: DecayingAverage::new(now),
+            sheds: DecayingAverage::new(now),
             pause: FIRST_PAUSE,
             paused_until: None,
         }
@@ -75,7 +75,8 @@
     /// Notes an answer that took `took` where `expected` was expected.
     pub fn note_answer(&mut self, now: Instant, took: Duration, expected: Duration) {
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(0.001);
-        self.excess.observe(now, (ratio - 1.0).clamp(0.0, SLOWEST));
+        self.excess
+            .observe(now, (ratio - 1.0).clamp(0.0, MAX_EXCESS));
         self.failures.observe(now, 0.0);
         self.sheds.observe(now, 0.0);
         self.note_connected();
--- a/lib/src/backend_load.rs
+++ b/lib/src/backend_load.rs
@@ -62,7 +62,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Others {
+struct ReportedOthers {
     count: f64,
     at: Instant,
 }
@@ -71,7 +71,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct BackendLoad {
     in_flight: SlotMap<SendKey, InFlight>,
-    others: Option<Others>,
+    others: Option<ReportedOthers>,
     last_answer: Option<Instant>,
 }
 
@@ -88,19 +88,21 @@
     }
 
     /// Notes an answer and what came with it; call it after [`Self::end`].
-    pub fn note_answer(&mut self, now: Instant, report: Option<LoadReport>, usual: f64) {
+    pub fn note_answer(&mut self, now: Instant, report: Option<LoadReport>, average_others: f64) {
         self.last_answer = Some(now);
         let Some(report) = report else { return };
         let count = self.others_of(report);
-        let before = self.others.map_or(count, |_| self.others(now, usual));
-        self.others = Some(Others {
+        let before = self
+            .others
+            .map_or(count, |_| self.others(now, average_others));
+        self.others = Some(ReportedOthers {
             count: before + (count - before) * REPORT_WEIGHT,
             at: now,
         });
     }
 
     /// Returns how many requests of others a report tells of; call it after [`Self::end`].
-    pub fn told_of_others(&self, report: Option<LoadReport>) -> Option<f64> {
+    pub fn reported_others(&self, report: Option<LoadReport>) -> Option<f64> {
         report.map(|report| self.others_of(report))
     }
 
@@ -120,17 +122,17 @@
     }
 
     /// Estimates the requests that run or wait there. As a report ages, what it said of
-    /// others' requests gives way to `usual`, what they have at a backend server on average.
+    /// others' requests gives way to `average_others`, what they have at a backend server on average.
     #[must_use]
-    pub fn estimate(&self, now: Instant, usual: f64) -> f64 {
-        self.own() + self.others(now, usual)
+    pub fn estimate(&self, now: Instant, average_others: f64) -> f64 {
+        self.own() + self.others(now, average_others)
     }
 
-    fn others(&self, now: Instant, usual: f64) -> f64 {
-        self.others.map_or(usual, |others| {
+    fn others(&self, now: Instant, average_others: f64) -> f64 {
+        self.others.map_or(average_others, |others| {
             let age = now.saturating_duration_since(others.at);
             let fresh = 0.5_f64.powf(age.as_secs_f64() / REPORT_HALF_LIFE.as_secs_f64());
-            usual + (others.count - usual) * fresh
+            average_others + (others.count - average_others) * fresh
         })
     }
 
--- a/lib/src/backend_registry.rs
+++ b/lib/src/backend_registry.rs
@@ -26,11 +26,11 @@
 pub const LAPSE: Duration = Duration::from_millis(LAPSE_MS as u64);
 
 /// Age of an announcement from which only half of the slots are used.
-const DOUBTFUL: Duration = Duration::from_millis(2 * REPEAT_MS as u64);
+const STALE_AFTER: Duration = Duration::from_millis(2 * REPEAT_MS as u64);
 
 /// Time for which "leaving" outweighs a "ready" that may have been overtaken on another
 /// path.
-const LEAVING_STICKS: Duration = Duration::from_millis(2 * LAPSE_MS as u64);
+const LEAVING_HOLD: Duration = Duration::from_millis(2 * LAPSE_MS as u64);
 
 /// Pause after a backend server has refused; it doubles with each refusal in a row.
 const FIRST_SHED_PAUSE: Duration = Duration::from_millis(50);
@@ -64,7 +64,7 @@
     announcement: Announcement,
     slots: u32,
     state: BackendState,
-    heard: Instant,
+    received_at: Instant,
     leaving_since: Option<Instant>,
     ramp: Ramp,
     circuit: Circuit,
@@ -73,7 +73,7 @@
     /// Most requests in flight since the last announcement.
     peak: u32,
     /// Running requests that it reports and nobody here has sent.
-    foreign: u32,
+    unattributed: u32,
     drained: bool,
     last_used: Option<Instant>,
 }
@@ -122,11 +122,11 @@
             .servers
             .entry(announcement.backend.clone())
             .or_insert_with(|| BackendServer::new(now, announcement, ramp));
-        if now < server.heard {
+        if now < server.received_at {
             return false;
         }
         let was_ready = server.state == BackendState::Ready;
-        server.take(now, announcement, slots);
+        server.apply(now, announcement, slots);
         was_ready && server.state == BackendState::Leaving
     }
 
@@ -151,7 +151,7 @@
     pub fn ready_slots(&self, now: Instant) -> u32 {
         self.servers
             .values()
-            .filter(|server| server.takes_work(now))
+            .filter(|server| server.accepts_work(now))
             .map(|server| server.slots)
             .sum()
     }
@@ -167,7 +167,7 @@
     ///
     /// The one with the smallest share of its slots in use; among equals the one used
     /// last, whose connection is open and whose caches are warm.
-    pub fn place(
+    pub fn reserve_slot(
         &mut self,
         now: Instant,
         warm_up: Duration,
@@ -179,7 +179,7 @@
             .filter_map(|(name, server)| {
                 let taken = server.in_flight + self.held_at(now, name);
                 let usable = server.usable(now, warm_up);
-                (taken < usable && server.lets_through(now, idempotent, taken)).then_some((
+                (taken < usable && server.admits(now, idempotent, taken)).then_some((
                     name,
                     Occupancy { taken, usable },
                     server.last_used,
@@ -250,18 +250,18 @@
     /// Returns the servers forgotten.
     pub fn forget(&mut self, now: Instant) -> Vec<BackendEndpoint> {
         self.held.retain(|held| now < held.until);
-        let mut gone = Vec::new();
+        let mut forgotten = Vec::new();
         self.servers.retain(|name, server| {
-            let keep = server.in_flight > 0 || server.age(now) < LEAVING_STICKS;
+            let keep = server.in_flight > 0 || server.age(now) < LEAVING_HOLD;
             if !keep {
-                gone.push(BackendEndpoint {
+                forgotten.push(BackendEndpoint {
                     backend: name.clone(),
                     address: server.announcement.address,
                 });
             }
             keep
         });
-        gone
+        forgotten
     }
 
     /// Returns the last announcements, with their ages.
@@ -295,20 +295,20 @@
             announcement: announcement.clone(),
             slots: 0,
             state: announcement.state,
-            heard: now,
+            received_at: now,
             leaving_since: None,
             ramp,
             circuit: Circuit::default(),
             shed: ShedLimit::default(),
             in_flight: 0,
             peak: 0,
-            foreign: 0,
+            unattributed: 0,
             drained: false,
             last_used: None,
         }
     }
 
-    fn take(&mut self, now: Instant, announcement: &Announcement, slots: u32) {
+    fn apply(&mut self, now: Instant, announcement: &Announcement, slots: u32) {
         let restarted = announcement.address != self.announcement.address
             || announcement.state == BackendState::Starting;
         if restarted {
@@ -319,29 +319,29 @@
         if announcement.state == BackendState::Leaving {
             self.leaving_since = Some(now);
         }
-        let sticks = |since: Instant| now < since + LEAVING_STICKS;
-        self.state = if self.leaving_since.is_some_and(sticks) {
+        let holds = |since: Instant| now < since + LEAVING_HOLD;
+        self.state = if self.leaving_since.is_some_and(holds) {
             BackendState::Leaving
         } else {
             announcement.state
         };
         self.announcement.clone_from(announcement);
         self.slots = slots;
-        self.heard = now;
-        self.foreign = announcement.in_flight.saturating_sub(self.peak);
+        self.received_at = now;
+        self.unattributed = announcement.in_flight.saturating_sub(self.peak);
         self.peak = self.in_flight;
     }
 
     fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.heard)
+        now.saturating_duration_since(self.received_at)
     }
 
-    fn takes_work(&self, now: Instant) -> bool {
+    fn accepts_work(&self, now: Instant) -> bool {
         self.state == BackendState::Ready && !self.drained && self.age(now) < LAPSE
     }
 
     fn usable(&self, now: Instant, warm_up: Duration) -> u32 {
-        if !self.takes_work(now) {
+        if !self.accepts_work(now) {
             return 0;
         }
         match self.circuit.flow(now) {
@@ -350,23 +350,23 @@
             Flow::Nothing => return 0,
         }
         let ramped = self.ramp.slots(now, warm_up, self.slots);
-        self.doubted(now)
+        self.slots_by_report(now)
             .min(ramped)
             .min(self.shed.slots(now, self.slots))
     }
 
     /// Returns the slots that the server's own report leaves, at least half of them.
-    fn doubted(&self, now: Instant) -> u32 {
+    fn slots_by_report(&self, now: Instant) -> u32 {
         let half = self.slots.div_ceil(2);
         let load = self.announcement.load;
         let overloaded = load.is_finite() && load > 1.0;
-        if overloaded || self.age(now) >= DOUBTFUL {
+        if overloaded || self.age(now) >= STALE_AFTER {
             return half;
         }
-        self.slots.saturating_sub(self.foreign).max(half)
+        self.slots.saturating_sub(self.unattributed).max(half)
     }
 
-    fn lets_through(&self, now: Instant, idempotent: bool, taken: u32) -> bool {
+    fn admits(&self, now: Instant, idempotent: bool, taken: u32) -> bool {
         match self.circuit.flow(now) {
             Flow::All => true,
             Flow::OneIdempotent => idempotent && taken == 0,
--- a/lib/src/cold_gate.rs
+++ b/lib/src/cold_gate.rs
@@ -32,20 +32,25 @@
     if usable < 1.0 {
         // The rate allows a request every few seconds: one sender takes them all.
         let interval = Duration::try_from_secs_f64(1.0 / usable).ok()?;
-        return is_among(backend, own, senders, 1).then_some(interval);
+        return is_selected(backend, own, senders, 1).then_some(interval);
     }
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let allowed = usable as usize;
     let count = senders.len().max(1);
     if count > allowed {
-        return is_among(backend, own, senders, allowed).then_some(Duration::from_secs(1));
+        return is_selected(backend, own, senders, allowed).then_some(Duration::from_secs(1));
     }
     #[expect(clippy::cast_precision_loss)]
     let interval = count as f64 / usable;
     Duration::try_from_secs_f64(interval).ok()
 }
 
-fn is_among(backend: ObjectHash, own: MemberHash, senders: &[MemberHash], allowed: usize) -> bool {
+fn is_selected(
+    backend: ObjectHash,
+    own: MemberHash,
+    senders: &[MemberHash],
+    allowed: usize,
+) -> bool {
     let weight = backend.weight(own);
     let heavier = senders
         .iter()
--- a/lib/src/cold_queries.rs
+++ b/lib/src/cold_queries.rs
@@ -24,14 +24,14 @@
     /// What is known of its service: the path to ask, and the limit on connections.
     pub service: Arc<RouteService>,
     /// When it is asked.
-    pub asked_at: Instant,
+    pub sent_at: Instant,
 }
 
 /// Holds the answer.
 #[derive(Clone, Debug)]
 pub struct ColdReply {
     /// The question.
-    pub question: ColdQuery,
+    pub query: ColdQuery,
     /// How much longer it stays cold; zero if it isn't.
     pub cold_for: Duration,
 }
@@ -48,13 +48,13 @@
     /// cold. Asking all of them would cost more than the requests where control is lost to
     /// everybody.
     pub fn cold_queries(&mut self, now: Instant) -> (Vec<ColdQuery>, Instant) {
-        let mut questions = Vec::new();
-        for (place, members) in self.members_to_ask(now) {
-            if !self.cold_tracker.try_ask(now, &place) {
+        let mut queries = Vec::new();
+        for (place, members) in self.query_targets(now) {
+            if !self.cold_tracker.try_query(now, &place) {
                 continue;
             }
-            self.question_turn = self.question_turn.wrapping_add(1);
-            let turn = self.question_turn.checked_rem(members.len());
+            self.query_turn = self.query_turn.wrapping_add(1);
+            let turn = self.query_turn.checked_rem(members.len());
             let Some(key) = turn.map(|turn| members[turn]) else {
                 continue;
             };
@@ -62,20 +62,20 @@
             let Some(service) = self.services.get(&backend.record.service) else {
                 continue;
             };
-            questions.push(ColdQuery {
+            queries.push(ColdQuery {
                 backend: key,
                 name: backend.name.clone(),
                 address: backend.record.address,
-                service: Arc::clone(&service.known),
-                asked_at: now,
+                service: Arc::clone(&service.definition),
+                sent_at: now,
             });
         }
-        (questions, self.cold_tracker.next_due(now))
+        (queries, self.cold_tracker.next_due(now))
     }
 
-    fn members_to_ask(&self, now: Instant) -> BTreeMap<PlaceName, Vec<BackendKey>> {
+    fn query_targets(&self, now: Instant) -> BTreeMap<PlaceName, Vec<BackendKey>> {
         let mut places: BTreeMap<PlaceName, Vec<BackendKey>> = BTreeMap::new();
-        if !self.cold_tracker.is_alone(now) {
+        if !self.cold_tracker.is_control_lost(now) {
             return places;
         }
         for (key, backend) in &self.backends {
@@ -88,13 +88,13 @@
     }
 
     /// Notes what a backend server answered.
-    pub fn note_cold_reply(&mut self, now: Instant, word: &ColdReply) {
-        let Some(backend) = self.backends.get_mut(word.question.backend) else {
+    pub fn note_cold_reply(&mut self, now: Instant, reply: &ColdReply) {
+        let Some(backend) = self.backends.get_mut(reply.query.backend) else {
             return;
         };
-        backend.cold_until = backend.cold_until.max(now + word.cold_for);
-        let is_cold = !word.cold_for.is_zero();
+        backend.cold_until = backend.cold_until.max(now + reply.cold_for);
+        let is_cold = !reply.cold_for.is_zero();
         self.cold_tracker
-            .note_word(word.question.asked_at, &backend.record.place, is_cold);
+            .note_reply(reply.query.sent_at, &backend.record.place, is_cold);
     }
 }
--- a/lib/src/cold_tracker.rs
+++ b/lib/src/cold_tracker.rs
@@ -21,26 +21,26 @@
 /// Time without control's word after which a place needs a word of its own. A place is
 /// evacuated some seconds before its backend servers become cold, and the first questions
 /// have been answered by then.
-const DOUBT_AFTER: Duration = Duration::from_millis(2_200);
+const ASSUME_COLD_AFTER: Duration = Duration::from_millis(2_200);
 
 /// Time between two questions to a place. A backend server bears 16 requests in a second of
 /// which it is cold, and gets up to 30 a second while it is warm: it must be found out
 /// within half a second, the way of the question included.
-const ASK_EVERY: Duration = Duration::from_millis(250);
+const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time for which a word holds: two questions, and the longest way there and back.
-const WORD_HOLDS: Duration = Duration::from_millis(650);
+const REPLY_VALID_FOR: Duration = Duration::from_millis(650);
 
 /// Follows what is known of each place.
 #[derive(Debug)]
 pub struct ColdTracker {
-    control_at: Instant,
-    places: BTreeMap<PlaceName, PlaceWatch>,
+    last_contact: Instant,
+    places: BTreeMap<PlaceName, PlaceTracker>,
 }
 
 #[derive(Debug, Default)]
-struct PlaceWatch {
-    asked_at: Option<Instant>,
+struct PlaceTracker {
+    sent_at: Option<Instant>,
     /// When the question was asked to which the last good word was the answer.
     warm_at: Option<Instant>,
 }
@@ -50,27 +50,27 @@
     #[must_use]
     pub const fn new(now: Instant) -> Self {
         Self {
-            control_at: now,
+            last_contact: now,
             places: BTreeMap::new(),
         }
     }
 
     /// Notes that control is in reach: everything that it knows has been applied.
     pub fn note_control_contact(&mut self, now: Instant) {
-        self.control_at = now;
+        self.last_contact = now;
         self.places.clear();
     }
 
     /// Returns whether backend servers must be asked themselves.
     #[must_use]
-    pub fn is_alone(&self, now: Instant) -> bool {
-        now >= self.alone_from()
+    pub fn is_control_lost(&self, now: Instant) -> bool {
+        now >= self.control_lost_at()
     }
 
     /// Returns when backend servers must be asked themselves if control stays silent.
     #[must_use]
-    pub fn alone_from(&self) -> Instant {
-        self.control_at + CONTROL_LOST_AFTER
+    pub fn control_lost_at(&self) -> Instant {
+        self.last_contact + CONTROL_LOST_AFTER
     }
 
     /// Returns when the next questions are due; always later than `now`.
@@ -79,46 +79,46 @@
     /// doesn't count, or whoever waits for the next question would never wait.
     #[must_use]
     pub fn next_due(&self, now: Instant) -> Instant {
-        if !self.is_alone(now) {
-            return self.alone_from();
+        if !self.is_control_lost(now) {
+            return self.control_lost_at();
         }
-        let asked = self.places.values().filter_map(|watch| watch.asked_at);
-        let due = asked.map(|at| at + ASK_EVERY).filter(|due| *due > now);
-        due.min().unwrap_or(now + ASK_EVERY)
+        let asked = self.places.values().filter_map(|tracker| tracker.sent_at);
+        let due = asked.map(|at| at + QUERY_INTERVAL).filter(|due| *due > now);
+        due.min().unwrap_or(now + QUERY_INTERVAL)
     }
 
     /// Returns whether a question to a place is due, and notes that it is asked.
-    pub fn try_ask(&mut self, now: Instant, place: &PlaceName) -> bool {
-        if !self.is_alone(now) {
+    pub fn try_query(&mut self, now: Instant, place: &PlaceName) -> bool {
+        if !self.is_control_lost(now) {
             return false;
         }
-        let watch = self.places.entry(place.clone()).or_default();
-        let due = watch.asked_at.is_none_or(|at| now >= at + ASK_EVERY);
+        let tracker = self.places.entry(place.clone()).or_default();
+        let due = tracker.sent_at.is_none_or(|at| now >= at + QUERY_INTERVAL);
         if due {
-            watch.asked_at = Some(now);
+            tracker.sent_at = Some(now);
         }
         due
     }
 
-    /// Notes the answer to a question that was asked at `asked_at`.
-    pub fn note_word(&mut self, asked_at: Instant, place: &PlaceName, is_cold: bool) {
-        let Some(watch) = self.places.get_mut(place) else {
+    /// Notes the answer to a question that was asked at `sent_at`.
+    pub fn note_reply(&mut self, sent_at: Instant, place: &PlaceName, is_cold: bool) {
+        let Some(tracker) = self.places.get_mut(place) else {
             return;
         };
         if is_cold {
-            watch.warm_at = None;
+            tracker.warm_at = None;
         } else {
-            watch.warm_at = watch.warm_at.max(Some(asked_at));
+            tracker.warm_at = tracker.warm_at.max(Some(sent_at));
         }
     }
 
     /// Returns whether the backend servers of a place must be taken as cold.
     #[must_use]
-    pub fn is_doubtful(&self, now: Instant, place: &PlaceName) -> bool {
-        if now < self.control_at + DOUBT_AFTER {
+    pub fn must_assume_cold(&self, now: Instant, place: &PlaceName) -> bool {
+        if now < self.last_contact + ASSUME_COLD_AFTER {
             return false;
         }
-        let warm_at = self.places.get(place).and_then(|watch| watch.warm_at);
-        warm_at.is_none_or(|at| now >= at + WORD_HOLDS)
+        let warm_at = self.places.get(place).and_then(|tracker| tracker.warm_at);
+        warm_at.is_none_or(|at| now >= at + REPLY_VALID_FOR)
     }
 }
--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -50,11 +50,11 @@
 /// Least and longest time after which a caller that was refused is told to come back. What
 /// waits at busy backend servers takes some hundred milliseconds; whoever comes back before
 /// that is refused once more, and callers come back once.
-const COME_BACK: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(1));
+const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(1));
 
 /// Spread of that time, as a share of it, so that those refused together don't come back
 /// together.
-const COME_BACK_SPREAD: f64 = 0.5;
+const RETRY_SPREAD: f64 = 0.5;
 
 /// Holds what a dispatcher is set up with.
 #[derive(Clone, Debug)]
@@ -85,20 +85,20 @@
     /// Whether backend servers may be cold without control having said so.
     pub(crate) cold_tracker: ColdTracker,
     /// Whose turn it is to be asked, among the backend servers of a place.
-    pub(crate) question_turn: usize,
+    pub(crate) query_turn: usize,
     /// Shortest delay there and back that was seen, by region.
     pub(crate) delays: BTreeMap<RegionName, Duration>,
     /// What stands at this entry VM's own link.
     link: LinkQueue,
     /// Requests that were sent and haven't ended.
-    under_way: usize,
+    in_flight: usize,
     silent: BTreeSet<BackendName>,
     evacuated: BTreeSet<PlaceName>,
-    began: Instant,
+    started_at: Instant,
     moves: RegionMoves,
     rank_shares: RankShares,
     /// Where the next refusal's time lies in its spread, 0 to 1.
-    lot: f64,
+    spread_phase: f64,
 }
 
 impl Dispatcher {
@@ -114,16 +114,16 @@
             by_name: BTreeMap::new(),
             services: BTreeMap::new(),
             cold_tracker: ColdTracker::new(now),
-            question_turn: 0,
+            query_turn: 0,
             delays: BTreeMap::new(),
             link: LinkQueue::default(),
-            under_way: 0,
+            in_flight: 0,
             silent: BTreeSet::new(),
             evacuated: BTreeSet::new(),
-            began: now,
+            started_at: now,
             moves: RegionMoves::default(),
             rank_shares: RankShares::default(),
-            lot: 0.0,
+            spread_phase: 0.0,
         }
     }
 
@@ -150,9 +150,9 @@
             self.follow_backend(now, name, record);
         }
         for place in returned {
-            self.chill(now, &place);
+            self.mark_cold(now, &place);
         }
-        self.regroup();
+        self.rebuild_members();
     }
 
     fn follow_senders(&mut self, view: &FleetView) {
@@ -185,14 +185,14 @@
                 )
             };
             let service = self.services.entry(name.clone()).or_insert_with(new);
-            service.known = Arc::clone(known);
+            service.definition = Arc::clone(known);
         }
     }
 
     fn follow_backend(&mut self, now: Instant, name: &BackendName, record: &Arc<BackendRecord>) {
         let known = self.by_name.get(name).copied();
-        let is_born_again = known.is_some_and(|key| self.backends[key].record.born != record.born);
-        if is_born_again {
+        let is_restarted = known.is_some_and(|key| self.backends[key].record.born != record.born);
+        if is_restarted {
             // Nothing that was learned of the earlier life holds: neither its load nor its
             // health, nor what it has at hand. A request that ends late finds its key gone.
             self.remove(name);
@@ -209,7 +209,7 @@
         }
         let region = self.cfg.places.get(&record.place).cloned();
         let region = region.unwrap_or_else(|| RegionName::new(""));
-        let opens = self.began + Duration::from_secs(1);
+        let opens = self.started_at + Duration::from_secs(1);
         let mut backend = Backend::new(now, name.clone(), Arc::clone(record), region, opens);
         backend.silent = self.silent.contains(name);
         let key = self.backends.insert(backend);
@@ -218,7 +218,7 @@
 
     /// Treats the backend servers of a place as cold until their own word on it has come:
     /// they may have become cold while the place was evacuated.
-    fn chill(&mut self, now: Instant, place: &PlaceName) {
+    fn mark_cold(&mut self, now: Instant, place: &PlaceName) {
         /// Time in which each has said at least once whether it is cold: a heartbeat every
         /// 1.5 s, and the way of its word here.
         const COLD_AFTER_EVACUATION: Duration = Duration::from_secs(2);
@@ -235,7 +235,7 @@
         }
     }
 
-    fn regroup(&mut self) {
+    fn rebuild_members(&mut self) {
         for service in self.services.values_mut() {
             service.backends.clear();
         }
@@ -290,79 +290,91 @@
     /// # Errors
     ///
     /// Tells why none was picked.
-    pub fn choose(&mut self, now: Instant, ask: &DispatchRequest<'_>) -> Result<Choice, Refused> {
+    pub fn choose(
+        &mut self,
+        now: Instant,
+        request: &DispatchRequest<'_>,
+    ) -> Result<Choice, Refused> {
         let refuse = |reason| Refused {
             reason,
-            retry_after: COME_BACK.0,
+            retry_after: RETRY_AFTER.0,
             considered: 0,
             shortest_wait: None,
         };
-        let Some(service) = self.services.get_mut(ask.service) else {
+        let Some(service) = self.services.get_mut(request.service) else {
             return Err(refuse(RefusedReason::NoBackend));
         };
         let policy = self.cfg.policy;
         let shared = RouteName::new("");
         let route = if policy.routes_apart {
-            ask.route
+            request.route
         } else {
             &shared
         };
-        let latency_key = service.latency.route(route, ask.latency_objective);
+        let latency_key = service.latency.route(route, request.latency_objective);
         let may_move = self.moves.may_move(now);
-        let service = &self.services[ask.service];
-        let left = ask.answer_by().saturating_duration_since(now).as_secs_f64();
+        let service = &self.services[request.service];
+        let time_left = request
+            .answer_by()
+            .saturating_duration_since(now)
+            .as_secs_f64();
         let wait_share = if policy.shares_by_priority {
-            self.rank_shares.wait_share(now, ask.rank)
+            self.rank_shares.wait_share(now, request.rank)
         } else {
             1.0
         };
-        if !self.link.has_room(now, self.under_way, wait_share) {
-            return Err(self.elsewhere(RefusedReason::LinkFull));
+        if !self.link.has_room(now, self.in_flight, wait_share) {
+            return Err(self.refuse_retry_elsewhere(RefusedReason::LinkFull));
         }
-        let candidates = self.candidates(now, service, latency_key, ask);
-        let settled = dispatch_pick::settled_region(&candidates);
+        let candidates = self.candidates(now, service, latency_key, request);
+        let preferred = dispatch_pick::preferred_region(&candidates);
         let limits = PickLimits {
-            left,
-            objective: ask.objective.saturating_duration_since(now).as_secs_f64(),
+            time_left,
+            objective: request
+                .objective
+                .saturating_duration_since(now)
+                .as_secs_f64(),
             wait_share,
             mean: service.latency.mean(),
-            may_copy: service.may_copy(ask.object, policy.bounded_copies),
-            stay_in: settled.filter(|_| !may_move),
+            may_copy: service.may_copy(request.object, policy.bounded_copies),
+            pinned_region: preferred.filter(|_| !may_move),
             policy,
         };
-        let max_connections = service.known.max_connections;
+        let max_connections = service.definition.max_connections;
         let best = dispatch_pick::pick(&candidates, &limits);
-        let until_end = service.latency.until_end(latency_key);
-        let best = best.filter(|best| ask.answers_until.is_none() || best.wait + until_end <= left);
+        let time_to_last_byte = service.latency.time_to_last_byte(latency_key);
+        let best = best.filter(|best| {
+            request.answers_until.is_none() || best.wait + time_to_last_byte <= time_left
+        });
         if !candidates.is_empty() {
-            self.rank_shares.note(now, ask.rank, best.is_some());
+            self.rank_shares.note(now, request.rank, best.is_some());
         }
         let Some(best) = best else {
             return Err(if candidates.is_empty() {
                 refuse(RefusedReason::NoBackend)
-            } else if would_do_without_stop(now, ask, &candidates, limits) {
-                self.elsewhere(RefusedReason::Leaving)
+            } else if fits_without_stop(now, request, &candidates, limits) {
+                self.refuse_retry_elsewhere(RefusedReason::Leaving)
             } else {
-                self.no_room(&candidates)
+                self.refuse_no_room(&candidates)
             });
         };
-        if let Some(service) = self.services.get_mut(ask.service) {
-            if !ask.resend {
+        if let Some(service) = self.services.get_mut(request.service) {
+            if !request.resend {
                 service.budget.note_request();
             } else if !policy.resends || !service.budget.try_take() {
                 return Err(refuse(RefusedReason::NoResend));
             }
-            if let Some(object) = ask.object {
+            if let Some(object) = request.object {
                 service.note_object(now, object, best.warm);
             }
         }
-        let moved = settled.is_some_and(|region| region != best.region);
+        let moved = preferred.is_some_and(|region| region != best.region);
         self.moves.note(now, moved);
         Ok(self.begin(now, &best, latency_key, max_connections))
     }
 
     /// Refuses what another entry VM can serve at once.
-    fn elsewhere(&mut self, reason: RefusedReason) -> Refused {
+    fn refuse_retry_elsewhere(&mut self, reason: RefusedReason) -> Refused {
         Refused {
             reason,
             retry_after: self.spread(RETRY_ELSEWHERE_AFTER),
@@ -371,14 +383,17 @@
         }
     }
 
-    fn no_room(&mut self, candidates: &[Candidate]) -> Refused {
+    fn refuse_no_room(&mut self, candidates: &[Candidate]) -> Refused {
         let wait = shortest_wait(candidates.iter());
         let with_data: Vec<&Candidate> = candidates.iter().filter(|c| c.warm).collect();
         Refused {
             reason: RefusedReason::NoRoom,
             considered: with_data.len(),
             shortest_wait: shortest_wait(with_data.into_iter()),
-            retry_after: self.spread(wait.unwrap_or(COME_BACK.0).clamp(COME_BACK.0, COME_BACK.1)),
+            retry_after: self.spread(
+                wait.unwrap_or(RETRY_AFTER.0)
+                    .clamp(RETRY_AFTER.0, RETRY_AFTER.1),
+            ),
         }
     }
 
@@ -388,8 +403,8 @@
         if !self.cfg.policy.spread_returns {
             return time;
         }
-        self.lot = (self.lot + GOLDEN).fract();
-        time.mul_f64(1.0 + COME_BACK_SPREAD * (self.lot - 0.5))
+        self.spread_phase = (self.spread_phase + GOLDEN).fract();
+        time.mul_f64(1.0 + RETRY_SPREAD * (self.spread_phase - 0.5))
     }
 
     fn begin(
@@ -409,7 +424,7 @@
             slow_above: seconds(best.slow_above),
         };
         let send = backend.load.begin(now, expectation);
-        self.under_way += 1;
+        self.in_flight += 1;
         Choice {
             backend: best.backend,
             latency_key,
@@ -427,7 +442,10 @@
 
     /// Returns whether a backend server bears a few requests only, or may do so.
     pub(crate) fn is_cold(&self, now: Instant, backend: &Backend) -> bool {
-        backend.is_cold(now) || self.cold_tracker.is_doubtful(now, &backend.record.place)
+        backend.is_cold(now)
+            || self
+                .cold_tracker
+                .must_assume_cold(now, &backend.record.place)
     }
 
     pub(crate) fn cold_interval(&self, backend: &Backend, rate: f64) -> Option<Duration> {
@@ -438,20 +456,20 @@
     /// Notes how a request ended.
     pub fn ended(&mut self, now: Instant, end: &SendEnd) {
         // Each choice ends once, also where its backend server is gone by then.
-        self.under_way = self.under_way.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         let Some(backend) = self.backends.get_mut(end.backend) else {
             return;
         };
         let Some(send) = backend.load.end(end.send) else {
             return;
         };
-        let mut usual = 0.0;
+        let mut average_others = 0.0;
         if let Some(service) = self.services.get_mut(&backend.record.service) {
-            let others = backend.load.told_of_others(end.load);
+            let others = backend.load.reported_others(end.load);
             if let Some(others) = others.filter(|_| self.cfg.policy.usual_loads) {
                 service.note_others(others);
             }
-            usual = service.usual_others;
+            average_others = service.average_others;
             if let Some(object) = end.object
                 && !send.expected.warm
             {
@@ -464,7 +482,7 @@
             .saturating_sub(delay.unwrap_or_default());
         match end.outcome {
             SendOutcome::Answered => {
-                backend.load.note_answer(now, end.load, usual);
+                backend.load.note_answer(now, end.load, average_others);
                 backend.note_warm(now, end.object);
                 if send.expected.queued {
                     return;
@@ -477,11 +495,11 @@
                 }
             }
             SendOutcome::Faulty => {
-                backend.load.note_answer(now, end.load, usual);
+                backend.load.note_answer(now, end.load, average_others);
                 backend.health.note_failure(now);
             }
             SendOutcome::Shed => {
-                backend.load.note_answer(now, end.load, usual);
+                backend.load.note_answer(now, end.load, average_others);
                 backend.health.note_shed(now);
             }
             SendOutcome::Misdirected => backend.usable = false,
@@ -496,15 +514,21 @@
 }
 
 /// Returns whether a backend server would be picked if this entry VM went on.
-fn would_do_without_stop(
+fn fits_without_stop(
     now: Instant,
-    ask: &DispatchRequest<'_>,
+    request: &DispatchRequest<'_>,
     candidates: &[Candidate],
     limits: PickLimits,
 ) -> bool {
-    let left = ask.deadline.saturating_duration_since(now).as_secs_f64();
-    let without_stop = PickLimits { left, ..limits };
-    left > limits.left && dispatch_pick::pick(candidates, &without_stop).is_some()
+    let time_left = request
+        .deadline
+        .saturating_duration_since(now)
+        .as_secs_f64();
+    let without_stop = PickLimits {
+        time_left,
+        ..limits
+    };
+    time_left > limits.time_left && dispatch_pick::pick(candidates, &without_stop).is_some()
 }
 
 fn shortest_wait<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> Option<Duration> {
--- a/lib/src/dispatch_assess.rs
+++ b/lib/src/dispatch_assess.rs
@@ -14,7 +14,7 @@
 use crate::dispatch_request::DispatchRequest;
 use crate::dispatch_service::Service;
 use crate::id::RegionName;
-use crate::object_copies::MOST_COPIES;
+use crate::object_copies::MAX_COPIES;
 use crate::object_rank;
 use crate::object_rank::Member;
 use crate::service_latency::RouteLatencyKey;
@@ -24,7 +24,7 @@
 const UNKNOWN_DELAY: Duration = Duration::from_millis(80);
 
 /// Rank of the backend servers that an object isn't kept to.
-const SPARE_RANK: usize = 3 * MOST_COPIES;
+const FALLBACK_RANK: usize = 3 * MAX_COPIES;
 
 /// Factor over the usual time above which a backend server counts as slow. Times of single
 /// requests differ by 15% or so.
@@ -46,25 +46,25 @@
         now: Instant,
         service: &Service,
         latency_key: RouteLatencyKey,
-        ask: &DispatchRequest<'_>,
+        request: &DispatchRequest<'_>,
     ) -> Vec<Candidate> {
         let stable: Vec<BackendKey> = service
             .backends
             .iter()
-            .filter(|key| self.is_stable(now, **key, ask))
+            .filter(|key| self.is_stable(now, **key, request))
             .copied()
             .collect();
-        let Some(object) = ask.object.filter(|_| self.cfg.policy.homes) else {
+        let Some(object) = request.object.filter(|_| self.cfg.policy.homes) else {
             let all = stable.iter().map(|key| (*key, 0));
-            return self.assess(now, all, service, latency_key, ask);
+            return self.assess(now, all, service, latency_key, request);
         };
         let ranked = self.ranked(&stable, object, service.objects.count());
-        let found = self.assess(now, ranked.into_iter(), service, latency_key, ask);
+        let found = self.assess(now, ranked.into_iter(), service, latency_key, request);
         if !found.is_empty() {
             return found;
         }
-        let all = stable.iter().map(|key| (*key, SPARE_RANK));
-        let found = self.assess(now, all, service, latency_key, ask);
+        let all = stable.iter().map(|key| (*key, FALLBACK_RANK));
+        let found = self.assess(now, all, service, latency_key, request);
         if !found.is_empty() {
             return found;
         }
@@ -74,10 +74,10 @@
         });
         self.assess(
             now,
-            cold.map(|key| (*key, SPARE_RANK)),
+            cold.map(|key| (*key, FALLBACK_RANK)),
             service,
             latency_key,
-            ask,
+            request,
         )
     }
 
@@ -87,27 +87,29 @@
         ranked: impl Iterator<Item = (BackendKey, usize)>,
         service: &Service,
         latency_key: RouteLatencyKey,
-        ask: &DispatchRequest<'_>,
+        request: &DispatchRequest<'_>,
     ) -> Vec<Candidate> {
         ranked
-            .filter(|(key, _)| self.is_allowed(now, *key, ask))
-            .filter_map(|(key, rank)| self.candidate(now, key, rank, service, latency_key, ask))
+            .filter(|(key, _)| self.is_allowed(now, *key, request))
+            .filter_map(|(key, rank)| self.candidate(now, key, rank, service, latency_key, request))
             .collect()
     }
 
     /// Returns whether a backend server counts for the ranking: what changes from one
     /// request to the next doesn't, or objects would move to and fro.
-    fn is_stable(&self, now: Instant, key: BackendKey, ask: &DispatchRequest<'_>) -> bool {
+    fn is_stable(&self, now: Instant, key: BackendKey, request: &DispatchRequest<'_>) -> bool {
         let backend = &self.backends[key];
         backend.usable
             && !backend.silent
-            && ask.allows(&backend.region)
+            && request.allows(&backend.region)
             && !self.is_cold(now, backend)
     }
 
-    fn is_allowed(&self, now: Instant, key: BackendKey, ask: &DispatchRequest<'_>) -> bool {
+    fn is_allowed(&self, now: Instant, key: BackendKey, request: &DispatchRequest<'_>) -> bool {
         let backend = &self.backends[key];
-        ask.allows(&backend.region) && backend.health.is_reachable(now) && !ask.tried.contains(&key)
+        request.allows(&backend.region)
+            && backend.health.is_reachable(now)
+            && !request.tried.contains(&key)
     }
 
     /// Ranks the backend servers that an object is kept to.
@@ -135,20 +137,20 @@
         rank: usize,
         service: &Service,
         latency_key: RouteLatencyKey,
-        ask: &DispatchRequest<'_>,
+        request: &DispatchRequest<'_>,
     ) -> Option<Candidate> {
         let backend = &self.backends[key];
         let is_cold = self.is_cold(now, backend);
         if is_cold {
-            let interval = self.cold_interval(backend, service.known.cold_rate)?;
+            let interval = self.cold_interval(backend, service.definition.cold_rate)?;
             if !backend.cold_gate.is_open(now, interval) {
                 return None;
             }
         }
         let slots = f64::from(backend.record.slots.max(1));
-        let there = backend.load.estimate(now, service.usual_others) + 1.0;
-        let ahead = (there - slots).max(0.0);
-        let known_warm = ask.object.is_some_and(|o| backend.has_warm(now, o));
+        let load = backend.load.estimate(now, service.average_others) + 1.0;
+        let queued = (load - slots).max(0.0);
+        let known_warm = request.object.is_some_and(|o| backend.has_warm(now, o));
         let warm = rank == 0 || known_warm;
         let factor = if is_cold { COLD_FACTOR } else { 1.0 };
         let policy = &self.cfg.policy;
@@ -158,12 +160,12 @@
             1.0
         };
         let service_time = service.latency.expected(latency_key, warm) * factor * slowness;
-        let objective = ask.latency_objective.as_secs_f64();
-        let wait = ahead * service.latency.mean() * factor * slowness / slots;
-        let (fault, risk) = if policy.fault_marks {
+        let objective = request.latency_objective.as_secs_f64();
+        let wait = queued * service.latency.mean() * factor * slowness / slots;
+        let (fault_penalty, risk_penalty) = if policy.fault_marks {
             let cold = service.latency.expected(latency_key, false);
-            let fault = backend.fault(now, wait, cold, objective);
-            (fault, backend.risk(now, objective))
+            let fault_penalty = backend.fault_penalty(now, wait, cold, objective);
+            (fault_penalty, backend.risk_penalty(now, objective))
         } else {
             (0.0, 0.0)
         };
@@ -171,12 +173,12 @@
             backend: key,
             base: self.delay(&backend.region) + service_time,
             wait,
-            fault,
-            risk: risk + tie_break(rank),
-            load: there / slots,
+            fault_penalty,
+            risk_penalty: risk_penalty + tie_break(rank),
+            load: load / slots,
             slow_above: service.latency.expected(latency_key, known_warm) * factor * SLOW_MARGIN,
             warm,
-            near: backend.region == self.cfg.region,
+            is_local: backend.region == self.cfg.region,
             region: backend.region_hash,
         })
     }
@@ -197,6 +199,6 @@
 /// below what a wait or a way to another region costs.
 fn tie_break(rank: usize) -> f64 {
     const STEP: f64 = 0.005;
-    let rank = u32::try_from(rank.min(SPARE_RANK)).unwrap_or(u32::MAX);
+    let rank = u32::try_from(rank.min(FALLBACK_RANK)).unwrap_or(u32::MAX);
     STEP * f64::from(rank)
 }
--- a/lib/src/dispatch_backend.rs
+++ b/lib/src/dispatch_backend.rs
@@ -35,7 +35,7 @@
 
 /// What a rate of failures below that costs, in objectives: enough to prefer another backend
 /// server that has the data, and too little to prefer one that hasn't.
-const SINGLE_COST: f64 = 0.3;
+const SINGLE_FAILURE_COST: f64 = 0.3;
 
 /// Times that a request may take as long as without its data, beyond its wait, before a
 /// backend server that has answered nothing meanwhile counts as hanging. Requests that wait
@@ -97,18 +97,18 @@
     /// Returns what is to be expected beyond the time of the work, in seconds, since it fails
     /// or hangs. A request waits for `wait`, takes `cold` without its data at hand, and should
     /// be answered within `objective`.
-    pub fn fault(&self, now: Instant, wait: f64, cold: f64, objective: f64) -> f64 {
-        let patience = wait + cold * HANG_FACTOR;
-        let hanging = (self.load.silence(now).as_secs_f64() - patience).max(0.0);
-        let failing = beyond(self.health.failure_rate(now)) * FAILURE_COST;
-        let shedding = beyond(self.health.shed_rate(now)) * SHED_COST;
+    pub fn fault_penalty(&self, now: Instant, wait: f64, cold: f64, objective: f64) -> f64 {
+        let hang_threshold = wait + cold * HANG_FACTOR;
+        let hanging = (self.load.silence(now).as_secs_f64() - hang_threshold).max(0.0);
+        let failing = excess_over_faulty(self.health.failure_rate(now)) * FAILURE_COST;
+        let shedding = excess_over_faulty(self.health.shed_rate(now)) * SHED_COST;
         (failing + shedding) * objective + hanging * HANG_COST
     }
 
     /// Returns what single failures lately may mean, in seconds.
-    pub fn risk(&self, now: Instant, objective: f64) -> f64 {
+    pub fn risk_penalty(&self, now: Instant, objective: f64) -> f64 {
         let rate = self.health.failure_rate(now) + self.health.shed_rate(now);
-        rate * SINGLE_COST * objective
+        rate * SINGLE_FAILURE_COST * objective
     }
 
     /// Returns whether an object was handled there lately.
@@ -132,6 +132,6 @@
 }
 
 /// Returns by how much a rate of failures exceeds that of a sound backend server, 0 to 1.
-fn beyond(rate: f64) -> f64 {
+fn excess_over_faulty(rate: f64) -> f64 {
     ((rate - FAULTY_RATE) / (1.0 - FAULTY_RATE)).max(0.0)
 }
--- a/lib/src/dispatch_pick.rs
+++ b/lib/src/dispatch_pick.rs
@@ -16,7 +16,7 @@
 
 /// Wait, as a share of the mean time of a request, at which a backend server counts as busy
 /// and a further copy of an object is made elsewhere.
-const BUSY_WAIT: f64 = 0.25;
+const BUSY_WAIT_SHARE: f64 = 0.25;
 
 /// Wait, in mean times of a request, that is borne although the answer will be late: a burst
 /// is worked off soon, and an object whose data are at hand nowhere must be got at some time.
@@ -35,15 +35,15 @@
     /// Time that it has to wait.
     pub wait: f64,
     /// What is to be expected there beyond that since it fails or hangs.
-    pub fault: f64,
+    pub fault_penalty: f64,
     /// What a single failure lately may mean, and its rank among equals.
-    pub risk: f64,
+    pub risk_penalty: f64,
     /// Requests there, this one included, by slots.
     pub load: f64,
     /// Whether its data are expected to be at hand.
     pub warm: bool,
     /// Whether it stands in the entry VM's own region.
-    pub near: bool,
+    pub is_local: bool,
     /// The region that it stands in.
     pub region: MemberHash,
     /// Time above which the backend server counts as slow.
@@ -58,12 +58,12 @@
     }
 
     fn cost(&self) -> f64 {
-        self.time() + self.fault + self.risk
+        self.time() + self.fault_penalty + self.risk_penalty
     }
 
     /// Returns what it costs to go there at all, however busy it is.
     fn base_cost(&self) -> f64 {
-        self.base + self.fault
+        self.base + self.fault_penalty
     }
 }
 
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PickLimits {
     /// Time that is left for the answer, in seconds.
-    pub left: f64,
+    pub time_left: f64,
     /// Time that is left until the answer should be there, in seconds.
     pub objective: f64,
     /// Share of the time there is that the request may wait, by its priority.
@@ -82,7 +82,7 @@
     pub may_copy: bool,
     /// The region that the request may not leave for a shorter wait elsewhere; nothing if it
     /// may.
-    pub stay_in: Option<MemberHash>,
+    pub pinned_region: Option<MemberHash>,
     /// The mechanisms in use.
     pub policy: DispatchPolicy,
 }
@@ -95,7 +95,7 @@
     /// many are given, and in time, and whoever is refused learns so at once.
     fn longest_wait(&self, candidate: &Candidate) -> f64 {
         if !self.policy.waits_by_objective {
-            return self.left * self.wait_share;
+            return self.time_left * self.wait_share;
         }
         let in_time = self.objective - candidate.base;
         in_time.max(self.mean * LATE_WAIT) * self.wait_share
@@ -107,8 +107,8 @@
 pub fn pick(candidates: &[Candidate], limits: &PickLimits) -> Option<Candidate> {
     let (warm, cold): (Vec<Candidate>, Vec<Candidate>) =
         candidates.iter().partition(|candidate| candidate.warm);
-    let warm_usable = least(&warm, Candidate::base_cost);
-    let cold_usable = least(&cold, Candidate::base_cost);
+    let warm_usable = cheapest(&warm, Candidate::base_cost);
+    let cold_usable = cheapest(&cold, Candidate::base_cost);
     let prefers_cold = match (warm_usable, cold_usable) {
         (Some(warm), Some(cold)) => cold.base_cost() < warm.base_cost(),
         (None, _) => true,
@@ -116,7 +116,7 @@
     };
     if prefers_cold {
         // Whoever has the data fails, hangs or is slow; waits don't count here.
-        return least(&with_room(candidates, limits), Candidate::cost);
+        return cheapest(&with_room(candidates, limits), Candidate::cost);
     }
     let copy = limits
         .may_copy
@@ -126,19 +126,19 @@
         return copy;
     }
     let fitting = with_room(&warm, limits);
-    let stays = |candidate: &&Candidate| {
-        let stay_in = limits.stay_in;
-        stay_in.is_none_or(|region| candidate.region == region)
+    let is_pinned = |candidate: &&Candidate| {
+        let pinned_region = limits.pinned_region;
+        pinned_region.is_none_or(|region| candidate.region == region)
     };
-    let staying: Vec<Candidate> = fitting.iter().filter(stays).copied().collect();
+    let pinned: Vec<Candidate> = fitting.iter().filter(is_pinned).copied().collect();
     // To move is better than to be refused.
-    least(&staying, Candidate::cost).or_else(|| least(&fitting, Candidate::cost))
+    cheapest(&pinned, Candidate::cost).or_else(|| cheapest(&fitting, Candidate::cost))
 }
 
 /// Returns the region that a request would go to if it had to wait nowhere.
 #[must_use]
-pub fn settled_region(candidates: &[Candidate]) -> Option<MemberHash> {
-    let cost = |candidate: &Candidate| candidate.base_cost() + candidate.risk;
+pub fn preferred_region(candidates: &[Candidate]) -> Option<MemberHash> {
+    let cost = |candidate: &Candidate| candidate.base_cost() + candidate.risk_penalty;
     let warm = candidates.iter().filter(|candidate| candidate.warm);
     let best = warm.min_by(|left, right| cost(left).total_cmp(&cost(right)));
     best.map(|candidate| candidate.region)
@@ -150,8 +150,8 @@
 fn copy(warm: &[Candidate], cold: &[Candidate], limits: &PickLimits) -> Option<Candidate> {
     let busy = warm
         .iter()
-        .all(|candidate| candidate.wait >= limits.mean * BUSY_WAIT);
-    let most = if busy { 1.0 } else { IDLE_LOAD };
+        .all(|candidate| candidate.wait >= limits.mean * BUSY_WAIT_SHARE);
+    let max_load = if busy { 1.0 } else { IDLE_LOAD };
     let is_wanted = if busy {
         limits.policy.copies_when_busy
     } else {
@@ -160,29 +160,29 @@
     if !is_wanted {
         return None;
     }
-    let near_only = !busy;
-    if near_only && warm.iter().any(|candidate| candidate.near) {
+    let local_only = !busy;
+    if local_only && warm.iter().any(|candidate| candidate.is_local) {
         return None;
     }
     let idle: Vec<Candidate> = cold
         .iter()
-        .filter(|candidate| candidate.load <= most && candidate.time() <= limits.left)
-        .filter(|candidate| candidate.near || !near_only)
+        .filter(|candidate| candidate.load <= max_load && candidate.time() <= limits.time_left)
+        .filter(|candidate| candidate.is_local || !local_only)
         .copied()
         .collect();
-    least(&idle, Candidate::cost)
+    cheapest(&idle, Candidate::cost)
 }
 
 fn with_room(candidates: &[Candidate], limits: &PickLimits) -> Vec<Candidate> {
     let fits = |candidate: &&Candidate| {
         candidate.load <= 1.0 + QUEUE_LIMIT
-            && candidate.time() <= limits.left
+            && candidate.time() <= limits.time_left
             && candidate.wait <= limits.longest_wait(candidate)
     };
     candidates.iter().filter(fits).copied().collect()
 }
 
-fn least(candidates: &[Candidate], cost: impl Fn(&Candidate) -> f64) -> Option<Candidate> {
+fn cheapest(candidates: &[Candidate], cost: impl Fn(&Candidate) -> f64) -> Option<Candidate> {
     candidates
         .iter()
         .min_by(|left, right| cost(left).total_cmp(&cost(right)))
--- a/lib/src/dispatch_service.rs
+++ b/lib/src/dispatch_service.rs
@@ -22,62 +22,62 @@
 
 /// Reports over which others' requests are averaged: a second or so at the rates of one entry
 /// VM, long enough not to follow single reports.
-const USUAL_OVER: f64 = 16.0;
+const OTHERS_WINDOW: f64 = 16.0;
 
 /// Holds what a dispatcher knows of one service.
 #[derive(Debug)]
 pub(crate) struct Service {
     pub backends: Vec<BackendKey>,
-    pub known: Arc<RouteService>,
+    pub definition: Arc<RouteService>,
     pub latency: ServiceLatency,
     pub budget: ResendBudget,
     pub objects: ObjectCount,
     /// Objects that a further copy is being made of.
     pub warming: BTreeSet<ObjectHash>,
     /// Copies that may be made now.
-    pub spare_copies: f64,
-    /// Requests that others had at a backend server, on average over the last [`USUAL_OVER`]
+    pub copy_credit: f64,
+    /// Requests that others had at a backend server, on average over the last [`OTHERS_WINDOW`]
     /// reports; none before the first.
-    pub usual_others: f64,
+    pub average_others: f64,
 }
 
 impl Service {
     /// Starts without backend servers, with a share of the budget of resends.
     pub fn new(
-        known: Arc<RouteService>,
+        definition: Arc<RouteService>,
         resend_ratio: f64,
         resend_slack: f64,
         senders: usize,
     ) -> Self {
         Self {
             backends: Vec::new(),
-            known,
+            definition,
             latency: ServiceLatency::default(),
             budget: ResendBudget::new(resend_ratio, resend_slack, senders),
             objects: ObjectCount::default(),
             warming: BTreeSet::new(),
-            spare_copies: 0.0,
-            usual_others: 0.0,
+            copy_credit: 0.0,
+            average_others: 0.0,
         }
     }
 
     /// Notes how many requests of others a report told of, at any of the backend servers.
     pub fn note_others(&mut self, others: f64) {
-        self.usual_others += (others - self.usual_others) / USUAL_OVER;
+        self.average_others += (others - self.average_others) / OTHERS_WINDOW;
     }
 
     /// Returns whether a further copy of an object may be made.
     pub fn may_copy(&self, object: Option<ObjectHash>, bounded: bool) -> bool {
-        let is_spare = !bounded || self.spare_copies >= 1.0;
-        object.is_some_and(|object| is_spare && !self.warming.contains(&object))
+        let has_credit = !bounded || self.copy_credit >= 1.0;
+        object.is_some_and(|object| has_credit && !self.warming.contains(&object))
     }
 
     /// Notes where a request for an object goes.
     pub fn note_object(&mut self, now: Instant, object: ObjectHash, warm: bool) {
         self.objects.note(now, object);
-        self.spare_copies = (self.spare_copies + COPY_SHARE).min(1.0);
+        self.copy_credit = (self.copy_credit + COPY_SHARE).min(1.0);
         if !warm {
-            self.spare_copies = 0.0;
+            self.copy_credit = 0.0;
             self.warming.insert(object);
         }
     }
--- a/lib/src/group_admission.rs
+++ b/lib/src/group_admission.rs
@@ -457,7 +457,7 @@
                     .shifts
                     .may_use_reserved(cx.now, shift(cx.manifest, offer));
             if admitted {
-                placed = registry.place(cx.now, warm_up, offer.idempotent);
+                placed = registry.reserve_slot(cx.now, warm_up, offer.idempotent);
             }
             placed.is_some()
         })?;
@@ -475,7 +475,10 @@
         let newly_owner = self.counts_new_as_warm(cx.now);
         self.origins
             .admits(cx.now, &offer.origin, warm_up, slots, newly_owner)
-            .then(|| self.registry.place(cx.now, warm_up, offer.idempotent))?
+            .then(|| {
+                self.registry
+                    .reserve_slot(cx.now, warm_up, offer.idempotent)
+            })?
     }
 
     fn charge(&mut self, cx: &mut GroupContext<'_>, offer: &Offer) {
--- a/lib/src/object_copies.rs
+++ b/lib/src/object_copies.rs
@@ -6,20 +6,20 @@
 
 /// Objects that one backend server is given to keep. The users' keep 35 to 50; some room
 /// is left for objects that come over when another one fails.
-const KEPT_OBJECTS: u32 = 28;
+const OBJECTS_PER_SERVER: u32 = 28;
 
 /// Backend servers in one region that an object is kept to at most.
-pub const MOST_COPIES: usize = 4;
+pub const MAX_COPIES: usize = 4;
 
 /// Returns to how many of a region's backend servers an object is kept.
 #[must_use]
 pub fn copies(object: ObjectHash, region: &RegionName, members: usize, objects: usize) -> usize {
     let members = u32::try_from(members).unwrap_or(u32::MAX);
     let objects = u32::try_from(objects.max(1)).unwrap_or(u32::MAX);
-    let room = f64::from(members.saturating_mul(KEPT_OBJECTS)) / f64::from(objects);
+    let room = f64::from(members.saturating_mul(OBJECTS_PER_SERVER)) / f64::from(objects);
     #[expect(clippy::cast_precision_loss)]
-    let lot = object.weight(MemberHash::of(region.as_str())) as f64 / u64::MAX as f64;
+    let draw = object.weight(MemberHash::of(region.as_str())) as f64 / u64::MAX as f64;
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let copies = (room + lot).floor() as usize;
-    copies.min(MOST_COPIES)
+    let copies = (room + draw).floor() as usize;
+    copies.min(MAX_COPIES)
 }
--- a/lib/src/object_rank.rs
+++ b/lib/src/object_rank.rs
@@ -16,7 +16,7 @@
 /// one score each, with none, with all and with regions of that room: 0.626, 0.657 and 0.648
 /// with 32 backend servers, regions 70 ms apart; 0.560, 0.571 and 0.581 with 44, 110 ms apart;
 /// 0.584, 0.535 (moves too much) and 0.625 with 450 of the latter.
-const NEAR_ROOM: f64 = 0.75;
+const MIN_LOCAL_SHARE: f64 = 0.75;
 
 /// Holds a backend server to be ranked.
 #[derive(Clone, Copy, Debug)]
@@ -38,7 +38,7 @@
     members: impl Iterator<Item = Member<'a>>,
     object: ObjectHash,
     objects: usize,
-    own: &RegionName,
+    own_region: &RegionName,
 ) -> Vec<(BackendKey, usize)> {
     let mut regions: BTreeMap<&RegionName, Vec<Member<'a>>> = BTreeMap::new();
     let mut all = 0;
@@ -46,10 +46,10 @@
         all += 1;
         regions.entry(member.region).or_default().push(member);
     }
-    let even = all / regions.len().max(1);
+    let even_share = all / regions.len().max(1);
     let mut kept: Vec<Member<'a>> = Vec::new();
     let mut heaviest: Option<Member<'a>> = None;
-    let mut near: Option<BackendKey> = None;
+    let mut local: Option<BackendKey> = None;
     for (region, mut members) in regions {
         let copies = copies(object, region, members.len(), objects);
         members.sort_unstable_by_key(|member| Reverse(member.weight));
@@ -58,8 +58,8 @@
             .into_iter()
             .chain(first)
             .max_by_key(|member| member.weight);
-        if region == own && copies > 0 && has_room(members.len(), even) {
-            near = first.map(|member| member.backend);
+        if region == own_region && copies > 0 && has_capacity(members.len(), even_share) {
+            local = first.map(|member| member.backend);
         }
         kept.extend(members.into_iter().take(copies));
     }
@@ -69,14 +69,14 @@
     kept.sort_unstable_by_key(|member| Reverse(member.weight));
     let ranks = kept.into_iter().map(|member| member.backend).enumerate();
     ranks
-        .map(|(rank, key)| (key, if near == Some(key) { 0 } else { rank }))
+        .map(|(rank, key)| (key, if local == Some(key) { 0 } else { rank }))
         .collect()
 }
 
 /// Returns whether a region with `members` backend servers serves its callers itself, where
-/// `even` would be its part if all regions had as many.
-fn has_room(members: usize, even: usize) -> bool {
+/// `even_share` would be its part if all regions had as many.
+fn has_capacity(members: usize, even_share: usize) -> bool {
     #[expect(clippy::cast_precision_loss, reason = "counts far below 2^52")]
-    let (members, even) = (members as f64, even as f64);
-    members >= even * NEAR_ROOM
+    let (members, even_share) = (members as f64, even_share as f64);
+    members >= even_share * MIN_LOCAL_SHARE
 }
--- a/lib/src/region_moves.rs
+++ b/lib/src/region_moves.rs
@@ -20,7 +20,7 @@
 /// Part of the requests by which the share that moves may grow from one window to the next.
 /// At most 15 in 100 may change their region; the rest is left for what differs by chance from
 /// one window to the next, and for requests that have no room where they would stay.
-const MOST_GROWTH: f64 = 0.1;
+const MAX_GROWTH: f64 = 0.1;
 
 /// Counts requests and those that moved over the last two windows.
 #[derive(Debug, Default)]
@@ -44,8 +44,8 @@
         let (before, recent) = self.steps.split_at(WINDOW);
         let (before, recent) = (sum(before), sum(recent));
         let share = f64::from(before.moved) / f64::from(before.asked.max(1));
-        let most = (share + MOST_GROWTH) * f64::from(recent.asked + 1);
-        f64::from(recent.moved + 1) <= most
+        let allowed = (share + MAX_GROWTH) * f64::from(recent.asked + 1);
+        f64::from(recent.moved + 1) <= allowed
     }
 
     /// Notes a request, and whether it moved.
--- a/lib/src/resend_budget.rs
+++ b/lib/src/resend_budget.rs
@@ -11,8 +11,8 @@
 /// Bounds the requests that are sent again.
 #[derive(Clone, Copy, Debug)]
 pub struct ResendBudget {
-    saved: f64,
-    most: f64,
+    tokens: f64,
+    capacity: f64,
     ratio: f64,
 }
 
@@ -23,12 +23,12 @@
     #[must_use]
     pub fn new(ratio: f64, slack: f64, senders: usize) -> Self {
         let mut budget = Self {
-            saved: 0.0,
-            most: 0.0,
+            tokens: 0.0,
+            capacity: 0.0,
             ratio: ratio * USED_PART,
         };
         budget.share(slack, senders);
-        budget.saved = budget.most;
+        budget.tokens = budget.capacity;
         budget
     }
 
@@ -36,21 +36,21 @@
     pub fn share(&mut self, slack: f64, senders: usize) {
         #[expect(clippy::cast_precision_loss)]
         let senders = senders.max(1) as f64;
-        self.most = slack * USED_PART / senders;
-        self.saved = self.saved.min(self.most);
+        self.capacity = slack * USED_PART / senders;
+        self.tokens = self.tokens.min(self.capacity);
     }
 
     /// Notes a request that is sent for the first time.
     pub fn note_request(&mut self) {
-        self.saved = (self.saved + self.ratio).min(self.most);
+        self.tokens = (self.tokens + self.ratio).min(self.capacity);
     }
 
     /// Takes one resend out of the budget, if there is one.
     pub fn try_take(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/lib/src/retry_advice.rs
+++ b/lib/src/retry_advice.rs
@@ -7,10 +7,10 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Least time after which a refused caller is told to come back.
-const LEAST: Duration = Duration::from_millis(100);
+const MIN_WAIT: Duration = Duration::from_millis(100);
 
 /// Longest time after which a refused caller is told to come back.
-const LONGEST: Duration = Duration::from_secs(10);
+const MAX_WAIT: Duration = Duration::from_secs(10);
 
 /// Spreads the return of refused callers.
 ///
@@ -34,10 +34,10 @@
     /// Returns the time to tell when there may be room after `wait` and `refused`
     /// requests a second share in what `served` a second leave.
     pub fn after(&mut self, wait: Duration, refused: f64, served: f64) -> Duration {
-        let base = wait.clamp(LEAST, LONGEST);
-        let crowd = refused / served.max(1.0);
-        let spread = base.mul_f64(1.0 + crowd.min(f64::from(u16::MAX)));
-        let late = spread.mul_f64(self.rng.random::<f64>());
-        base.saturating_add(late).min(LONGEST)
+        let base = wait.clamp(MIN_WAIT, MAX_WAIT);
+        let competitors = refused / served.max(1.0);
+        let spread = base.mul_f64(1.0 + competitors.min(f64::from(u16::MAX)));
+        let jitter = spread.mul_f64(self.rng.random::<f64>());
+        base.saturating_add(jitter).min(MAX_WAIT)
     }
 }
--- a/lib/src/retry_budget.rs
+++ b/lib/src/retry_budget.rs
@@ -7,13 +7,13 @@
 pub const MAX_TRIES: usize = 3;
 
 /// Further tries for each 100 requests.
-const PERCENT: f64 = 0.1;
+const RETRIES_PER_REQUEST: f64 = 0.1;
 
 /// Further tries a second that are always allowed, so that a quiet entry can retry.
 const FLOOR_PER_SECOND: f64 = 2.0;
 
 /// Further tries that may be saved up.
-const MAX_SAVED: f64 = 20.0;
+const MAX_TOKENS: f64 = 20.0;
 
 /// Bounds the further tries of an entry to a share of its requests.
 ///
@@ -22,14 +22,14 @@
 /// stays high after the cause is gone.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: f64,
+    tokens: f64,
     last: Option<Instant>,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            saved: FLOOR_PER_SECOND,
+            tokens: FLOOR_PER_SECOND,
             last: None,
         }
     }
@@ -39,16 +39,16 @@
     /// Notes a request of a caller.
     pub fn note_request(&mut self, now: Instant) {
         self.refill(now);
-        self.saved = (self.saved + PERCENT).min(MAX_SAVED);
+        self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_TOKENS);
     }
 
     /// Takes one further try out of the budget, if there is one.
     pub fn try_take(&mut self, now: Instant) -> bool {
         self.refill(now);
-        if self.saved < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 
@@ -57,6 +57,6 @@
             .last
             .map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
         self.last = self.last.max(Some(now));
-        self.saved = (self.saved + since.as_secs_f64() * FLOOR_PER_SECOND).min(MAX_SAVED);
+        self.tokens = (self.tokens + since.as_secs_f64() * FLOOR_PER_SECOND).min(MAX_TOKENS);
     }
 }
--- a/lib/src/service_latency.rs
+++ b/lib/src/service_latency.rs
@@ -22,11 +22,11 @@
 /// Observations of one kind from whose mean its estimate starts. What is assumed before is
 /// off by a factor of up to five, and steps of [`STEP`] would take ten seconds to make up
 /// for it at twenty requests a second.
-const FIRST: u32 = 8;
+const INITIAL_OBSERVATIONS: u32 = 8;
 
 /// Times the estimate that one of the first observations counts for at most, so that an
 /// outlier among them doesn't stand for long.
-const MOST_RISE: f64 = 4.0;
+const MAX_RISE: f64 = 4.0;
 
 /// Share of the observations that lie below the estimates. Some requests have waited without
 /// it being known; a mean would follow these, and a service under load would look slow for
@@ -36,17 +36,17 @@
 /// What is assumed before the first answers, as parts of the route's latency objective. An
 /// operator sets it so that a request with its data at hand makes it, with time for the way
 /// and some wait, and one without them doesn't.
-const FIRST_WARM: f64 = 0.5;
-const FIRST_COLD: f64 = 1.5;
+const INITIAL_WARM: f64 = 0.5;
+const INITIAL_COLD: f64 = 1.5;
 
 /// Times that a request may take as long without its data as with them, at most. Where all
 /// requests were of one kind so far, this bounds how wrong the other estimate may be.
-const MOST_GAIN: f64 = 5.0;
+const MAX_COLD_RATIO: f64 = 5.0;
 
 /// Times that it takes as long at least. Without it the estimates would meet once requests
 /// with their data at hand take longer than was assumed without: then backend servers
 /// without the data look as good as any, and half of a region's requests change regions.
-const LEAST_GAIN: f64 = 2.0;
+const MIN_COLD_RATIO: f64 = 2.0;
 
 /// Follows the times of one route at one service.
 #[derive(Clone, Copy, Debug)]
@@ -70,14 +70,14 @@
     }
 
     const fn is_settled(&self) -> bool {
-        self.observed >= FIRST
+        self.observed >= INITIAL_OBSERVATIONS
     }
 
     /// Moves towards the time that `share` of the observations lie below.
     fn observe(&mut self, took: f64, share: f64) {
         if !self.is_settled() {
             self.observed += 1;
-            let took = took.min(self.value * MOST_RISE);
+            let took = took.min(self.value * MAX_RISE);
             self.value += (took - self.value) / f64::from(self.observed);
         } else if took > self.value {
             self.value *= 1.0 + STEP * share;
@@ -97,10 +97,10 @@
 
 impl Tail {
     /// Answers that the mean is of, the latest ones.
-    const MOST: f64 = 20.0;
+    const MAX_ANSWERS: f64 = 20.0;
 
     fn note_head(&mut self) {
-        self.answers = (self.answers + 1.0).min(Self::MOST);
+        self.answers = (self.answers + 1.0).min(Self::MAX_ANSWERS);
         self.mean -= self.mean / self.answers;
     }
 
@@ -116,9 +116,9 @@
     pub fn new(objective: Duration) -> Self {
         let objective = objective.as_secs_f64();
         Self {
-            warm: Estimate::new(objective * FIRST_WARM),
-            cold: Estimate::new(objective * FIRST_COLD),
-            median: Estimate::new(objective * FIRST_WARM),
+            warm: Estimate::new(objective * INITIAL_WARM),
+            cold: Estimate::new(objective * INITIAL_COLD),
+            median: Estimate::new(objective * INITIAL_WARM),
             tail: Tail::default(),
         }
     }
@@ -140,7 +140,7 @@
     /// those without their data, and half of their time is expected with them; and it ends at the
     /// head of an answer. Whoever must know whether a request can end goes by this one besides.
     #[must_use]
-    pub fn until_end(&self) -> f64 {
+    pub fn time_to_last_byte(&self) -> f64 {
         self.median.value + self.tail.mean
     }
 
@@ -149,15 +149,15 @@
         let took = took.as_secs_f64();
         self.median.observe(took, 0.5);
         self.tail.note_head();
-        let between = (self.warm.value * self.cold.value).sqrt();
-        if took < between {
+        let boundary = (self.warm.value * self.cold.value).sqrt();
+        if took < boundary {
             self.warm.observe(took, QUANTILE);
-            self.cold.value = self.cold.value.max(self.warm.value * LEAST_GAIN);
+            self.cold.value = self.cold.value.max(self.warm.value * MIN_COLD_RATIO);
         } else {
             self.cold.observe(took, QUANTILE);
-            self.warm.value = self.warm.value.min(self.cold.value / LEAST_GAIN);
+            self.warm.value = self.warm.value.min(self.cold.value / MIN_COLD_RATIO);
             if self.cold.is_settled() || !self.warm.is_settled() {
-                self.warm.value = self.warm.value.max(self.cold.value / MOST_GAIN);
+                self.warm.value = self.warm.value.max(self.cold.value / MAX_COLD_RATIO);
             }
         }
     }
@@ -170,51 +170,54 @@
 
 /// Routes whose times one service keeps. Names of routes change with the manifest; the one
 /// that nobody has asked for for longest goes.
-const MOST_ROUTES: usize = 64;
+const MAX_ROUTES: usize = 64;
 
 /// Follows the times of all routes of one service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceLatency {
-    routes: SlotMap<RouteLatencyKey, KnownRoute>,
+    routes: SlotMap<RouteLatencyKey, RouteEntry>,
     by_name: BTreeMap<RouteName, RouteLatencyKey>,
     mean: Option<f64>,
-    turn: u64,
+    request_number: u64,
 }
 
 #[derive(Clone, Debug)]
-struct KnownRoute {
+struct RouteEntry {
     name: RouteName,
     latency: RouteLatency,
     /// Number of the latest request.
-    asked_at: u64,
+    last_used: u64,
 }
 
 impl ServiceLatency {
     /// Returns the times of a route; they start from its latency objective.
     pub fn route(&mut self, name: &RouteName, objective: Duration) -> RouteLatencyKey {
-        self.turn += 1;
+        self.request_number += 1;
         if let Some(key) = self.by_name.get(name) {
-            self.routes[*key].asked_at = self.turn;
+            self.routes[*key].last_used = self.request_number;
             return *key;
         }
-        if self.routes.len() >= MOST_ROUTES {
+        if self.routes.len() >= MAX_ROUTES {
             self.drop_oldest();
         }
-        let key = self.routes.insert(KnownRoute {
+        let key = self.routes.insert(RouteEntry {
             name: name.clone(),
             latency: RouteLatency::new(objective),
-            asked_at: self.turn,
+            last_used: self.request_number,
         });
         self.by_name.insert(name.clone(), key);
         key
     }
 
     fn drop_oldest(&mut self) {
-        let oldest = self.routes.iter().min_by_key(|(_, known)| known.asked_at);
+        let oldest = self
+            .routes
+            .iter()
+            .min_by_key(|(_, route_entry)| route_entry.last_used);
         if let Some(key) = oldest.map(|(key, _)| key)
-            && let Some(known) = self.routes.remove(key)
+            && let Some(route_entry) = self.routes.remove(key)
         {
-            self.by_name.remove(&known.name);
+            self.by_name.remove(&route_entry.name);
         }
     }
 
@@ -222,22 +225,28 @@
     /// the service for a route that was dropped.
     #[must_use]
     pub fn expected(&self, route: RouteLatencyKey, warm: bool) -> f64 {
-        let known = self.routes.get(route);
-        known.map_or_else(|| self.mean(), |known| known.latency.expected(warm))
+        let route_entry = self.routes.get(route);
+        route_entry.map_or_else(
+            || self.mean(),
+            |route_entry| route_entry.latency.expected(warm),
+        )
     }
 
     /// Returns the time that half of a route's requests stay below until the last byte of their
     /// answers, in seconds; the mean of the service for a route that was dropped.
     #[must_use]
-    pub fn until_end(&self, route: RouteLatencyKey) -> f64 {
-        let known = self.routes.get(route);
-        known.map_or_else(|| self.mean(), |known| known.latency.until_end())
+    pub fn time_to_last_byte(&self, route: RouteLatencyKey) -> f64 {
+        let route_entry = self.routes.get(route);
+        route_entry.map_or_else(
+            || self.mean(),
+            |route_entry| route_entry.latency.time_to_last_byte(),
+        )
     }
 
     /// Notes how long an answer that was passed on as it came took from its head to its end.
     pub fn observe_tail(&mut self, route: RouteLatencyKey, took: Duration) {
-        if let Some(known) = self.routes.get_mut(route) {
-            known.latency.tail.note_end(took.as_secs_f64());
+        if let Some(route_entry) = self.routes.get_mut(route) {
+            route_entry.latency.tail.note_end(took.as_secs_f64());
         }
     }
 
@@ -251,7 +260,7 @@
             let expected = self
                 .routes
                 .values()
-                .map(|known| known.latency.expected(true));
+                .map(|route_entry| route_entry.latency.expected(true));
             expected.sum::<f64>() / count
         })
     }
@@ -259,11 +268,11 @@
     /// Notes how long a request ran that didn't have to wait.
     pub fn observe(&mut self, route: RouteLatencyKey, took: Duration) {
         let before = self.mean();
-        let Some(known) = self.routes.get_mut(route) else {
+        let Some(route_entry) = self.routes.get_mut(route) else {
             return;
         };
-        known.latency.observe(took);
-        let took = took.as_secs_f64().min(known.latency.expected(false));
+        route_entry.latency.observe(took);
+        let took = took.as_secs_f64().min(route_entry.latency.expected(false));
         self.mean = Some(before + (took - before) * STEP);
     }
 }
--- a/lib/src/service_time.rs
+++ b/lib/src/service_time.rs
@@ -17,7 +17,7 @@
 /// Time without samples after which an estimate begins to fade. An estimate that is too
 /// high lets no request through, and without requests there are no samples that could
 /// correct it; that would show as a service that refuses everything for ever.
-const FADES_AFTER: Duration = Duration::from_secs(1);
+const DECAY_AFTER: Duration = Duration::from_secs(1);
 
 /// Time in which a fading estimate halves.
 const HALF_LIFE: Duration = Duration::from_secs(1);
@@ -44,19 +44,19 @@
         self.last = Some(now);
     }
 
-    fn fading(&self, now: Instant) -> f64 {
+    fn decay(&self, now: Instant) -> f64 {
         let Some(last) = self.last else {
             return 0.0;
         };
         let idle = now
             .saturating_duration_since(last)
-            .saturating_sub(FADES_AFTER);
+            .saturating_sub(DECAY_AFTER);
         0.5_f64.powf(idle.as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
 
     fn needed(&self, now: Instant) -> Duration {
         let seconds = self.mean + DEVIATIONS * self.deviation;
-        Duration::from_secs_f64(seconds * self.fading(now))
+        Duration::from_secs_f64(seconds * self.decay(now))
     }
 
     fn mean(&self) -> Duration {
--- a/lib/src/start_wait.rs
+++ b/lib/src/start_wait.rs
@@ -9,9 +9,13 @@
 const SHARE: f64 = 0.25;
 
 /// Returns until when a request that came at `arrived` waits, for `longest` at most, if its
-/// caller waits for `patience`.
+/// caller waits for `caller_timeout`.
 #[must_use]
-pub fn wait_until(arrived: Instant, longest: Duration, patience: Option<Duration>) -> Instant {
-    let share = patience.map_or(longest, |time| time.mul_f64(SHARE));
+pub fn wait_until(
+    arrived: Instant,
+    longest: Duration,
+    caller_timeout: Option<Duration>,
+) -> Instant {
+    let share = caller_timeout.map_or(longest, |time| time.mul_f64(SHARE));
     arrived + longest.min(share)
 }
--- a/lib/src/warm_up.rs
+++ b/lib/src/warm_up.rs
@@ -13,7 +13,7 @@
 use crate::id::PlaceName;
 
 /// Share of the slots with which a ramp starts.
-const START: f64 = 1.0 / 3.0;
+const INITIAL_SHARE: f64 = 1.0 / 3.0;
 
 /// Time without requests from a place after which its callers' data counts as cold.
 const COLD_AFTER: Duration = Duration::from_mins(1);
@@ -38,7 +38,7 @@
                 if passed >= over {
                     return 1.0;
                 }
-                START + (1.0 - START) * passed.as_secs_f64() / over.as_secs_f64()
+                INITIAL_SHARE + (1.0 - INITIAL_SHARE) * passed.as_secs_f64() / over.as_secs_f64()
             }
         }
     }
--- a/lib/tests/dispatch_model/mod.rs
+++ b/lib/tests/dispatch_model/mod.rs
@@ -5,8 +5,8 @@
 
 #![allow(dead_code)]
 
-mod plan;
 mod probe;
+mod scenario;
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -46,10 +46,10 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-#[allow(unused_imports, reason = "each test file uses a part of the model")]
-pub use plan::Plan;
 #[allow(unused_imports, reason = "each test file uses a part of the model")]
 pub use probe::Probe;
+#[allow(unused_imports, reason = "each test file uses a part of the model")]
+pub use scenario::Scenario;
 
 /// Holds what callers got.
 #[derive(Clone, Copy, Debug, Default)]
@@ -66,7 +66,7 @@
     pub cold_runs: u32,
     /// Largest part of one region's requests that went to other regions than in the 2 s
     /// before.
-    pub most_shift: f64,
+    pub max_shift: f64,
 }
 
 impl Result {
@@ -81,15 +81,15 @@
     Join,
     Restart { entry: usize },
     Arrival { region: usize },
-    Reaches { request: usize },
+    ReachesServer { request: usize },
     Done { request: usize },
-    Back { request: usize, shed: bool },
+    Returns { request: usize, shed: bool },
 }
 
 struct Request {
     entry: usize,
     /// Number of the entry VM's start.
-    life: u32,
+    generation: u32,
     server: usize,
     object: u32,
     began: Duration,
@@ -116,7 +116,7 @@
 
 /// Plays one plan.
 pub struct Model {
-    plan: Plan,
+    scenario: Scenario,
     origin: Instant,
     now: Duration,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
@@ -124,7 +124,7 @@
     rng: ChaCha8Rng,
     dispatchers: Vec<Dispatcher>,
     /// How often each entry VM has started again.
-    lives: Vec<u32>,
+    generations: Vec<u32>,
     servers: Vec<Server>,
     by_name: BTreeMap<BackendName, usize>,
     requests: Vec<Request>,
@@ -152,31 +152,31 @@
 }
 
 impl Model {
-    pub fn new(plan: Plan) -> Self {
+    pub fn new(scenario: Scenario) -> Self {
         let origin = Instant::now();
-        let view = view(&plan);
-        let entries = plan.servers.len() * plan.entries;
+        let view = view(&scenario);
+        let entries = scenario.servers.len() * scenario.entries;
         let dispatchers = (0..entries)
-            .map(|entry| dispatcher(&plan, &view, entry, origin))
+            .map(|entry| dispatcher(&scenario, &view, entry, origin))
             .collect();
         let mut servers = Vec::new();
         let mut by_name = BTreeMap::new();
-        for (region, count) in plan.servers.iter().enumerate() {
+        for (region, count) in scenario.servers.iter().enumerate() {
             for number in 0..*count {
                 by_name.insert(server_name(region, number), servers.len());
                 servers.push(Server::new(region));
             }
         }
-        let rng = ChaCha8Rng::seed_from_u64(plan.seed);
+        let rng = ChaCha8Rng::seed_from_u64(scenario.seed);
         Self {
-            plan,
+            scenario,
             origin,
             now: Duration::ZERO,
             events: BinaryHeap::new(),
             sequence: 0,
             rng,
             dispatchers,
-            lives: vec![0; entries],
+            generations: vec![0; entries],
             servers,
             by_name,
             requests: Vec::new(),
@@ -186,14 +186,14 @@
     }
 
     /// Plays to the end; the last half counts.
-    pub fn play(mut self) -> Result {
-        for region in 0..self.plan.servers.len() {
+    pub fn run(mut self) -> Result {
+        for region in 0..self.scenario.servers.len() {
             self.schedule_arrival(region);
         }
-        self.schedule(self.plan.length / 2, Event::Join);
+        self.schedule(self.scenario.length / 2, Event::Join);
         self.schedule_restarts();
         while let Some(Reverse((at, _, event))) = self.events.pop() {
-            if at > self.plan.length {
+            if at > self.scenario.length {
                 break;
             }
             self.now = at;
@@ -204,22 +204,22 @@
                     self.arrive(region);
                     self.schedule_arrival(region);
                 }
-                Event::Reaches { request } => self.reach(request),
+                Event::ReachesServer { request } => self.reach(request),
                 Event::Done { request } => self.done(request),
-                Event::Back { request, shed } => self.back(request, shed),
+                Event::Returns { request, shed } => self.receive(request, shed),
             }
         }
-        self.result.most_shift = self.most_shift();
+        self.result.max_shift = self.max_shift();
         self.result
     }
 
-    fn most_shift(&self) -> f64 {
+    fn max_shift(&self) -> f64 {
         const WINDOW: Duration = Duration::from_secs(2);
         const STEP: Duration = Duration::from_millis(500);
-        let regions = self.plan.servers.len();
+        let regions = self.scenario.servers.len();
         let mut most = 0.0_f64;
         let mut from = Duration::ZERO;
-        while from + 2 * WINDOW <= self.plan.length {
+        while from + 2 * WINDOW <= self.scenario.length {
             for origin in 0..regions {
                 let before = self.shares(origin, from, from + WINDOW);
                 let after = self.shares(origin, from + WINDOW, from + 2 * WINDOW);
@@ -232,7 +232,7 @@
     }
 
     fn shares(&self, origin: usize, from: Duration, to: Duration) -> Vec<f64> {
-        let mut counts = vec![0.0; self.plan.servers.len()];
+        let mut counts = vec![0.0; self.scenario.servers.len()];
         for (at, region, target) in &self.sends {
             if *region == origin && *at >= from && *at < to {
                 counts[*target] += 1.0;
@@ -254,55 +254,56 @@
 
     /// Spreads the starts over the regions, one region after the other.
     fn schedule_restarts(&mut self) {
-        let regions = self.plan.servers.len();
-        let mut at = self.plan.length / 4;
-        for number in 0..self.plan.restarting {
-            let entry = (number % regions) * self.plan.entries + number / regions;
+        let regions = self.scenario.servers.len();
+        let mut at = self.scenario.length / 4;
+        for number in 0..self.scenario.restarting {
+            let entry = (number % regions) * self.scenario.entries + number / regions;
             self.schedule(at, Event::Restart { entry });
-            at += self.plan.restart_gap;
+            at += self.scenario.restart_gap;
         }
     }
 
     /// Has an entry VM start again: it knows the fleet, and nothing that it had learned.
     fn restart(&mut self, entry: usize) {
         let now = self.at();
-        let view = view(&self.plan);
-        self.lives[entry] += 1;
-        self.dispatchers[entry] = dispatcher(&self.plan, &view, entry, now);
+        let view = view(&self.scenario);
+        self.generations[entry] += 1;
+        self.dispatchers[entry] = dispatcher(&self.scenario, &view, entry, now);
     }
 
     fn schedule_arrival(&mut self, region: usize) {
-        let bursting = self.now >= self.plan.length / 4 && self.now < self.plan.length / 2;
-        let factor = if bursting { self.plan.burst } else { 1.0 };
-        let lot: f64 = self.rng.random_range(0.000_001..1.0);
-        let part = self.plan.rate_parts.get(region).copied().unwrap_or(1.0);
-        let gap = -lot.ln() / (self.plan.rate * part * factor);
+        let bursting = self.now >= self.scenario.length / 4 && self.now < self.scenario.length / 2;
+        let factor = if bursting { self.scenario.burst } else { 1.0 };
+        let draw: f64 = self.rng.random_range(0.000_001..1.0);
+        let part = self.scenario.rate_parts.get(region).copied().unwrap_or(1.0);
+        let gap = -draw.ln() / (self.scenario.rate * part * factor);
         self.schedule(Duration::from_secs_f64(gap), Event::Arrival { region });
     }
 
     fn counts(&self, began: Duration) -> bool {
-        let eighth = self.plan.length / 8;
-        let (from, to) = self.plan.counted;
-        let ended = began + self.plan.deadline <= self.plan.length;
+        let eighth = self.scenario.length / 8;
+        let (from, to) = self.scenario.counted;
+        let ended = began + self.scenario.deadline <= self.scenario.length;
         began >= eighth * from && began < eighth * to && ended
     }
 
     fn arrive(&mut self, region: usize) {
-        let entry = region * self.plan.entries + self.rng.random_range(0..self.plan.entries);
-        let object = self.rng.random_range(0..self.plan.objects);
+        let entry =
+            region * self.scenario.entries + self.rng.random_range(0..self.scenario.entries);
+        let object = self.rng.random_range(0..self.scenario.objects);
         let service = service();
         let route = route();
-        let ask = DispatchRequest {
+        let dispatch_request = DispatchRequest {
             service: &service,
             route: &route,
-            latency_objective: self.plan.objective,
+            latency_objective: self.scenario.objective,
             object: Some(ObjectHash::of("route", &object.to_string())),
             rank: RequestRank {
                 team: None,
                 route: 2,
             },
-            deadline: self.at() + self.plan.deadline,
-            objective: self.at() + self.plan.objective,
+            deadline: self.at() + self.scenario.deadline,
+            objective: self.at() + self.scenario.objective,
             answers_until: None,
             homes: &[],
             tried: &[],
@@ -312,45 +313,45 @@
         self.dispatchers[entry].note_control_contact(now);
         let counted = self.counts(self.now);
         self.result.asked += u32::from(counted);
-        let Ok(choice) = self.dispatchers[entry].choose(now, &ask) else {
+        let Ok(choice) = self.dispatchers[entry].choose(now, &dispatch_request) else {
             self.result.refused += u32::from(counted);
             return;
         };
         let server = self.by_name[&choice.name];
         let target = self.servers[server].region;
         self.sends.push((self.now, region, target));
-        let away = target != region;
+        let is_remote = target != region;
         let request = self.requests.len();
         self.requests.push(Request {
             entry,
-            life: self.lives[entry],
+            generation: self.generations[entry],
             server,
             object,
             began: self.now,
             choice,
         });
-        let way = if away {
-            self.plan.delay / 2
+        let travel = if is_remote {
+            self.scenario.delay / 2
         } else {
             Duration::ZERO
         };
-        self.schedule(way, Event::Reaches { request });
+        self.schedule(travel, Event::ReachesServer { request });
     }
 
     fn join(&mut self) {
-        let joining = self.plan.joining;
-        for region in 0..self.plan.servers.len() {
+        let joining = self.scenario.joining;
+        for region in 0..self.scenario.servers.len() {
             for number in 0..joining {
-                let name = server_name(region, self.plan.servers[region] + number);
+                let name = server_name(region, self.scenario.servers[region] + number);
                 self.by_name.insert(name, self.servers.len());
                 self.servers.push(Server::new(region));
             }
         }
-        let mut plan = self.plan.clone();
-        for count in &mut plan.servers {
+        let mut scenario = self.scenario.clone();
+        for count in &mut scenario.servers {
             *count += joining;
         }
-        let view = view(&plan);
+        let view = view(&scenario);
         let now = self.at();
         for dispatcher in &mut self.dispatchers {
             dispatcher.apply_view(now, &view);
@@ -359,9 +360,9 @@
 
     fn reach(&mut self, request: usize) {
         let server = self.requests[request].server;
-        if self.servers[server].running < self.plan.slots {
+        if self.servers[server].running < self.scenario.slots {
             self.start(request);
-        } else if self.servers[server].waiting.len() < self.plan.queue {
+        } else if self.servers[server].waiting.len() < self.scenario.queue {
             self.servers[server].waiting.push_back(request);
         } else {
             self.send_back(request, true);
@@ -377,15 +378,15 @@
             server.warm.remove(index);
         }
         server.warm.push_front(object);
-        server.warm.truncate(self.plan.keeps);
+        server.warm.truncate(self.scenario.keeps);
         let part = if warm.is_some() {
-            self.plan.warm_part
+            self.scenario.warm_part
         } else {
             1.0
         };
         self.result.cold_runs += u32::from(warm.is_none());
         let spread = self.rng.random_range(0.85..1.15);
-        let work = self.plan.work.mul_f64(part * spread);
+        let work = self.scenario.work.mul_f64(part * spread);
         self.schedule(work, Event::Done { request });
     }
 
@@ -394,7 +395,7 @@
         self.servers[server].running -= 1;
         while let Some(next) = self.servers[server].waiting.pop_front() {
             let waited = self.now.saturating_sub(self.requests[next].began);
-            if waited < self.plan.deadline {
+            if waited < self.scenario.deadline {
                 self.start(next);
                 break;
             }
@@ -405,16 +406,16 @@
 
     fn send_back(&mut self, request: usize, shed: bool) {
         let Request { entry, server, .. } = self.requests[request];
-        let away = self.servers[server].region != entry / self.plan.entries;
-        let way = if away {
-            self.plan.delay / 2
+        let is_remote = self.servers[server].region != entry / self.scenario.entries;
+        let travel = if is_remote {
+            self.scenario.delay / 2
         } else {
             Duration::ZERO
         };
-        self.schedule(way, Event::Back { request, shed });
+        self.schedule(travel, Event::Returns { request, shed });
     }
 
-    fn back(&mut self, request: usize, shed: bool) {
+    fn receive(&mut self, request: usize, shed: bool) {
         let now = self.at();
         let request = &self.requests[request];
         let server = &self.servers[request.server];
@@ -429,33 +430,33 @@
             load: Some(LoadReport {
                 running: server.running,
                 waiting: u32::try_from(server.waiting.len()).unwrap(),
-                slots: self.plan.slots,
+                slots: self.scenario.slots,
             }),
             object: Some(ObjectHash::of("route", &request.object.to_string())),
         };
         let took = self.now.saturating_sub(request.began);
         if self.counts(request.began) {
             self.result.refused += u32::from(shed);
-            if !shed && took <= self.plan.objective {
+            if !shed && took <= self.scenario.objective {
                 self.result.in_objective += 1;
-            } else if !shed && took <= self.plan.deadline {
+            } else if !shed && took <= self.scenario.deadline {
                 self.result.late += 1;
             }
         }
-        if request.life == self.lives[request.entry] {
+        if request.generation == self.generations[request.entry] {
             self.dispatchers[request.entry].ended(now, &end);
         }
     }
 }
 
 /// Returns an entry VM that starts at `now`.
-fn dispatcher(plan: &Plan, view: &FleetView, entry: usize, now: Instant) -> Dispatcher {
-    let places = (0..plan.servers.len())
+fn dispatcher(scenario: &Scenario, view: &FleetView, entry: usize, now: Instant) -> Dispatcher {
+    let places = (0..scenario.servers.len())
         .map(|index| (place(index), region(index)))
         .collect();
     let cfg = DispatchConfig {
         vm: VmName::new(format!("entry-{entry}")),
-        region: region(entry / plan.entries),
+        region: region(entry / scenario.entries),
         places,
         resend_ratio: 0.2,
         resend_slack: 60.0,
@@ -471,9 +472,9 @@
 }
 
 /// Returns the view that all entry VMs of a plan have.
-pub fn view(plan: &Plan) -> FleetView {
+pub fn view(scenario: &Scenario) -> FleetView {
     let mut backends = Vec::new();
-    for (region, count) in plan.servers.iter().enumerate() {
+    for (region, count) in scenario.servers.iter().enumerate() {
         for number in 0..*count {
             let port = u16::try_from(1_000 + region * 100 + number).unwrap();
             backends.push((
@@ -482,7 +483,7 @@
                     service: service(),
                     address: SocketAddr::from(([127, 0, 0, 1], port)),
                     place: place(region),
-                    slots: plan.slots,
+                    slots: scenario.slots,
                     state: BackendState::Ready,
                     born: 0,
                     sequence: 1,
@@ -491,10 +492,10 @@
             ));
         }
     }
-    let entries = (0..plan.servers.len() * plan.entries).map(|index| {
+    let entries = (0..scenario.servers.len() * scenario.entries).map(|index| {
         let record = EntryRecord {
-            place: place(index / plan.entries),
-            region: region(index / plan.entries),
+            place: place(index / scenario.entries),
+            region: region(index / scenario.entries),
             callers: SocketAddr::from(([127, 0, 0, 2], 1_000)),
             life: 1,
         };
--- a/lib/tests/dispatch_model/probe.rs
+++ b/lib/tests/dispatch_model/probe.rs
@@ -17,7 +17,7 @@
 use heatherring_lib::planned_stop::PlannedStop;
 use heatherring_lib::request_rank::RequestRank;
 
-use super::Plan;
+use super::Scenario;
 use super::place;
 use super::region;
 use super::route;
@@ -37,8 +37,8 @@
     }
 
     pub fn in_region(own: usize) -> Self {
-        let plan = Plan::look_up();
-        let places = (0..plan.servers.len())
+        let scenario = Scenario::look_up();
+        let places = (0..scenario.servers.len())
             .map(|index| (place(index), region(index)))
             .collect();
         let cfg = DispatchConfig {
@@ -51,7 +51,7 @@
         };
         let now = Instant::now();
         let mut dispatcher = Dispatcher::new(cfg, now);
-        dispatcher.apply_view(now, &view(&plan));
+        dispatcher.apply_view(now, &view(&scenario));
         Self {
             dispatcher,
             now,
@@ -59,7 +59,7 @@
         }
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         self.now += time;
         self.dispatcher.note_control_contact(self.now);
     }
@@ -70,8 +70,8 @@
     }
 
     /// Has all backend servers start again under their names.
-    pub fn bear_again(&mut self, born: u64) {
-        let mut view = view(&Plan::look_up());
+    pub fn restart_backends(&mut self, born: u64) {
+        let mut view = view(&Scenario::look_up());
         for record in view.backends.values_mut() {
             Arc::make_mut(record).born = born;
         }
@@ -89,10 +89,10 @@
     pub fn choose_or_refuse(&mut self, object: &str) -> Result<Choice, Refused> {
         let service = service();
         let route = route();
-        let ask = DispatchRequest {
+        let request = DispatchRequest {
             service: &service,
             route: &route,
-            latency_objective: Plan::look_up().objective,
+            latency_objective: Scenario::look_up().objective,
             object: Some(ObjectHash::of("route", object)),
             rank: RequestRank {
                 team: None,
@@ -105,7 +105,7 @@
             tried: &[],
             resend: false,
         };
-        self.dispatcher.choose(self.now, &ask)
+        self.dispatcher.choose(self.now, &request)
     }
 
     /// Says that the connection for a choice took `took` until it was there.
--- a/lib/tests/dispatch_model/plan.rs
+++ b/lib/tests/dispatch_model/scenario.rs
@@ -4,7 +4,7 @@
 
 /// Holds the parameters of a model.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Scenario {
     /// Backend servers in each region.
     pub servers: Vec<usize>,
     /// Entry VMs in each region.
@@ -47,7 +47,7 @@
     pub seed: u64,
 }
 
-impl Plan {
+impl Scenario {
     /// A look-up service: 32 servers of 6 slots, a tenth of them in one region.
     pub fn look_up() -> Self {
         Self {
--- a/lib/tests/test_backend_life.rs
+++ b/lib/tests/test_backend_life.rs
@@ -175,14 +175,14 @@
     probe.end(&first, SendOutcome::Broken);
     let second = probe.choose("17");
     probe.end(&second, SendOutcome::Broken);
-    let under_way = probe.choose("18");
+    let in_flight = probe.choose("18");
     assert_ne!(probe.choose("17").name, first.name);
-    probe.bear_again(1_000);
+    probe.restart_backends(1_000);
     let fresh = probe.choose("17");
     assert_eq!((&fresh.name, fresh.born), (&first.name, 1_000));
     assert_eq!(fresh.wait, Duration::ZERO);
     // A request of before that ends now tells nothing of the new life.
-    probe.end(&under_way, SendOutcome::Broken);
+    probe.end(&in_flight, SendOutcome::Broken);
     probe.end(&first, SendOutcome::Broken);
     assert_eq!(probe.choose("17").name, first.name);
 }
--- a/lib/tests/test_cold_tracker.rs
+++ b/lib/tests/test_cold_tracker.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use dispatch_model::Plan;
+use dispatch_model::Scenario;
 use dispatch_model::place;
 use dispatch_model::region;
 use dispatch_model::route;
@@ -41,7 +41,7 @@
     origin: Instant,
     now: Instant,
     senders: Vec<Dispatcher>,
-    questions: Vec<(usize, Instant, ColdQuery)>,
+    queries: Vec<(usize, Instant, ColdQuery)>,
     running: Vec<(usize, Instant, SendEnd)>,
     cold_from: Option<Instant>,
     arrivals: BTreeMap<BackendName, Vec<Instant>>,
@@ -51,13 +51,13 @@
 
 impl Region {
     fn new(senders: usize) -> Self {
-        let plan = Plan {
+        let scenario = Scenario {
             servers: vec![4],
             entries: 12,
-            ..Plan::look_up()
+            ..Scenario::look_up()
         };
         let now = Instant::now();
-        let view = view(&plan);
+        let view = view(&scenario);
         let dispatcher = |number: usize| {
             let cfg = DispatchConfig {
                 vm: VmName::new(format!("entry-{number}")),
@@ -75,7 +75,7 @@
             origin: now,
             now,
             senders: (0..senders).map(dispatcher).collect(),
-            questions: Vec::new(),
+            queries: Vec::new(),
             running: Vec::new(),
             cold_from: None,
             arrivals: BTreeMap::new(),
@@ -85,7 +85,7 @@
     }
 
     /// Plays for `length`, with 100 requests a second over all senders.
-    fn play(&mut self, length: Duration) {
+    fn run(&mut self, length: Duration) {
         const EVERY: u32 = 2;
         let end = self.now + length;
         while self.now < end {
@@ -101,20 +101,20 @@
 
     fn answer_questions(&mut self) {
         for (number, sender) in self.senders.iter_mut().enumerate() {
-            let (questions, _) = sender.cold_queries(self.now);
+            let (queries, _) = sender.cold_queries(self.now);
             let due = self.now + ANSWER_AFTER;
-            let asked = questions.into_iter().map(|asked| (number, due, asked));
-            self.questions.extend(asked);
+            let asked = queries.into_iter().map(|asked| (number, due, asked));
+            self.queries.extend(asked);
         }
         let is_cold = self.cold_from.is_some();
-        for (number, due, question) in std::mem::take(&mut self.questions) {
+        for (number, due, query) in std::mem::take(&mut self.queries) {
             if due > self.now {
-                self.questions.push((number, due, question));
+                self.queries.push((number, due, query));
                 continue;
             }
             let cold_for = Duration::from_secs(if is_cold { 3 } else { 0 });
-            let word = ColdReply { question, cold_for };
-            self.senders[number].note_cold_reply(self.now, &word);
+            let reply = ColdReply { query, cold_for };
+            self.senders[number].note_cold_reply(self.now, &reply);
         }
     }
 
@@ -133,7 +133,7 @@
         let sender = number as usize % self.senders.len();
         let service = service();
         let route = route();
-        let ask = DispatchRequest {
+        let request = DispatchRequest {
             service: &service,
             route: &route,
             latency_objective: Duration::from_secs(1),
@@ -149,7 +149,7 @@
             tried: &[],
             resend: false,
         };
-        let Ok(choice) = self.senders[sender].choose(self.now, &ask) else {
+        let Ok(choice) = self.senders[sender].choose(self.now, &request) else {
             self.refused += 1;
             return;
         };
@@ -194,10 +194,10 @@
 #[test]
 fn test_cold_tracker_finds_cold_backend_servers_without_control() {
     let mut region = Region::new(4);
-    region.play(Duration::from_secs(5));
+    region.run(Duration::from_secs(5));
     assert_eq!(region.refused, 0, "a good word lets requests through");
     region.cold_from = Some(region.now);
-    region.play(Duration::from_secs(4));
+    region.run(Duration::from_secs(4));
     let most = region.most_while_cold();
     assert!(most <= 16, "{most} requests within a second");
 }
@@ -207,11 +207,11 @@
 fn test_cold_tracker_asks_nobody_while_control_is_in_reach() {
     let mut region = Region::new(4);
     for _ in 0..10 {
-        region.play(Duration::from_millis(800));
+        region.run(Duration::from_millis(800));
         for sender in &mut region.senders {
             sender.note_control_contact(region.now);
         }
-        assert!(region.questions.is_empty());
+        assert!(region.queries.is_empty());
     }
     assert_eq!(region.refused, 0);
     assert!(region.now > region.origin);
@@ -221,12 +221,12 @@
 #[test]
 fn test_cold_tracker_is_careful_without_a_word() {
     let mut region = Region::new(4);
-    region.play(Duration::from_secs(2));
+    region.run(Duration::from_secs(2));
     region.cold_from = Some(region.now + Duration::from_millis(250));
     let end = region.now + Duration::from_secs(4);
     while region.now < end {
-        region.questions.clear();
-        region.play(STEP);
+        region.queries.clear();
+        region.run(STEP);
     }
     let most = region.most_while_cold();
     assert!(most <= 16, "{most} requests within a second");
@@ -242,22 +242,22 @@
 #[test]
 fn test_cold_tracker_pauses_where_a_place_is_asked_no_more() {
     let began = Instant::now();
-    let mut watch = ColdTracker::new(began);
-    let asked_at = began + CONTROL_LOST_AFTER;
-    assert!(watch.try_ask(asked_at, &place(0)));
-    let mut now = asked_at;
+    let mut tracker = ColdTracker::new(began);
+    let sent_at = began + CONTROL_LOST_AFTER;
+    assert!(tracker.try_query(sent_at, &place(0)));
+    let mut now = sent_at;
     for _ in 0..20 {
-        let next = watch.next_due(now);
+        let next = tracker.next_due(now);
         assert!(
             next > now,
             "no pause {:?} after the question",
-            now - asked_at
+            now - sent_at
         );
         now = next;
-        watch.try_ask(now, &place(1));
+        tracker.try_query(now, &place(1));
     }
     assert!(
-        now <= asked_at + Duration::from_secs(5),
+        now <= sent_at + Duration::from_secs(5),
         "questions are late"
     );
 }
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -3,8 +3,8 @@
 mod dispatch_model;
 
 use dispatch_model::Model;
-use dispatch_model::Plan;
 use dispatch_model::Probe;
+use dispatch_model::Scenario;
 use heatherring_lib::dispatch_request::RETRY_ELSEWHERE_AFTER;
 use heatherring_lib::dispatch_request::RefusedReason;
 use heatherring_lib::dispatch_request::SendOutcome;
@@ -28,13 +28,13 @@
 #[test]
 fn test_direct_dispatch_recovers_from_a_burst() {
     for seed in 1..=3 {
-        let result = Model::new(Plan {
+        let result = Model::new(Scenario {
             rate: 190.0,
             burst: 2.0,
             seed,
-            ..Plan::look_up()
+            ..Scenario::look_up()
         })
-        .play();
+        .run();
         assert!(result.share() > 0.92, "seed {seed}: {result:?}");
         assert!(result.cold_runs < 1_000, "seed {seed}: {result:?}");
     }
@@ -45,11 +45,11 @@
 /// its data at hand. There were 904 such runs without the bound, and are 485 with it.
 #[test]
 fn test_direct_dispatch_keeps_objects_together() {
-    let result = Model::new(Plan {
+    let result = Model::new(Scenario {
         rate: 140.0,
-        ..Plan::look_up()
+        ..Scenario::look_up()
     })
-    .play();
+    .run();
     assert!(result.cold_runs < 700, "{result:?}");
     assert!(result.share() > 0.97, "{result:?}");
 }
@@ -58,7 +58,7 @@
 /// requests must be served elsewhere, and all in time.
 #[test]
 fn test_direct_dispatch_serves_a_region_short_of_room() {
-    let result = Model::new(Plan::look_up()).play();
+    let result = Model::new(Scenario::look_up()).run();
     assert!(result.share() > 0.97, "{result:?}");
 }
 
@@ -90,10 +90,10 @@
 fn test_direct_dispatch_stays_where_a_request_waits() {
     let mut probe = dispatch_model::Probe::new();
     let home = probe.choose("17");
-    probe.pass(Duration::from_millis(400));
+    probe.advance(Duration::from_millis(400));
     let next = probe.choose("17");
     assert_eq!(next.name, home.name);
-    probe.pass(Duration::from_secs(3));
+    probe.advance(Duration::from_secs(3));
     let hanging = probe.choose("17");
     assert_ne!(hanging.name, home.name);
 }
@@ -110,13 +110,13 @@
 #[test]
 fn test_direct_dispatch_starts_without_moving_regions() {
     for seed in 1..=3 {
-        let result = Model::new(Plan {
+        let result = Model::new(Scenario {
             seed,
             counted: (0, 8),
-            ..Plan::grown()
+            ..Scenario::grown()
         })
-        .play();
-        assert!(result.most_shift < 0.15, "seed {seed}: {result:?}");
+        .run();
+        assert!(result.max_shift < 0.15, "seed {seed}: {result:?}");
         assert!(result.share() > 0.9, "seed {seed}: {result:?}");
     }
 }
@@ -137,13 +137,13 @@
 #[test]
 fn test_direct_dispatch_starts_at_a_peak_without_moving_regions() {
     for seed in 1..=3 {
-        let result = Model::new(Plan {
+        let result = Model::new(Scenario {
             seed,
             counted: (0, 8),
-            ..Plan::peak()
+            ..Scenario::peak()
         })
-        .play();
-        assert!(result.most_shift < 0.15, "seed {seed}: {result:?}");
+        .run();
+        assert!(result.max_shift < 0.15, "seed {seed}: {result:?}");
         assert!(result.share() > 0.6, "seed {seed}: {result:?}");
     }
 }
@@ -158,16 +158,16 @@
 #[test]
 fn test_direct_dispatch_keeps_queues_short_under_overload() {
     for seed in 1..=2 {
-        let result = Model::new(Plan {
+        let result = Model::new(Scenario {
             servers: vec![4, 6, 0],
             entries: 4,
             rate: 137.0,
             counted: (0, 8),
             length: Duration::from_secs(24),
             seed,
-            ..Plan::look_up()
+            ..Scenario::look_up()
         })
-        .play();
+        .run();
         assert!(result.share() > 0.08, "seed {seed}: {result:?}");
         let answered = result.in_objective + result.late;
         assert!(
@@ -217,7 +217,7 @@
     for number in 0..20 {
         let choice = probe.choose(&number.to_string());
         all_near &= choice.name.as_str().starts_with(&near);
-        probe.pass(Duration::from_millis(100));
+        probe.advance(Duration::from_millis(100));
         probe.end(&choice, SendOutcome::Answered);
     }
     assert_eq!(all_near, stays);
@@ -248,7 +248,7 @@
 ) {
     let mut probe = dispatch_model::Probe::new();
     probe.stop(|now| PlannedStop::new(now, grace));
-    probe.pass(passed);
+    probe.advance(passed);
     let refusal = probe.choose_or_refuse("17").err();
     assert_eq!(refusal.map(|refusal| refusal.reason), refused);
     let retry_after = refusal.map(|refusal| refusal.retry_after);
@@ -272,19 +272,19 @@
     const WAY: Duration = Duration::from_millis(2);
     let mut probe = Probe::new();
     // Each request that is sent ends after the time in which 60 more come.
-    let mut under_way = VecDeque::from(vec![None; 60]);
+    let mut in_flight = VecDeque::from(vec![None; 60]);
     let mut refused_with = |probe: &mut Probe, took: Duration| {
         let mut refused = Vec::new();
         for object in 0..400 {
-            probe.pass(Duration::from_millis(10));
-            if let Some(Some(ended)) = under_way.pop_front() {
+            probe.advance(Duration::from_millis(10));
+            if let Some(Some(ended)) = in_flight.pop_front() {
                 probe.end(&ended, SendOutcome::Answered);
             }
             let choice = probe.choose_or_refuse(&object.to_string());
             if let Ok(choice) = &choice {
                 probe.connected(choice, took);
             }
-            under_way.push_back(choice.as_ref().ok().cloned());
+            in_flight.push_back(choice.as_ref().ok().cloned());
             refused.extend(choice.err());
         }
         refused
@@ -313,13 +313,13 @@
 fn test_direct_dispatch_takes_requests_while_most_backend_servers_are_dark() {
     let mut probe = Probe::new();
     for object in 0..100 {
-        probe.pass(Duration::from_millis(10));
+        probe.advance(Duration::from_millis(10));
         let choice = probe.choose(&object.to_string());
         if object % 3 == 0 {
             probe.connected(&choice, Duration::from_millis(2));
             probe.end(&choice, SendOutcome::Answered);
         } else {
-            probe.pass(Duration::from_millis(400));
+            probe.advance(Duration::from_millis(400));
             probe.end(&choice, SendOutcome::Unreachable);
         }
     }
@@ -330,17 +330,17 @@
 /// the first answers. So it isn't this that makes a crowd late while entry VMs stop in turn.
 #[test]
 fn test_direct_dispatch_bears_entry_vms_that_start_anew() {
-    let calm = Plan {
+    let calm = Scenario {
         burst: 1.3,
         counted: (2, 7),
-        ..Plan::grown()
+        ..Scenario::grown()
     };
-    let restarting = Plan {
+    let restarting = Scenario {
         restarting: 12,
         ..calm.clone()
     };
-    let before = Model::new(calm).play().share();
-    let after = Model::new(restarting).play().share();
+    let before = Model::new(calm).run().share();
+    let after = Model::new(restarting).run().share();
     assert!(
         after > before - 0.03,
         "{before} in time, {after} with starts"
--- a/lib/tests/test_region_moves.rs
+++ b/lib/tests/test_region_moves.rs
@@ -9,7 +9,7 @@
 
 /// Asks `count` times over one window, and moves as often as may be if `wanted`; returns the
 /// share that moved.
-fn play(moves: &mut RegionMoves, from: Instant, count: u32, wanted: bool) -> f64 {
+fn run_window(moves: &mut RegionMoves, from: Instant, count: u32, wanted: bool) -> f64 {
     let mut count_moved = 0;
     for number in 0..count {
         let now = from + WINDOW * number / count;
@@ -26,7 +26,7 @@
     let mut moves = RegionMoves::default();
     let mut before = 0.0;
     for window in 0..8 {
-        let share = play(&mut moves, start + WINDOW * window, 200, true);
+        let share = run_window(&mut moves, start + WINDOW * window, 200, true);
         assert!(share <= before + 0.12, "{before} {share}");
         assert!(share >= before + 0.06, "{before} {share}");
         before = share;
@@ -38,8 +38,8 @@
 fn test_region_moves_begin_at_nothing() {
     let start = Instant::now();
     let mut moves = RegionMoves::default();
-    play(&mut moves, start, 200, false);
-    let share = play(&mut moves, start + WINDOW, 200, true);
+    run_window(&mut moves, start, 200, false);
+    let share = run_window(&mut moves, start + WINDOW, 200, true);
     assert!((0.06..=0.1).contains(&share), "{share}");
 }
 
@@ -48,7 +48,7 @@
 fn test_region_moves_are_possible_with_few_requests() {
     let start = Instant::now();
     let mut moves = RegionMoves::default();
-    let shares = (0..40).map(|window| play(&mut moves, start + WINDOW * window, 12, true));
+    let shares = (0..40).map(|window| run_window(&mut moves, start + WINDOW * window, 12, true));
     assert!(shares.sum::<f64>() / 40.0 > 0.1);
 }
 
@@ -58,8 +58,8 @@
     let start = Instant::now();
     let mut moves = RegionMoves::default();
     for window in 0..4 {
-        play(&mut moves, start + WINDOW * window, 200, true);
+        run_window(&mut moves, start + WINDOW * window, 200, true);
     }
-    let share = play(&mut moves, start + Duration::from_mins(10), 200, true);
+    let share = run_window(&mut moves, start + Duration::from_mins(10), 200, true);
     assert!(share <= 0.1, "{share}");
 }
--- a/lib/tests/test_stop_estimate.rs
+++ b/lib/tests/test_stop_estimate.rs
@@ -26,7 +26,7 @@
     let mut probe = Probe::new();
     for took_ms in took_ms.iter().cycle().take(200) {
         let choice = probe.choose("17");
-        probe.pass(Duration::from_millis(*took_ms));
+        probe.advance(Duration::from_millis(*took_ms));
         probe.end(&choice, SendOutcome::Answered);
     }
     let mut left = Duration::ZERO;
@@ -35,7 +35,7 @@
         left = stop.answers_until().duration_since(now);
         stop
     });
-    probe.pass(left.checked_sub(LEFT).unwrap());
+    probe.advance(left.checked_sub(LEFT).unwrap());
     let chosen = probe.choose_or_refuse("17");
     let expected = chosen.as_ref().map(|choice| choice.expected);
     let reason = chosen.as_ref().err().map(|refusal| refusal.reason);
--- a/server/src/cold_querier.rs
+++ b/server/src/cold_querier.rs
@@ -31,7 +31,7 @@
 
 /// Tells why a question got no answer.
 #[derive(Debug, Snafu)]
-enum QuestionError {
+enum QueryError {
     #[snafu(display("{source}"))]
     Unreachable { source: ConnectError },
     #[snafu(display("the path of the health check isn't one: {source}"))]
@@ -60,49 +60,47 @@
 impl ColdQuerier {
     /// Asks what is due, for as long as the process runs.
     pub async fn run(self) {
-        while let Some((questions, next)) = self.dispatch.cold_queries().await {
-            for question in questions {
-                tokio::spawn(self.clone().ask(question));
+        while let Some((queries, next)) = self.dispatch.cold_queries().await {
+            for query in queries {
+                tokio::spawn(self.clone().ask(query));
             }
             let pause = next.saturating_duration_since(self.clock.now());
             tokio::time::sleep(pause).await;
         }
     }
 
-    async fn ask(self, question: ColdQuery) {
-        let asking = tokio::time::timeout(ANSWER_WITHIN, self.exchange(&question));
-        let answer = asking.await.unwrap_or(Err(QuestionError::Late));
+    async fn ask(self, query: ColdQuery) {
+        let asking = tokio::time::timeout(ANSWER_WITHIN, self.exchange(&query));
+        let answer = asking.await.unwrap_or(Err(QueryError::Late));
         match answer {
             Ok(cold_for) => {
                 if !cold_for.is_zero() {
-                    log::info!(event = "backend_cold", backend = question.name.as_str(), cold_ms = whole_ms(cold_for); "a backend server says itself that it is cold; control is out of reach");
+                    log::info!(event = "backend_cold", backend = query.name.as_str(), cold_ms = whole_ms(cold_for); "a backend server says itself that it is cold; control is out of reach");
                 }
-                let word = ColdReply { question, cold_for };
-                self.dispatch.note_cold_reply(word);
+                let reply = ColdReply { query, cold_for };
+                self.dispatch.note_cold_reply(reply);
             }
             Err(error) => {
-                log::debug!(event = "backend_unasked", backend = question.name.as_str(), error:% = error; "a backend server didn't say whether it is cold");
+                log::debug!(event = "backend_unasked", backend = query.name.as_str(), error:% = error; "a backend server didn't say whether it is cold");
             }
         }
     }
 
-    async fn exchange(&self, question: &ColdQuery) -> Result<Duration, QuestionError> {
-        let connecting = self.pool.connect_within(
-            question.address,
-            question.service.max_connections,
-            ANSWER_WITHIN,
-        );
+    async fn exchange(&self, query: &ColdQuery) -> Result<Duration, QueryError> {
+        let connecting =
+            self.pool
+                .connect_within(query.address, query.service.max_connections, ANSWER_WITHIN);
         let mut connection = connecting.await.context(UnreachableSnafu)?;
-        let req = Request::get(question.service.health_path.as_str())
-            .header(http::header::HOST, question.address.to_string())
+        let req = Request::get(query.service.health_path.as_str())
+            .header(http::header::HOST, query.address.to_string())
             .body(Full::<Bytes>::default())
             .context(PathSnafu)?;
         let answering = connection.sender().send_request(req);
         let (head, body) = answering.await.context(ExchangeSnafu)?.into_parts();
-        let word = self.interface.read_health(&head, &question.name);
+        let reply = self.interface.read_health(&head, &query.name);
         if refusal_body::read_out(body).await {
             self.pool.give_back_for(connection, KEEP);
         }
-        word.map(|word| word.cold_for).ok_or(QuestionError::Foreign)
+        reply.map(|reply| reply.cold_for).ok_or(QueryError::Foreign)
     }
 }
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 enum Message {
     Choose {
-        ask: OwnedDispatchRequest,
+        request: OwnedDispatchRequest,
         reply: oneshot::Sender<Result<Choice, Refused>>,
     },
     Ended(SendEnd),
@@ -105,11 +105,14 @@
     /// # Errors
     ///
     /// Tells why none was picked.
-    pub async fn choose(&self, ask: OwnedDispatchRequest) -> Result<(Choice, SendGuard), Refused> {
+    pub async fn choose(
+        &self,
+        request: OwnedDispatchRequest,
+    ) -> Result<(Choice, SendGuard), Refused> {
         let (reply, answer) = oneshot::channel();
-        let object = ask.object;
+        let object = request.object;
         // Sends fail only when the task has ended with its process.
-        let _ = self.tx.send(Message::Choose { ask, reply });
+        let _ = self.tx.send(Message::Choose { request, reply });
         let choice = answer.await.unwrap_or(Err(Refused {
             reason: RefusedReason::NoBackend,
             retry_after: RETRY_ELSEWHERE_AFTER,
@@ -162,8 +165,8 @@
     }
 
     /// Notes what a backend server answered.
-    pub fn note_cold_reply(&self, word: ColdReply) {
-        let _ = self.tx.send(Message::ColdReply(word));
+    pub fn note_cold_reply(&self, reply: ColdReply) {
+        let _ = self.tx.send(Message::ColdReply(reply));
     }
 
     /// Notes which backend servers control hasn't heard of lately.
@@ -203,8 +206,8 @@
     while let Some(message) = rx.recv().await {
         let now = clock.now();
         match message {
-            Message::Choose { ask, reply } => {
-                let result = dispatcher.choose(now, &borrowed(&ask));
+            Message::Choose { request, reply } => {
+                let result = dispatcher.choose(now, &borrowed(&request));
                 if let Err(Ok(choice)) = reply.send(result) {
                     dispatcher.ended(now, &unused(&choice));
                 }
@@ -223,24 +226,24 @@
                 // An asker that has gone ends with the process.
                 let _ = reply.send(dispatcher.cold_queries(now));
             }
-            Message::ColdReply(word) => dispatcher.note_cold_reply(now, &word),
+            Message::ColdReply(reply) => dispatcher.note_cold_reply(now, &reply),
         }
     }
 }
 
-fn borrowed(ask: &OwnedDispatchRequest) -> DispatchRequest<'_> {
+fn borrowed(request: &OwnedDispatchRequest) -> DispatchRequest<'_> {
     DispatchRequest {
-        service: &ask.service,
-        route: &ask.route_name,
-        latency_objective: ask.route.latency_objective,
-        object: ask.object,
-        rank: ask.rank,
-        deadline: ask.deadline,
-        objective: ask.objective,
-        answers_until: ask.answers_until,
-        homes: &ask.homes,
-        tried: &ask.tried,
-        resend: ask.resend,
+        service: &request.service,
+        route: &request.route_name,
+        latency_objective: request.route.latency_objective,
+        object: request.object,
+        rank: request.rank,
+        deadline: request.deadline,
+        objective: request.objective,
+        answers_until: request.answers_until,
+        homes: &request.homes,
+        tried: &request.tried,
+        resend: request.resend,
     }
 }
 
