--- a/lib/src/backend_registry.rs
+++ b/lib/src/backend_registry.rs
@@ -14,8 +14,8 @@
 use crate::announcement::BackendState;
 use crate::announcement::LAPSE_MS;
 use crate::announcement::REPEAT_MS;
-use crate::circuit::Circuit;
-use crate::circuit::Flow;
+use crate::circuit_breaker::CircuitBreaker;
+use crate::circuit_breaker::Flow;
 use crate::id::BackendName;
 use crate::id::SessionId;
 use crate::manifest::Drain;
@@ -67,7 +67,7 @@
     received_at: Instant,
     leaving_since: Option<Instant>,
     ramp: Ramp,
-    circuit: Circuit,
+    circuit_breaker: CircuitBreaker,
     shed: ShedLimit,
     in_flight: u32,
     /// Most requests in flight since the last announcement.
@@ -191,7 +191,7 @@
         server.in_flight += 1;
         server.peak = server.peak.max(server.in_flight);
         server.last_used = Some(now);
-        server.circuit.note_sent();
+        server.circuit_breaker.note_sent();
         Some(BackendEndpoint {
             address: server.announcement.address,
             backend: name,
@@ -212,15 +212,15 @@
         server.in_flight = server.in_flight.saturating_sub(1);
         match ending {
             Ending::Answered { .. } => {
-                server.circuit.note_answer();
+                server.circuit_breaker.note_answer();
                 server.shed.note_answer(now, server.slots);
             }
-            Ending::NotConnected | Ending::Failed => server.circuit.note_failure(now),
+            Ending::NotConnected | Ending::Failed => server.circuit_breaker.note_failure(now),
             Ending::ShedByServer => {
-                server.circuit.note_nothing();
+                server.circuit_breaker.note_inconclusive();
                 server.shed.note_shed(now, server.in_flight);
             }
-            Ending::Cancelled => server.circuit.note_nothing(),
+            Ending::Cancelled => server.circuit_breaker.note_inconclusive(),
         }
         if let Some(until) = ending.may_run_until(now, deadline) {
             self.hold(HeldSlot {
@@ -298,7 +298,7 @@
             received_at: now,
             leaving_since: None,
             ramp,
-            circuit: Circuit::default(),
+            circuit_breaker: CircuitBreaker::default(),
             shed: ShedLimit::default(),
             in_flight: 0,
             peak: 0,
@@ -314,7 +314,7 @@
         if restarted {
             self.leaving_since = None;
             self.ramp = Ramp::Since(now);
-            self.circuit = Circuit::default();
+            self.circuit_breaker = CircuitBreaker::default();
         }
         if announcement.state == BackendState::Leaving {
             self.leaving_since = Some(now);
@@ -344,7 +344,7 @@
         if !self.accepts_work(now) {
             return 0;
         }
-        match self.circuit.flow(now) {
+        match self.circuit_breaker.flow(now) {
             Flow::All => {}
             Flow::OneIdempotent | Flow::One => return 1,
             Flow::Nothing => return 0,
@@ -367,7 +367,7 @@
     }
 
     fn admits(&self, now: Instant, idempotent: bool, taken: u32) -> bool {
-        match self.circuit.flow(now) {
+        match self.circuit_breaker.flow(now) {
             Flow::All => true,
             Flow::OneIdempotent => idempotent && taken == 0,
             Flow::One => taken == 0,
--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -42,9 +42,9 @@
 use crate::id::RouteName;
 use crate::id::ServiceName;
 use crate::id::VmName;
-use crate::link_queue::LinkQueue;
+use crate::link_congestion::LinkCongestion;
 use crate::region_moves::RegionMoves;
-use crate::request_rank::RankShares;
+use crate::request_rank::RankFairness;
 use crate::service_latency::RouteLatencyKey;
 
 /// Least and longest time after which a caller that was refused is told to come back. What
@@ -89,14 +89,14 @@
     /// Shortest delay there and back that was seen, by region.
     pub(crate) delays: BTreeMap<RegionName, Duration>,
     /// What stands at this entry VM's own link.
-    link: LinkQueue,
+    link: LinkCongestion,
     /// Requests that were sent and haven't ended.
     in_flight: usize,
     silent: BTreeSet<BackendName>,
     evacuated: BTreeSet<PlaceName>,
     started_at: Instant,
     moves: RegionMoves,
-    rank_shares: RankShares,
+    rank_fairness: RankFairness,
     /// Where the next refusal's time lies in its spread, 0 to 1.
     spread_phase: f64,
 }
@@ -116,13 +116,13 @@
             cold_tracker: ColdTracker::new(now),
             query_turn: 0,
             delays: BTreeMap::new(),
-            link: LinkQueue::default(),
+            link: LinkCongestion::default(),
             in_flight: 0,
             silent: BTreeSet::new(),
             evacuated: BTreeSet::new(),
             started_at: now,
             moves: RegionMoves::default(),
-            rank_shares: RankShares::default(),
+            rank_fairness: RankFairness::default(),
             spread_phase: 0.0,
         }
     }
@@ -319,7 +319,7 @@
             .saturating_duration_since(now)
             .as_secs_f64();
         let wait_share = if policy.shares_by_priority {
-            self.rank_shares.wait_share(now, request.rank)
+            self.rank_fairness.wait_share(now, request.rank)
         } else {
             1.0
         };
@@ -347,7 +347,7 @@
             request.answers_until.is_none() || best.wait + time_to_last_byte <= time_left
         });
         if !candidates.is_empty() {
-            self.rank_shares.note(now, request.rank, best.is_some());
+            self.rank_fairness.note(now, request.rank, best.is_some());
         }
         let Some(best) = best else {
             return Err(if candidates.is_empty() {
--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -116,7 +116,7 @@
         let decided = self.cx.decided(self.arrived);
         match self.cx.stopping.state() {
             StopState::Ended(stop) => {
-                let stopped_for = stop.since_asked(self.arrived);
+                let stopped_for = stop.since_requested(self.arrived);
                 self.trace.tell_cut_off(&decided, stopped_for);
             }
             StopState::Running | StopState::Stopping(_) => self.trace.tell_left(&decided),
--- a/server/src/direct_process.rs
+++ b/server/src/direct_process.rs
@@ -305,7 +305,7 @@
 
 /// Serves until the time for requests is over, and finishes what was taken.
 async fn serve_out(stop: PlannedStop, no_more: &CancellationToken, serving: JoinHandle<()>) {
-    tokio::time::sleep_until(stop.takes_until().into()).await;
+    tokio::time::sleep_until(stop.accepts_until().into()).await;
     no_more.cancel();
     let ended = tokio::time::timeout_at(stop.ends_at().into(), serving).await;
     if ended.is_err() {
