--- a/lib/examples/steering_model/direct.rs
+++ b/lib/examples/steering_model/direct.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::report::Report;
-use crate::world::Agenda;
+use crate::world::EventQueue;
 use crate::world::MEASURED;
 use crate::world::Request;
 use crate::world::WARM_UP;
@@ -25,7 +25,7 @@
 
 /// How an entry VM chooses a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Choice {
+pub enum Strategy {
     /// The next of all in the region.
     RoundRobin,
     /// The one in the region that last reported the least load.
@@ -36,7 +36,7 @@
     Credits,
 }
 
-impl Choice {
+impl Strategy {
     pub const ALL: [Self; 4] = [
         Self::RoundRobin,
         Self::LeastReported,
@@ -79,8 +79,8 @@
 }
 
 pub struct Direct {
-    choice: Choice,
-    agenda: Agenda<Event>,
+    strategy_kind: Strategy,
+    queue: EventQueue<Event>,
     /// Backend servers of each entry VM's region.
     near: Vec<Vec<usize>>,
     next: Vec<usize>,
@@ -93,7 +93,7 @@
 }
 
 impl Direct {
-    pub fn new(world: &World, choice: Choice, seed: u64) -> Self {
+    pub fn new(world: &World, strategy_kind: Strategy, seed: u64) -> Self {
         let region = |place: usize| world.places[place].1;
         let near: Vec<Vec<usize>> = world
             .entry_places
@@ -115,8 +115,8 @@
             }
         }
         Self {
-            choice,
-            agenda: Agenda::new(),
+            strategy_kind,
+            queue: EventQueue::new(),
             next: vec![0; near.len()],
             waiting: vec![VecDeque::new(); near.len()],
             near,
@@ -129,10 +129,10 @@
 
     pub fn run(mut self, world: &mut World) -> Report {
         for request in std::mem::take(&mut world.arrivals) {
-            self.agenda.add(request.arrived, Event::Arrive(request));
+            self.queue.add(request.arrived, Event::Arrive(request));
         }
-        self.agenda.add(Duration::ZERO, Event::Report);
-        while let Some((now, event)) = self.agenda.pop() {
+        self.queue.add(Duration::ZERO, Event::Report);
+        while let Some((now, event)) = self.queue.pop() {
             self.step(world, now, event);
         }
         std::mem::replace(&mut world.report, Report::new(1.0))
@@ -148,7 +148,7 @@
             } => {
                 if world.begin(backend, &request) {
                     let done = Event::Done { backend, request };
-                    self.agenda.add(now + request.service, done);
+                    self.queue.add(now + request.service, done);
                 } else {
                     let back = travel(world, backend, &request);
                     let shed = Event::Shed {
@@ -156,13 +156,13 @@
                         request,
                         tries,
                     };
-                    self.agenda.add(now + back, shed);
+                    self.queue.add(now + back, shed);
                 }
             }
             Event::Done { backend, request } => {
                 world.backends[backend].running -= 1;
                 let back = travel(world, backend, &request);
-                self.agenda
+                self.queue
                     .add(now + back, Event::Answer { backend, request });
             }
             Event::Answer { backend, request } => {
@@ -189,7 +189,7 @@
                     *reported = backend.running;
                 }
                 if now < WARM_UP + MEASURED {
-                    self.agenda.add(now + REPORT_INTERVAL, Event::Report);
+                    self.queue.add(now + REPORT_INTERVAL, Event::Report);
                 }
             }
         }
@@ -213,17 +213,17 @@
             request,
             tries,
         };
-        self.agenda.add(now + there, reach);
+        self.queue.add(now + there, reach);
     }
 
     fn choose(&mut self, entry: usize) -> Option<usize> {
         let near = &self.near[entry];
-        match self.choice {
-            Choice::RoundRobin => {
+        match self.strategy_kind {
+            Strategy::RoundRobin => {
                 self.next[entry] += 1;
                 Some(near[self.next[entry] % near.len()])
             }
-            Choice::LeastReported => {
+            Strategy::LeastReported => {
                 let least = near.iter().map(|b| self.reported[*b]).min()?;
                 let least: Vec<usize> = near
                     .iter()
@@ -232,13 +232,13 @@
                     .collect();
                 Some(least[self.rng.random_range(0..least.len())])
             }
-            Choice::TwoChoices => {
+            Strategy::TwoChoices => {
                 let draw = |rng: &mut ChaCha8Rng| near[rng.random_range(0..near.len())];
                 let pair = [draw(&mut self.rng), draw(&mut self.rng)];
                 let load = |b: &usize| self.own[entry][*b].max(self.reported[*b]);
                 pair.into_iter().min_by_key(load)
             }
-            Choice::Credits => {
+            Strategy::Credits => {
                 let free = |b: &usize| self.own[entry][*b] < self.credits[entry][*b];
                 near.iter().copied().find(free)
             }
--- a/lib/examples/steering_model/main.rs
+++ b/lib/examples/steering_model/main.rs
@@ -10,8 +10,8 @@
 mod report;
 mod world;
 
-use direct::Choice;
 use direct::Direct;
+use direct::Strategy;
 use owners::Owners;
 use report::Report;
 use world::Deployment;
@@ -28,10 +28,10 @@
     };
     println!("{}", Report::HEAD);
     for load in LOADS {
-        for choice in Choice::ALL {
+        for strategy_kind in Strategy::ALL {
             let mut world = World::new(&deployment, load, SEED);
-            let report = Direct::new(&world, choice, SEED).run(&mut world);
-            println!("{}", report.line(load, choice.name()));
+            let report = Direct::new(&world, strategy_kind, SEED).run(&mut world);
+            println!("{}", report.line(load, strategy_kind.name()));
         }
         let mut world = World::new(&deployment, load, SEED);
         let report = Owners::new(&world, SEED).run(&mut world);
--- a/lib/examples/steering_model/owners.rs
+++ b/lib/examples/steering_model/owners.rs
@@ -47,8 +47,8 @@
 use heatherring_lib::view::ManifestInForce;
 
 use crate::report::Report;
-use crate::world::Agenda;
 use crate::world::DEADLINE;
+use crate::world::EventQueue;
 use crate::world::MEASURED;
 use crate::world::Request;
 use crate::world::WARM_UP;
@@ -65,32 +65,32 @@
     Arrive(Request),
     Offer {
         owner: usize,
-        sent: Sent,
+        routed: RoutedRequest,
     },
     Reach {
         owner: usize,
         backend: usize,
         key: DispatchKey,
-        sent: Sent,
+        routed: RoutedRequest,
     },
     Done {
         owner: usize,
         backend: usize,
         key: DispatchKey,
-        sent: Sent,
+        routed: RoutedRequest,
     },
     Answered {
         owner: usize,
         key: DispatchKey,
-        sent: Sent,
+        routed: RoutedRequest,
     },
     Reply(Request),
     Refused {
-        sent: Sent,
+        routed: RoutedRequest,
         reason: NotRunReason,
     },
     Digests,
-    Heard {
+    DigestReceived {
         entry: usize,
         digest: Arc<LoadDigest>,
     },
@@ -100,7 +100,7 @@
 
 /// A request with the owners that are left to try.
 #[derive(Clone)]
-struct Sent {
+struct RoutedRequest {
     request: Request,
     candidates: Vec<Candidate>,
     tries: usize,
@@ -116,11 +116,11 @@
 
 pub struct Owners {
     start: Instant,
-    agenda: Agenda<Event>,
+    queue: EventQueue<Event>,
     entries: Vec<Entry>,
     places: Vec<PlaceName>,
     service: ServiceName,
-    waiting: HashMap<RequestToken, Sent>,
+    waiting: HashMap<RequestToken, RoutedRequest>,
 }
 
 impl Owners {
@@ -150,7 +150,7 @@
         });
         Self {
             start: start + SETTLING,
-            agenda: Agenda::new(),
+            queue: EventQueue::new(),
             entries: entries.collect(),
             places: world
                 .places
@@ -163,13 +163,13 @@
     }
 
     pub fn run(mut self, world: &mut World) -> Report {
-        self.agenda.add(Duration::ZERO, Event::Announce);
-        self.agenda.add(Duration::ZERO, Event::Digests);
-        self.agenda.add(Duration::ZERO, Event::Tick);
+        self.queue.add(Duration::ZERO, Event::Announce);
+        self.queue.add(Duration::ZERO, Event::Digests);
+        self.queue.add(Duration::ZERO, Event::Tick);
         for request in std::mem::take(&mut world.arrivals) {
-            self.agenda.add(request.arrived, Event::Arrive(request));
+            self.queue.add(request.arrived, Event::Arrive(request));
         }
-        while let Some((now, event)) = self.agenda.pop() {
+        while let Some((now, event)) = self.queue.pop() {
             self.step(world, now, event);
         }
         std::mem::replace(&mut world.report, Report::new(1.0))
@@ -178,50 +178,50 @@
     fn step(&mut self, world: &mut World, now: Duration, event: Event) {
         match event {
             Event::Arrive(request) => self.arrive(world, now, request),
-            Event::Offer { owner, sent } => self.offer(world, now, owner, sent),
+            Event::Offer { owner, routed } => self.offer(world, now, owner, routed),
             Event::Reach {
                 owner,
                 backend,
                 key,
-                sent,
+                routed,
             } => {
-                if world.begin(backend, &sent.request) {
-                    let done = now + sent.request.service;
-                    self.agenda.add(
+                if world.begin(backend, &routed.request) {
+                    let done = now + routed.request.service;
+                    self.queue.add(
                         done,
                         Event::Done {
                             owner,
                             backend,
                             key,
-                            sent,
+                            routed,
                         },
                     );
                 } else {
                     self.finish(world, now, owner, key, Ending::ShedByServer);
-                    self.refuse(world, now, owner, sent, NotRunReason::BackendRefused);
+                    self.refuse(world, now, owner, routed, NotRunReason::BackendRefused);
                 }
             }
             Event::Done {
                 owner,
                 backend,
                 key,
-                sent,
+                routed,
             } => {
                 world.backends[backend].running -= 1;
                 let back = world.delay(world.entry_places[owner], world.backends[backend].place);
-                self.agenda
-                    .add(now + back, Event::Answered { owner, key, sent });
+                self.queue
+                    .add(now + back, Event::Answered { owner, key, routed });
             }
-            Event::Answered { owner, key, sent } => {
-                let latency = now.saturating_sub(sent.begun);
+            Event::Answered { owner, key, routed } => {
+                let latency = now.saturating_sub(routed.begun);
                 self.finish(world, now, owner, key, Ending::Answered { latency });
-                let back = between(world, owner, sent.request.entry);
-                self.agenda.add(now + back, Event::Reply(sent.request));
+                let back = between(world, owner, routed.request.entry);
+                self.queue.add(now + back, Event::Reply(routed.request));
             }
             Event::Reply(request) => world.answered(now, &request),
-            Event::Refused { sent, reason } => self.refused(world, now, sent, reason),
+            Event::Refused { routed, reason } => self.refused(world, now, routed, reason),
             Event::Digests => self.send_digests(world, now),
-            Event::Heard { entry, digest } => {
+            Event::DigestReceived { entry, digest } => {
                 let at = self.start + now;
                 self.entries[entry].steering.take_digest(at, &digest);
             }
@@ -242,46 +242,51 @@
         let mut candidates = entry.steering.candidates(at, req);
         candidates.truncate(MAX_TRIES);
         candidates.reverse();
-        let sent = Sent {
+        let routed = RoutedRequest {
             request,
             candidates,
             tries: 0,
             begun: now,
         };
-        self.send(world, now, sent);
+        self.send(world, now, routed);
     }
 
-    fn send(&mut self, world: &mut World, now: Duration, mut sent: Sent) {
-        let Some(candidate) = sent.candidates.last() else {
-            world.refused(now, &sent.request);
+    fn send(&mut self, world: &mut World, now: Duration, mut routed: RoutedRequest) {
+        let Some(candidate) = routed.candidates.last() else {
+            world.refused(now, &routed.request);
             return;
         };
-        let entry = &mut self.entries[sent.request.entry];
+        let entry = &mut self.entries[routed.request.entry];
         entry.steering.note_sent(self.start + now, candidate);
         let owner = number_of(candidate.owner);
-        sent.tries += 1;
-        let there = between(world, sent.request.entry, owner);
-        self.agenda.add(now + there, Event::Offer { owner, sent });
+        routed.tries += 1;
+        let there = between(world, routed.request.entry, owner);
+        self.queue.add(now + there, Event::Offer { owner, routed });
     }
 
-    fn offer(&mut self, world: &mut World, now: Duration, owner: usize, sent: Sent) {
+    fn offer(&mut self, world: &mut World, now: Duration, owner: usize, routed: RoutedRequest) {
         let at = self.start + now;
-        let token = RequestToken(u64::try_from(sent.request.id).expect("a small number"));
-        let group = sent.candidates.last().expect("one is tried").group.clone();
+        let token = RequestToken(u64::try_from(routed.request.id).expect("a small number"));
+        let group = routed
+            .candidates
+            .last()
+            .expect("one is tried")
+            .group
+            .clone();
         let offer = Offer {
             token,
             group,
             operation: 0,
-            origin: self.places[sent.request.origin].clone(),
-            deadline: self.start + sent.request.arrived + DEADLINE,
+            origin: self.places[routed.request.origin].clone(),
+            deadline: self.start + routed.request.arrived + DEADLINE,
             idempotent: true,
         };
         match self.entries[owner].admission.offer(at, offer) {
-            Verdict::Dispatch(dispatch) => self.dispatch(world, now, owner, &dispatch, sent),
+            Verdict::Dispatch(dispatch) => self.dispatch(world, now, owner, &dispatch, routed),
             Verdict::Queued => {
-                self.waiting.insert(token, sent);
+                self.waiting.insert(token, routed);
             }
-            Verdict::Refused(not_run) => self.refuse(world, now, owner, sent, not_run.reason()),
+            Verdict::Refused(not_run) => self.refuse(world, now, owner, routed, not_run.reason()),
         }
     }
 
@@ -291,19 +296,19 @@
         now: Duration,
         owner: usize,
         dispatch: &Dispatch,
-        mut sent: Sent,
+        mut routed: RoutedRequest,
     ) {
         let backend: usize = dispatch.backend.as_str().parse().expect("a number");
         let there = world.delay(world.entry_places[owner], world.backends[backend].place);
-        sent.begun = now;
+        routed.begun = now;
         let key = dispatch.key;
         let reach = Event::Reach {
             owner,
             backend,
             key,
-            sent,
+            routed,
         };
-        self.agenda.add(now + there, reach);
+        self.queue.add(now + there, reach);
     }
 
     fn finish(
@@ -323,13 +328,13 @@
         for effect in effects {
             match effect {
                 Effect::Dispatch { token, dispatch } => {
-                    if let Some(sent) = self.waiting.remove(&token) {
-                        self.dispatch(world, now, owner, &dispatch, sent);
+                    if let Some(routed) = self.waiting.remove(&token) {
+                        self.dispatch(world, now, owner, &dispatch, routed);
                     }
                 }
                 Effect::Refuse { token, refusal } => {
-                    if let Some(sent) = self.waiting.remove(&token) {
-                        self.refuse(world, now, owner, sent, refusal.reason());
+                    if let Some(routed) = self.waiting.remove(&token) {
+                        self.refuse(world, now, owner, routed, refusal.reason());
                     }
                 }
                 _ => {}
@@ -342,23 +347,30 @@
         world: &World,
         now: Duration,
         owner: usize,
-        sent: Sent,
+        routed: RoutedRequest,
         reason: NotRunReason,
     ) {
-        let back = between(world, owner, sent.request.entry);
-        self.agenda.add(now + back, Event::Refused { sent, reason });
+        let back = between(world, owner, routed.request.entry);
+        self.queue
+            .add(now + back, Event::Refused { routed, reason });
     }
 
-    fn refused(&mut self, world: &mut World, now: Duration, mut sent: Sent, reason: NotRunReason) {
+    fn refused(
+        &mut self,
+        world: &mut World,
+        now: Duration,
+        mut routed: RoutedRequest,
+        reason: NotRunReason,
+    ) {
         let at = self.start + now;
-        let entry = &mut self.entries[sent.request.entry];
-        if let Some(candidate) = sent.candidates.pop() {
+        let entry = &mut self.entries[routed.request.entry];
+        if let Some(candidate) = routed.candidates.pop() {
             entry.steering.note_refused(at, &candidate, reason);
         }
-        if sent.candidates.is_empty() || !entry.retries.try_take(at) {
-            world.refused(now, &sent.request);
+        if routed.candidates.is_empty() || !entry.retries.try_take(at) {
+            world.refused(now, &routed.request);
         } else {
-            self.send(world, now, sent);
+            self.send(world, now, routed);
         }
     }
 
@@ -375,9 +387,9 @@
             for other in 0..self.entries.len() {
                 let there = between(world, owner, other);
                 let digest = Arc::clone(&digest);
-                self.agenda.add(
+                self.queue.add(
                     now + there,
-                    Event::Heard {
+                    Event::DigestReceived {
                         entry: other,
                         digest,
                     },
@@ -385,7 +397,7 @@
             }
         }
         if now < WARM_UP + MEASURED {
-            self.agenda.add(now + DIGEST_INTERVAL, Event::Digests);
+            self.queue.add(now + DIGEST_INTERVAL, Event::Digests);
         }
     }
 
@@ -411,7 +423,7 @@
             }
         }
         if now < WARM_UP + MEASURED {
-            self.agenda.add(now + ANNOUNCE_INTERVAL, Event::Announce);
+            self.queue.add(now + ANNOUNCE_INTERVAL, Event::Announce);
         }
     }
 
@@ -422,7 +434,7 @@
             self.carry_out(world, now, owner, effects);
         }
         if now < WARM_UP + MEASURED {
-            self.agenda.add(now + TICK, Event::Tick);
+            self.queue.add(now + TICK, Event::Tick);
         }
     }
 }
--- a/lib/examples/steering_model/report.rs
+++ b/lib/examples/steering_model/report.rs
@@ -12,12 +12,12 @@
     answered: Histogram<u64>,
     refused: Histogram<u64>,
     /// Answers that came within the deadline.
-    good: u64,
+    in_time_answers: u64,
     offered: u64,
     /// Requests that arrived at a backend server without a free slot.
     overruns: u64,
     /// Refusals of requests while a slot in the caller's region was free.
-    refused_in_vain: u64,
+    refused_with_free_slot: u64,
     capacity: f64,
 }
 
@@ -33,23 +33,23 @@
         Self {
             answered: histogram(),
             refused: histogram(),
-            good: 0,
+            in_time_answers: 0,
             offered: 0,
             overruns: 0,
-            refused_in_vain: 0,
+            refused_with_free_slot: 0,
             capacity,
         }
     }
 
     pub fn note_answer(&mut self, latency: Duration, in_time: bool) {
         self.offered += 1;
-        self.good += u64::from(in_time);
+        self.in_time_answers += u64::from(in_time);
         self.answered.saturating_record(micros(latency));
     }
 
     pub fn note_refusal(&mut self, latency: Duration, free_slot: bool) {
         self.offered += 1;
-        self.refused_in_vain += u64::from(free_slot);
+        self.refused_with_free_slot += u64::from(free_slot);
         self.refused.saturating_record(micros(latency));
     }
 
@@ -58,15 +58,15 @@
     }
 
     #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
-    pub fn line(&self, load: f64, contender: &str) -> String {
+    pub fn line(&self, load: f64, strategy: &str) -> String {
         let ms = |histogram: &Histogram<u64>, quantile| {
             histogram.value_at_quantile(quantile) as f64 / 1_000.0
         };
         let percent = |count: u64| 100.0 * count as f64 / self.offered.max(1) as f64;
         format!(
-            "| {:.0}% | {contender} | {:.1}% | {:.1} | {:.1} | {:.1} | {:.2}% | {:.1} | {:.1} | {:.2}% | {:.2}% |",
+            "| {:.0}% | {strategy} | {:.1}% | {:.1} | {:.1} | {:.1} | {:.2}% | {:.1} | {:.1} | {:.2}% | {:.2}% |",
             load * 100.0,
-            100.0 * self.good as f64 / self.capacity,
+            100.0 * self.in_time_answers as f64 / self.capacity,
             ms(&self.answered, 0.5),
             ms(&self.answered, 0.99),
             ms(&self.answered, 0.999),
@@ -74,7 +74,7 @@
             ms(&self.refused, 0.5),
             ms(&self.refused, 0.99),
             percent(self.overruns),
-            percent(self.refused_in_vain),
+            percent(self.refused_with_free_slot),
         )
     }
 }
--- a/lib/examples/steering_model/world.rs
+++ b/lib/examples/steering_model/world.rs
@@ -23,7 +23,7 @@
 const SAME_PLACE: Duration = Duration::from_micros(100);
 
 /// Multiple of its fair share of callers that the first place has.
-const HOT: f64 = 1.5;
+const HOT_PLACE_FACTOR: f64 = 1.5;
 
 /// Describes a deployment; the sizes and delays are those of the brief.
 pub struct Deployment {
@@ -148,7 +148,7 @@
             .iter()
             .map(|count| f64::from(to_u32(*count)))
             .collect();
-        shares[0] *= HOT;
+        shares[0] *= HOT_PLACE_FACTOR;
         let sum: f64 = shares.iter().sum();
         let end = WARM_UP + MEASURED;
         let mut at = Duration::ZERO;
@@ -221,13 +221,13 @@
 }
 
 /// Events in order of time.
-pub struct Agenda<E> {
+pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<(Duration, u64)>>,
     events: std::collections::HashMap<u64, E>,
     next: u64,
 }
 
-impl<E> Agenda<E> {
+impl<E> EventQueue<E> {
     pub fn new() -> Self {
         Self {
             heap: BinaryHeap::new(),
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -60,7 +60,7 @@
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time to come back after when the session's lease is over.
-const LEASE_WAIT: Duration = Duration::from_secs(1);
+const LEASE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Holds the admission of all groups that one session owns.
 #[derive(Debug)]
@@ -131,7 +131,7 @@
         let before = std::mem::replace(&mut self.view, Arc::clone(view));
         let owners = OwnerTable::of(view);
         let owned: BTreeSet<Group> = owners.groups_of(self.session).collect();
-        let mut effects = self.give_up_unless(now, &owned);
+        let mut effects = self.release_groups_except(now, &owned);
         self.shifts.apply_view(view, &owners, step);
         // While no manifest was in force, nobody can have dispatched anything.
         let first_manifest =
@@ -143,10 +143,10 @@
         };
         self.has_view = true;
         for group in owned {
-            self.own(now, group, seen_until, first_manifest);
+            self.acquire_group(now, group, seen_until, first_manifest);
         }
         self.handover.forget_early(view.revision);
-        self.keep_only_planned_drains();
+        self.drop_unplanned_drains();
         effects.extend(self.settle(now, self.settled));
         effects
     }
@@ -159,7 +159,7 @@
         for group in self.groups.values_mut() {
             group.settle(now, settled);
         }
-        self.pump_all(now)
+        self.process_all_queues(now)
     }
 
     /// Takes an old owner's release.
@@ -167,17 +167,17 @@
         if !release.complete || release.from == self.session {
             return Vec::new();
         }
-        let heard = now;
+        let received_at = now;
         if let Some(owned) = self.groups.get_mut(&release.group) {
             // One from before this ownership tells nothing about the owners since.
             if release.revision > owned.seen_until() {
-                owned.take_release(now, heard, release);
-                self.announce_released(heard, release);
+                owned.take_release(now, received_at, release);
+                self.apply_released_announcements(received_at, release);
             }
         } else {
-            self.handover.keep_early(heard, release);
+            self.handover.keep_early(received_at, release);
         }
-        self.pump_all(now)
+        self.process_all_queues(now)
     }
 
     /// Takes the announcement of a backend server that this session owns; one of
@@ -193,7 +193,7 @@
     ) -> Result<Vec<Effect>, AnnouncementError> {
         let mut effects = self.take_announcement(now, announcement)?;
         let name = Group::new(announcement.service.clone(), announcement.place.clone());
-        effects.extend(self.pump_group(now, &name));
+        effects.extend(self.process_group(now, &name));
         Ok(effects)
     }
 
@@ -255,12 +255,12 @@
         };
         let name = done.offer.group.clone();
         let Some(group) = self.groups.get_mut(&name) else {
-            return self.finish_given_up(now, &done, ending);
+            return self.finish_released(now, &done, ending);
         };
         if group.acquired() == done.acquired {
             group.finish(now, &done.offer, &done.backend, done.began, ending);
         }
-        self.pump_group(now, &name)
+        self.process_group(now, &name)
     }
 
     /// Drops a request that waits; its caller is gone. Returns whether it waited.
@@ -279,7 +279,7 @@
         for group in self.groups.values_mut() {
             effects.extend(group.forget(now).into_iter().map(disconnect));
         }
-        effects.extend(self.pump_all(now));
+        effects.extend(self.process_all_queues(now));
         effects
     }
 
@@ -336,7 +336,7 @@
 
     fn take_announcement(
         &mut self,
-        made: Instant,
+        announced_at: Instant,
         announcement: &Announcement,
     ) -> Result<Vec<Effect>, AnnouncementError> {
         let view = Arc::clone(&self.view);
@@ -349,21 +349,21 @@
             return Ok(Vec::new());
         };
         let slots = announcement.believed_slots(service);
-        let stopped = group.announce(made, announcement, slots);
+        let stopped = group.announce(announced_at, announcement, slots);
         self.mark_drained();
-        let gone = stopped.then(|| Effect::Disconnect {
+        let disconnect_effect = stopped.then(|| Effect::Disconnect {
             backend: announcement.backend.clone(),
             address: announcement.address,
         });
-        Ok(gone.into_iter().collect())
+        Ok(disconnect_effect.into_iter().collect())
     }
 
     fn decide(&mut self, now: Instant, offer: &Offer) -> Result<Decision, NotRun> {
         if !self.has_lease(now) {
-            return Err(refused(NotRunReason::LeaseLapsed, LEASE_WAIT));
+            return Err(refused(NotRunReason::LeaseLapsed, LEASE_RETRY_AFTER));
         }
         if self.view.manifest.is_none() {
-            return Err(refused(NotRunReason::NoManifest, LEASE_WAIT));
+            return Err(refused(NotRunReason::NoManifest, LEASE_RETRY_AFTER));
         }
         self.with_group(now, &offer.group, |group, cx| group.offer(cx, offer))
             .unwrap_or_else(|| Err(refused(NotRunReason::NotOwner, TICK_INTERVAL)))
@@ -389,19 +389,19 @@
         }
     }
 
-    fn pump_all(&mut self, now: Instant) -> Vec<Effect> {
+    fn process_all_queues(&mut self, now: Instant) -> Vec<Effect> {
         let names: Vec<Group> = self.groups.keys().cloned().collect();
         names
             .iter()
-            .flat_map(|name| self.pump_group(now, name))
+            .flat_map(|name| self.process_group(now, name))
             .collect()
     }
 
-    fn pump_group(&mut self, now: Instant, name: &Group) -> Vec<Effect> {
+    fn process_group(&mut self, now: Instant, name: &Group) -> Vec<Effect> {
         let has_lease = self.has_lease(now);
         let steps = self.with_group(now, name, |group, cx| {
             if has_lease {
-                group.pump(cx)
+                group.process_queue(cx)
             } else {
                 group.refuse_all(cx, NotRunReason::LeaseLapsed)
             }
@@ -446,7 +446,13 @@
         Some(act(group, &mut cx))
     }
 
-    fn own(&mut self, now: Instant, name: Group, seen_until: Revision, first_manifest: bool) {
+    fn acquire_group(
+        &mut self,
+        now: Instant,
+        name: Group,
+        seen_until: Revision,
+        first_manifest: bool,
+    ) {
         let view = Arc::clone(&self.view);
         let Some(service) = view
             .manifest
@@ -462,30 +468,30 @@
         let acquired = Acquisition {
             revision: view.revision,
             seen_until,
-            nothing_before: first_manifest,
+            no_earlier_work: first_manifest,
         };
         let mut group = GroupAdmission::new(name.clone(), service, acquired);
         self.handover.regain(&name);
         let early = self.handover.take_early(&name, seen_until);
         if let Some(early) = &early {
-            group.take_release(now, early.heard, &early.release);
+            group.take_release(now, early.received_at, &early.release);
         }
         self.groups.insert(name, group);
         if let Some(early) = &early {
-            self.announce_released(early.heard, &early.release);
+            self.apply_released_announcements(early.received_at, &early.release);
         }
     }
 
-    fn announce_released(&mut self, heard: Instant, release: &Release) {
+    fn apply_released_announcements(&mut self, received_at: Instant, release: &Release) {
         for backend in &release.backends {
             let age = Duration::from_millis(u64::from(backend.age_ms));
-            let made = heard.checked_sub(age).unwrap_or(heard);
+            let announced_at = received_at.checked_sub(age).unwrap_or(received_at);
             // What doesn't fit the manifest in force is left for the server to repeat.
-            let _ = self.take_announcement(made, &backend.announcement);
+            let _ = self.take_announcement(announced_at, &backend.announcement);
         }
     }
 
-    fn give_up_unless(&mut self, now: Instant, owned: &BTreeSet<Group>) -> Vec<Effect> {
+    fn release_groups_except(&mut self, now: Instant, owned: &BTreeSet<Group>) -> Vec<Effect> {
         let lost: Vec<Group> = self
             .groups
             .keys()
@@ -493,11 +499,11 @@
             .cloned()
             .collect();
         lost.iter()
-            .flat_map(|name| self.give_up(now, name))
+            .flat_map(|name| self.release_group(now, name))
             .collect()
     }
 
-    fn give_up(&mut self, now: Instant, name: &Group) -> Vec<Effect> {
+    fn release_group(&mut self, now: Instant, name: &Group) -> Vec<Effect> {
         let steps = self.with_group(now, name, |group, cx| {
             group.refuse_all(cx, NotRunReason::NotOwner)
         });
@@ -510,10 +516,10 @@
         let Some(to) = owner.map(|owner| owner.id).filter(|id| *id != self.session) else {
             return effects;
         };
-        let given_up = ReleasedGroup {
+        let released_group = ReleasedGroup {
             to,
             revision: self.view.revision,
-            complete: group.knows_all(now),
+            complete: group.knows_all_in_flight(now),
             held: group.held(now).cloned().collect(),
         };
         let running = self
@@ -524,7 +530,9 @@
                 let until = dispatched.offer.deadline + DEADLINE_GRACE;
                 (dispatched.backend.clone(), until)
             });
-        let mut release = self.handover.give_up(now, name, given_up, running);
+        let mut release = self
+            .handover
+            .release_group(now, name, released_group, running);
         release.backends = group.announcements(now);
         release.recent = group.recent(now);
         effects.push(Effect::Release { to, release });
@@ -533,7 +541,7 @@
 
     /// Notes the end of a dispatch at a group that was given up; the last one is told to
     /// the new owner.
-    fn finish_given_up(&mut self, now: Instant, done: &Dispatched, ending: Ending) -> Vec<Effect> {
+    fn finish_released(&mut self, now: Instant, done: &Dispatched, ending: Ending) -> Vec<Effect> {
         let name = &done.offer.group;
         if let Some(until) = ending.may_run_until(now, done.offer.deadline) {
             let held = HeldSlot {
@@ -547,11 +555,11 @@
             return Vec::new();
         }
         let release = self.handover.finish(now, name);
-        let tell = |(to, release)| Effect::Release { to, release };
-        release.map(tell).into_iter().collect()
+        let to_effect = |(to, release)| Effect::Release { to, release };
+        release.map(to_effect).into_iter().collect()
     }
 
-    fn keep_only_planned_drains(&mut self) {
+    fn drop_unplanned_drains(&mut self) {
         let view = Arc::clone(&self.view);
         let planned: &[Drain] = view
             .manifest
@@ -576,9 +584,9 @@
     NotRun::proved(reason).with_retry_after(retry_after)
 }
 
-fn disconnect(gone: BackendEndpoint) -> Effect {
+fn disconnect(endpoint: BackendEndpoint) -> Effect {
     Effect::Disconnect {
-        backend: gone.backend,
-        address: gone.address,
+        backend: endpoint.backend,
+        address: endpoint.address,
     }
 }
--- a/lib/src/circuit_breaker.rs
+++ b/lib/src/circuit_breaker.rs
@@ -7,10 +7,10 @@
 const FAILURES_TO_OPEN: u32 = 3;
 
 /// Time for which the circuit stays open at first; it doubles with each failed probe.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+const INITIAL_PAUSE: Duration = Duration::from_millis(500);
 
 /// Longest time for which the circuit stays open.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+const MAX_PAUSE: Duration = Duration::from_secs(8);
 
 /// Follows the failures of one backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -89,10 +89,10 @@
             Self::Closed { failures } if failures + 1 < FAILURES_TO_OPEN => Self::Closed {
                 failures: failures + 1,
             },
-            Self::Closed { .. } => Self::open(now, FIRST_PAUSE),
+            Self::Closed { .. } => Self::open(now, INITIAL_PAUSE),
             // Requests that were under way when the circuit opened also fail.
             Self::Open { probing: false, .. } => *self,
-            Self::Open { pause, .. } => Self::open(now, (pause * 2).min(LONGEST_PAUSE)),
+            Self::Open { pause, .. } => Self::open(now, (pause * 2).min(MAX_PAUSE)),
         };
     }
 
--- a/lib/src/digest_throttle.rs
+++ b/lib/src/digest_throttle.rs
@@ -15,16 +15,16 @@
 pub const MAX_DIGEST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Change of a group's use, as a share of its slots, that is worth telling at once.
-const USE_STEP: f64 = 0.15;
+const USE_CHANGE_THRESHOLD: f64 = 0.15;
 
 /// Remembers what was told last.
 #[derive(Debug, Default)]
 pub struct DigestThrottle {
-    told: Option<Told>,
+    last_sent: Option<SentDigest>,
 }
 
 #[derive(Debug)]
-struct Told {
+struct SentDigest {
     at: Instant,
     loads: Vec<GroupLoad>,
 }
@@ -33,18 +33,18 @@
     /// Tells whether `loads` are to be sent now.
     #[must_use]
     pub fn is_due(&self, now: Instant, loads: &[GroupLoad]) -> bool {
-        let Some(told) = &self.told else {
+        let Some(last_sent) = &self.last_sent else {
             return true;
         };
-        let quiet = now.saturating_duration_since(told.at);
-        quiet >= MAX_DIGEST_INTERVAL
-            || told.loads.len() != loads.len()
-            || told.loads.iter().zip(loads).any(differ)
+        let since_sent = now.saturating_duration_since(last_sent.at);
+        since_sent >= MAX_DIGEST_INTERVAL
+            || last_sent.loads.len() != loads.len()
+            || last_sent.loads.iter().zip(loads).any(differ)
     }
 
     /// Notes that `loads` were sent.
     pub fn note_sent(&mut self, now: Instant, loads: &[GroupLoad]) {
-        self.told = Some(Told {
+        self.last_sent = Some(SentDigest {
             at: now,
             loads: loads.to_vec(),
         });
@@ -52,15 +52,15 @@
 
     /// Makes the next digest due, for entries that have heard none yet.
     pub fn reset(&mut self) {
-        self.told = None;
+        self.last_sent = None;
     }
 }
 
-fn differ((told, load): (&GroupLoad, &GroupLoad)) -> bool {
-    told.group != load.group
-        || told.slots != load.slots
-        || told.full_origins != load.full_origins
-        || (share_used(told) - share_used(load)).abs() >= USE_STEP
+fn differ((last_sent, load): (&GroupLoad, &GroupLoad)) -> bool {
+    last_sent.group != load.group
+        || last_sent.slots != load.slots
+        || last_sent.full_origins != load.full_origins
+        || (share_used(last_sent) - share_used(load)).abs() >= USE_CHANGE_THRESHOLD
 }
 
 fn share_used(load: &GroupLoad) -> f64 {
--- a/lib/src/group_admission.rs
+++ b/lib/src/group_admission.rs
@@ -47,7 +47,7 @@
 const NO_SERVER_WAIT: Duration = Duration::from_millis(500);
 
 /// Time within which every backend server of a new owner has announced itself again.
-const ANNOUNCED_WITHIN: Duration = Duration::from_millis(2 * REPEAT_MS as u64);
+const ANNOUNCEMENT_WAIT: Duration = Duration::from_millis(2 * REPEAT_MS as u64);
 
 /// Time to come back after when ownership isn't settled.
 const UNSETTLED_WAIT: Duration = Duration::from_millis(200);
@@ -173,28 +173,28 @@
         self.rate_share.settle(now, revision);
     }
 
-    /// Takes what an old owner has left in flight, heard of at `heard`.
-    pub fn take_release(&mut self, now: Instant, heard: Instant, release: &Release) {
+    /// Takes what an old owner has left in flight, heard of at `received_at`.
+    pub fn take_release(&mut self, now: Instant, received_at: Instant, release: &Release) {
         self.registry.drop_held_from(release.from);
         for work in &release.in_flight {
             self.registry.hold(HeldSlot {
                 backend: work.backend.clone(),
-                until: heard + Duration::from_millis(u64::from(work.left_ms)),
+                until: received_at + Duration::from_millis(u64::from(work.left_ms)),
                 from: Some(release.from),
             });
         }
-        if !self.ownership_state.knows_all(now) {
-            self.rate.begin_with(heard, &release.recent);
+        if !self.ownership_state.knows_all_in_flight(now) {
+            self.rate.add_reported(received_at, &release.recent);
         }
-        self.ownership_state.note_told(now);
+        self.ownership_state.note_release(now);
     }
 
     /// Takes an announcement with the slots that are believed of it; returns whether
     /// the server has just stopped taking new work.
     pub fn announce(&mut self, now: Instant, announcement: &Announcement, slots: u32) -> bool {
-        let newly_owner = self.counts_new_as_warm(now);
+        let is_new_owner = self.counts_new_as_warm(now);
         self.registry
-            .announce(now, announcement, slots, newly_owner)
+            .announce(now, announcement, slots, is_new_owner)
     }
 
     /// Decides what becomes of a request.
@@ -214,7 +214,7 @@
     fn decide(&mut self, cx: &mut GroupContext<'_>, offer: &Offer) -> Result<Decision, NotRun> {
         self.check_open(cx, offer)?;
         if self.ownership_state.active_since(cx.now).is_none() {
-            return self.wait_for_tenure(cx, offer);
+            return self.wait_for_ownership(cx, offer);
         }
         self.check_budgets(cx, offer)?;
         let usable = self.usable(cx.now);
@@ -242,7 +242,7 @@
 
     /// Lets a request wait for the change of owner to be over, so that a planned one
     /// refuses nothing that has the time.
-    fn wait_for_tenure(
+    fn wait_for_ownership(
         &mut self,
         cx: &mut GroupContext<'_>,
         offer: &Offer,
@@ -268,14 +268,14 @@
         offer: &Offer,
     ) -> Result<Decision, NotRun> {
         let active = self.ownership_state.active_since(cx.now);
-        let is_new = active.is_some_and(|since| cx.now < since + ANNOUNCED_WITHIN);
+        let is_new = active.is_some_and(|since| cx.now < since + ANNOUNCEMENT_WAIT);
         // One that has announced itself and takes nothing is another matter: it starts,
         // leaves, or pauses after it refused.
-        let unheard = self.registry.is_empty();
+        let none_announced = self.registry.is_empty();
         let needed = self.times.needed(cx.now, offer.operation);
         let in_time = cx.now + NO_SERVER_WAIT + needed <= offer.deadline;
         let has_room = self.queue.len() < queue_limit(self.settings.limit.max_in_flight);
-        if is_new && unheard && in_time && has_room {
+        if is_new && none_announced && in_time && has_room {
             return Ok(self.enqueue(cx, offer));
         }
         Err(self.refuse(cx, NotRunReason::NoBackendServer, NO_SERVER_WAIT))
@@ -289,9 +289,9 @@
     }
 
     /// Dispatches what waits and has a slot, and refuses what can't be in time.
-    pub fn pump(&mut self, cx: &mut GroupContext<'_>) -> Vec<Step> {
+    pub fn process_queue(&mut self, cx: &mut GroupContext<'_>) -> Vec<Step> {
         self.ownership_state.tick(cx.now);
-        let mut steps = self.expire(cx);
+        let mut steps = self.refuse_expired(cx);
         if self.ownership_state.active_since(cx.now).is_none() {
             return steps;
         }
@@ -361,7 +361,7 @@
 
     /// Returns what was begun within the last window.
     pub fn recent(&mut self, now: Instant) -> Vec<RecentUse> {
-        self.rate.tell(now)
+        self.rate.recent_use(now)
     }
 
     /// Returns the last announcements of the backend servers, with their ages.
@@ -372,8 +372,8 @@
 
     /// Tells whether this session can say all that is in flight here.
     #[must_use]
-    pub fn knows_all(&self, now: Instant) -> bool {
-        self.ownership_state.knows_all(now)
+    pub fn knows_all_in_flight(&self, now: Instant) -> bool {
+        self.ownership_state.knows_all_in_flight(now)
     }
 
     /// Tells whether the session may dispatch to the group.
@@ -393,7 +393,7 @@
             slots: usable,
             in_flight: self.registry.taken(now),
             queued: to_u32(self.queue.len()),
-            arrivals_per_second: to_whole(self.arrivals.per_second(now)),
+            arrivals_per_second: round_to_u32(self.arrivals.per_second(now)),
             expected_wait_ms: to_ms(self.expected_wait(now)),
             service_ms: to_ms(self.times.mean()),
             warm_percent: u8::try_from(warm).unwrap_or(100),
@@ -423,7 +423,7 @@
         Ok(())
     }
 
-    fn expire(&mut self, cx: &mut GroupContext<'_>) -> Vec<Step> {
+    fn refuse_expired(&mut self, cx: &mut GroupContext<'_>) -> Vec<Step> {
         let late: Vec<Offer> = {
             let times = &self.times;
             self.queue.take_unless(|offer| {
@@ -473,9 +473,9 @@
         }
         let slots = self.usable(cx.now);
         let warm_up = self.settings.warm_up;
-        let newly_owner = self.counts_new_as_warm(cx.now);
+        let is_new_owner = self.counts_new_as_warm(cx.now);
         self.origins
-            .admits(cx.now, &offer.origin, warm_up, slots, newly_owner)
+            .admits(cx.now, &offer.origin, warm_up, slots, is_new_owner)
             .then(|| self.registry.place(cx.now, warm_up, offer.idempotent))?
     }
 
@@ -538,11 +538,15 @@
 }
 
 fn place_limit(service: &Service, group: &Group) -> PlaceLimit {
-    let nothing = PlaceLimit {
+    let no_capacity = PlaceLimit {
         max_in_flight: 0,
         max_per_second: 0,
     };
-    service.limits.get(&group.place).copied().unwrap_or(nothing)
+    service
+        .limits
+        .get(&group.place)
+        .copied()
+        .unwrap_or(no_capacity)
 }
 
 fn longest_deadline(service: &Service) -> Duration {
@@ -567,6 +571,6 @@
     clippy::cast_sign_loss,
     reason = "rates are positive and far below the bound"
 )]
-fn to_whole(rate: f64) -> u32 {
+fn round_to_u32(rate: f64) -> u32 {
     rate.round() as u32
 }
--- a/lib/src/handover.rs
+++ b/lib/src/handover.rs
@@ -20,7 +20,7 @@
 pub struct Handover {
     session: SessionId,
     serial: u64,
-    given_up: BTreeMap<Group, ReleasedGroup>,
+    released: BTreeMap<Group, ReleasedGroup>,
     early: BTreeMap<Group, EarlyRelease>,
 }
 
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct EarlyRelease {
     /// When it came.
-    pub heard: Instant,
+    pub received_at: Instant,
     /// The release.
     pub release: Release,
 }
@@ -56,58 +56,64 @@
         Self {
             session,
             serial: 0,
-            given_up: BTreeMap::new(),
+            released: BTreeMap::new(),
             early: BTreeMap::new(),
         }
     }
 
     /// Records that a group was given up and returns the release for its new owner.
-    pub fn give_up(
+    pub fn release_group(
         &mut self,
         now: Instant,
         group: &Group,
-        given_up: ReleasedGroup,
+        released: ReleasedGroup,
         running: impl Iterator<Item = RunningWork>,
     ) -> Release {
         self.serial += 1;
-        let release = self.release(now, group, &given_up, running);
-        self.given_up.insert(group.clone(), given_up);
+        let release = self.build_release(now, group, &released, running);
+        self.released.insert(group.clone(), released);
         release
     }
 
     /// Counts a request at a given-up group that may still run although its dispatch is
     /// finished.
     pub fn hold(&mut self, group: &Group, held: HeldSlot) {
-        if let Some(given_up) = self.given_up.get_mut(group) {
-            given_up.held.push(held);
+        if let Some(released) = self.released.get_mut(group) {
+            released.held.push(held);
         }
     }
 
     /// Returns a second release for a group of which all dispatches are finished, so
     /// that its new owner need not wait for their deadlines.
     pub fn finish(&mut self, now: Instant, group: &Group) -> Option<(SessionId, Release)> {
-        let given_up = self.given_up.remove(group)?;
+        let released = self.released.remove(group)?;
         self.serial += 1;
-        let release = self.release(now, group, &given_up, std::iter::empty());
-        Some((given_up.to, release))
+        let release = self.build_release(now, group, &released, std::iter::empty());
+        Some((released.to, release))
     }
 
     /// Forgets that a group was given up, as this session owns it again.
     pub fn regain(&mut self, group: &Group) {
-        self.given_up.remove(group);
+        self.released.remove(group);
     }
 
     /// Keeps a release of a group that this session doesn't own yet.
-    pub fn keep_early(&mut self, heard: Instant, release: &Release) {
-        let order = |release: &Release| (release.revision, release.serial);
+    pub fn keep_early(&mut self, received_at: Instant, release: &Release) {
+        let version = |release: &Release| (release.revision, release.serial);
         let known = self.early.get(&release.group);
-        if known.is_some_and(|known| order(&known.release) >= order(release)) {
+        if known.is_some_and(|known| version(&known.release) >= version(release)) {
             return;
         }
         if known.is_some() || self.early.len() < MAX_EARLY_RELEASES {
             let release = release.clone();
             let group = release.group.clone();
-            self.early.insert(group, EarlyRelease { heard, release });
+            self.early.insert(
+                group,
+                EarlyRelease {
+                    received_at,
+                    release,
+                },
+            );
         }
     }
 
@@ -123,21 +129,21 @@
             .retain(|_, early| early.release.revision > revision);
     }
 
-    fn release(
+    fn build_release(
         &self,
         now: Instant,
         group: &Group,
-        given_up: &ReleasedGroup,
+        released: &ReleasedGroup,
         running: impl Iterator<Item = RunningWork>,
     ) -> Release {
-        let held = given_up
+        let held = released
             .held
             .iter()
             .map(|held| (held.backend.clone(), held.until));
         Release {
             group: group.clone(),
             from: self.session,
-            revision: given_up.revision,
+            revision: released.revision,
             serial: self.serial,
             in_flight: held
                 .chain(running)
@@ -146,7 +152,7 @@
                 .collect(),
             recent: Vec::new(),
             backends: Vec::new(),
-            complete: given_up.complete,
+            complete: released.complete,
         }
     }
 }
--- a/lib/src/link_budget.rs
+++ b/lib/src/link_budget.rs
@@ -35,8 +35,8 @@
 struct LinkBudget {
     share: SettledShare,
     usage: UsageWindow,
-    owed: u64,
-    paid_until: Option<Instant>,
+    debt: u64,
+    repaid_until: Option<Instant>,
 }
 
 impl LinkBudgets {
@@ -53,7 +53,7 @@
     /// Applies a view.
     pub fn apply_view(&mut self, view: &ControlView, step: ViewStep) {
         let shares = self.shares(view);
-        let from_nothing = step == ViewStep::Whole || !self.has_view;
+        let must_reset = step == ViewStep::Whole || !self.has_view;
         for (region, share) in &shares {
             let link = self
                 .links
@@ -61,10 +61,10 @@
                 .or_insert_with(|| LinkBudget {
                     share: SettledShare::with_base(NO_LIMIT),
                     usage: UsageWindow::default(),
-                    owed: 0,
-                    paid_until: None,
+                    debt: 0,
+                    repaid_until: None,
                 });
-            if from_nothing {
+            if must_reset {
                 link.share.reset(view.revision, *share);
             } else {
                 link.share.set(view.revision, *share);
@@ -98,9 +98,9 @@
             return Ok(());
         };
         let limit = link.share.limit(now);
-        link.pay(now, limit);
+        link.repay(now, limit);
         let oversized = bytes > limit && limit > 0 && link.usage.used(now) == 0;
-        if link.owed > 0 || !(oversized || link.usage.has_room(now, bytes, limit)) {
+        if link.debt > 0 || !(oversized || link.usage.has_room(now, bytes, limit)) {
             return Err(link.usage.wait(now));
         }
         link.charge(now, bytes, limit);
@@ -112,7 +112,7 @@
     pub fn charge(&mut self, now: Instant, to: &RegionName, bytes: u64) {
         if let Some(link) = self.links.get_mut(to) {
             let limit = link.share.limit(now);
-            link.pay(now, limit);
+            link.repay(now, limit);
             link.charge(now, bytes, limit);
         }
     }
@@ -148,19 +148,19 @@
     fn charge(&mut self, now: Instant, bytes: u64, limit: u64) {
         let fits = self.usage.room(now, limit).min(bytes);
         self.usage.add(now, fits);
-        self.owed = self.owed.saturating_add(bytes - fits);
+        self.debt = self.debt.saturating_add(bytes - fits);
     }
 
     /// Moves what is owed into windows that have room, one window after the other.
-    fn pay(&mut self, now: Instant, limit: u64) {
-        if self.owed == 0 || self.paid_until.is_some_and(|until| now < until) {
+    fn repay(&mut self, now: Instant, limit: u64) {
+        if self.debt == 0 || self.repaid_until.is_some_and(|until| now < until) {
             return;
         }
-        let fits = self.usage.room(now, limit).min(self.owed);
+        let fits = self.usage.room(now, limit).min(self.debt);
         if fits > 0 {
             self.usage.add(now, fits);
-            self.owed -= fits;
-            self.paid_until = Some(now + WINDOW / 10);
+            self.debt -= fits;
+            self.repaid_until = Some(now + WINDOW / 10);
         }
     }
 }
--- a/lib/src/link_congestion.rs
+++ b/lib/src/link_congestion.rs
@@ -26,36 +26,36 @@
 use std::time::Instant;
 
 /// Connections that are looked at together.
-const LATEST: usize = 8;
+const MAX_SAMPLES: usize = 8;
 
 /// Connections that tell anything. Fewer may all be to backend servers that went dark together.
-const LEAST: usize = 3;
+const MIN_SAMPLES: usize = 3;
 
 /// Time after which as many as there are since the last look are looked at: about that of a
 /// request.
-const LOOK_AFTER: Duration = Duration::from_millis(500);
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Wait there and back from which on the link counts as full. With a new connection a request
 /// passes the link six times until its caller has its answer, three times as often as the
 /// connection does: a quarter of a second, up to half of a usual latency objective.
-const FULL_AT: Duration = Duration::from_millis(80);
+const CONGESTED_DELAY: Duration = Duration::from_millis(80);
 
 /// Factors by which the number of requests under way changes with each look. It falls faster
 /// than it rises, so that a queue is gone before the next one begins.
-const LESS: f64 = 0.75;
-const MORE: f64 = 1.15;
+const DECREASE_FACTOR: f64 = 0.75;
+const INCREASE_FACTOR: f64 = 1.15;
 
 /// Requests that may be under way at least; with fewer next to nothing tells of the link.
-const FEWEST: f64 = 6.0;
+const MIN_WINDOW: f64 = 6.0;
 
 /// Times as many as are under way beyond which there is no bound any more.
-const UNBOUND: f64 = 3.0;
+const WINDOW_RELEASE_RATIO: f64 = 3.0;
 
 /// Follows the link of one entry VM.
 #[derive(Debug, Default)]
 pub struct LinkCongestion {
-    latest: VecDeque<Duration>,
-    looked_at: Option<Instant>,
+    samples: VecDeque<Duration>,
+    evaluated_at: Option<Instant>,
     /// Requests that may be under way; nothing while the link has room.
     window: Option<f64>,
 }
@@ -63,45 +63,47 @@
 impl LinkCongestion {
     /// Notes by how much a connection took longer than its way; also one that never came.
     pub fn note(&mut self, excess: Duration) {
-        if self.latest.len() == LATEST {
-            self.latest.pop_front();
+        if self.samples.len() == MAX_SAMPLES {
+            self.samples.pop_front();
         }
-        self.latest.push_back(excess);
+        self.samples.push_back(excess);
     }
 
-    /// Returns whether one more request may go beside `under_way` ones. Requests that may wait
+    /// Returns whether one more request may go beside `in_flight` ones. Requests that may wait
     /// for a smaller `wait_share` of their time give way first.
-    pub fn has_room(&mut self, now: Instant, under_way: usize, wait_share: f64) -> bool {
-        let under_way = f64::from(u32::try_from(under_way).unwrap_or(u32::MAX));
-        self.look(now, under_way);
+    pub fn has_room(&mut self, now: Instant, in_flight: usize, wait_share: f64) -> bool {
+        let in_flight = f64::from(u32::try_from(in_flight).unwrap_or(u32::MAX));
+        self.evaluate(now, in_flight);
         self.window
-            .is_none_or(|window| under_way < window * wait_share)
+            .is_none_or(|window| in_flight < window * wait_share)
     }
 
-    fn look(&mut self, now: Instant, under_way: f64) {
-        let looked_at = *self.looked_at.get_or_insert(now);
-        let is_due = now.saturating_duration_since(looked_at) >= LOOK_AFTER;
-        if !is_due && self.latest.len() < LATEST {
+    fn evaluate(&mut self, now: Instant, in_flight: f64) {
+        let evaluated_at = *self.evaluated_at.get_or_insert(now);
+        let is_due = now.saturating_duration_since(evaluated_at) >= EVALUATION_INTERVAL;
+        if !is_due && self.samples.len() < MAX_SAMPLES {
             return;
         }
-        self.looked_at = Some(now);
-        let is_full = self.wait().is_some_and(|wait| wait >= FULL_AT);
-        self.latest.clear();
-        self.window = if is_full {
-            let window = self.window.unwrap_or(under_way);
-            Some((window.min(under_way) * LESS).max(FEWEST))
+        self.evaluated_at = Some(now);
+        let is_congested = self
+            .queueing_delay()
+            .is_some_and(|delay| delay >= CONGESTED_DELAY);
+        self.samples.clear();
+        self.window = if is_congested {
+            let window = self.window.unwrap_or(in_flight);
+            Some((window.min(in_flight) * DECREASE_FACTOR).max(MIN_WINDOW))
         } else {
-            let window = self.window.map(|window| window * MORE);
-            window.filter(|window| *window < under_way.max(FEWEST) * UNBOUND)
+            let window = self.window.map(|window| window * INCREASE_FACTOR);
+            window.filter(|window| *window < in_flight.max(MIN_WINDOW) * WINDOW_RELEASE_RATIO)
         };
     }
 
     /// Returns how long the link holds up what passes it there and back; nothing if too little
     /// tells.
-    fn wait(&self) -> Option<Duration> {
-        let mut excesses: Vec<Duration> = self.latest.iter().copied().collect();
-        excesses.sort_unstable();
-        let counts = excesses.len() >= LEAST;
-        counts.then(|| excesses[excesses.len() / 4])
+    fn queueing_delay(&self) -> Option<Duration> {
+        let mut delays: Vec<Duration> = self.samples.iter().copied().collect();
+        delays.sort_unstable();
+        let is_enough = delays.len() >= MIN_SAMPLES;
+        is_enough.then(|| delays[delays.len() / 4])
     }
 }
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -97,7 +97,7 @@
     service: &ServiceName,
     place: &PlaceName,
 ) -> Option<&'v EntrySession> {
-    best(&eligible(view, place), service, place)
+    highest_ranked(&eligible(view, place), service, place)
 }
 
 /// Returns the sessions that may own backend servers at `place`: those of the place
@@ -105,9 +105,9 @@
 #[must_use]
 pub fn eligible<'v>(view: &'v ControlView, place: &PlaceName) -> Vec<&'v EntrySession> {
     let staying = || view.sessions.values().filter(|session| !session.leaving);
-    let near: Vec<_> = staying().filter(|s| s.info.place == *place).collect();
-    if !near.is_empty() {
-        return near;
+    let at_place: Vec<_> = staying().filter(|s| s.info.place == *place).collect();
+    if !at_place.is_empty() {
+        return at_place;
     }
     let region = view
         .manifest
@@ -144,7 +144,7 @@
                 if !service.limits.contains_key(place) {
                     continue;
                 }
-                if let Some(owner) = best(&eligible, name, place) {
+                if let Some(owner) = highest_ranked(&eligible, name, place) {
                     let places = owners.entry(name.clone()).or_default();
                     places.insert(place.clone(), owner.id);
                 }
@@ -176,7 +176,7 @@
     }
 }
 
-fn best<'v>(
+fn highest_ranked<'v>(
     eligible: &[&'v EntrySession],
     service: &ServiceName,
     place: &PlaceName,
--- a/lib/src/ownership_state.rs
+++ b/lib/src/ownership_state.rs
@@ -23,7 +23,7 @@
     /// revisions tell about those who owned the group since.
     pub seen_until: Revision,
     /// Whether it is sure that nobody dispatched anything before.
-    pub nothing_before: bool,
+    pub no_earlier_work: bool,
 }
 
 /// Follows one session's ownership of one group.
@@ -34,7 +34,7 @@
         /// The revision under which this session became the owner.
         acquired: Revision,
         /// Whether it is known what the old owner had left in flight.
-        told: bool,
+        informed: bool,
     },
     /// Nobody else dispatches any more, but unknown work may still run.
     Clearing {
@@ -54,32 +54,32 @@
     pub const fn begin(acquired: Acquisition) -> Self {
         Self::Unsettled {
             acquired: acquired.revision,
-            told: acquired.nothing_before,
+            informed: acquired.no_earlier_work,
         }
     }
 
-    /// Notes that `settled` is settled; `longest` is the longest deadline of any
+    /// Notes that `settled` is settled; `longest_deadline` is the longest deadline of any
     /// request that may have been dispatched before.
-    pub fn settle(&mut self, now: Instant, settled: Revision, longest: Duration) {
-        let Self::Unsettled { acquired, told } = *self else {
+    pub fn settle(&mut self, now: Instant, settled: Revision, longest_deadline: Duration) {
+        let Self::Unsettled { acquired, informed } = *self else {
             return;
         };
         if settled < acquired {
             return;
         }
-        *self = if told {
+        *self = if informed {
             Self::Active { since: now }
         } else {
             Self::Clearing {
-                until: now + (longest + DEADLINE_GRACE).max(COUNTED_FOR),
+                until: now + (longest_deadline + DEADLINE_GRACE).max(COUNTED_FOR),
             }
         };
     }
 
     /// Notes that the old owner has told what it had left in flight.
-    pub fn note_told(&mut self, now: Instant) {
+    pub fn note_release(&mut self, now: Instant) {
         match self {
-            Self::Unsettled { told, .. } => *told = true,
+            Self::Unsettled { informed, .. } => *informed = true,
             Self::Clearing { .. } => *self = Self::Active { since: now },
             Self::Active { .. } => {}
         }
@@ -117,9 +117,9 @@
     /// Tells whether this session can say what is in flight, its own and its
     /// predecessors' work.
     #[must_use]
-    pub fn knows_all(&self, now: Instant) -> bool {
+    pub fn knows_all_in_flight(&self, now: Instant) -> bool {
         match *self {
-            Self::Unsettled { told, .. } => told,
+            Self::Unsettled { informed, .. } => informed,
             Self::Clearing { until } => now >= until,
             Self::Active { .. } => true,
         }
--- a/lib/src/planned_stop.rs
+++ b/lib/src/planned_stop.rs
@@ -13,34 +13,37 @@
 
 /// Share of the time until a stop by force after which no more requests are taken. Callers
 /// have learned of other entry VMs by then, and what was taken last has time to finish.
-const SERVE_SHARE: f64 = 0.45;
+const ACCEPT_SHARE: f64 = 0.45;
 
 /// Share of that time after which the process ends, whatever is still under way.
 const FINISH_SHARE: f64 = 0.95;
 
 /// Time before that end in which the last answers are written. All that is under way is told
 /// at once then, and each answer takes its way of 8 to 24 ms.
-const LAST_WORDS: Duration = Duration::from_millis(100);
+const FINAL_ANSWERS_MARGIN: Duration = Duration::from_millis(100);
 
 /// Follows a planned stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlannedStop {
-    asked_at: Instant,
+    requested_at: Instant,
     grace: Duration,
 }
 
 impl PlannedStop {
-    /// Begins a stop that was asked for at `asked_at`; `grace` later the process is ended by
+    /// Begins a stop that was asked for at `requested_at`; `grace` later the process is ended by
     /// force.
     #[must_use]
-    pub const fn new(asked_at: Instant, grace: Duration) -> Self {
-        Self { asked_at, grace }
+    pub const fn new(requested_at: Instant, grace: Duration) -> Self {
+        Self {
+            requested_at,
+            grace,
+        }
     }
 
     /// Returns until when requests are taken.
     #[must_use]
     pub fn accepts_until(&self) -> Instant {
-        self.asked_at + self.grace.mul_f64(SERVE_SHARE)
+        self.requested_at + self.grace.mul_f64(ACCEPT_SHARE)
     }
 
     /// Returns whether a request is taken whose head came at `arrived`, by whatever way it
@@ -54,18 +57,18 @@
     #[must_use]
     pub fn answers_until(&self) -> Instant {
         let ends_at = self.ends_at();
-        ends_at.checked_sub(LAST_WORDS).unwrap_or(ends_at)
+        ends_at.checked_sub(FINAL_ANSWERS_MARGIN).unwrap_or(ends_at)
     }
 
     /// Returns when the process ends.
     #[must_use]
     pub fn ends_at(&self) -> Instant {
-        self.asked_at + self.grace.mul_f64(FINISH_SHARE)
+        self.requested_at + self.grace.mul_f64(FINISH_SHARE)
     }
 
     /// Returns the time from the request to stop until `at`; zero before it.
     #[must_use]
     pub fn since_requested(&self, at: Instant) -> Duration {
-        at.saturating_duration_since(self.asked_at)
+        at.saturating_duration_since(self.requested_at)
     }
 }
--- a/lib/src/pressure.rs
+++ b/lib/src/pressure.rs
@@ -23,16 +23,16 @@
 const GAIN: f64 = 0.25;
 
 /// Largest difference from the target that counts.
-const LARGEST_ERROR: f64 = 1.0;
+const MAX_ERROR: f64 = 1.0;
 
 /// Share of the way to full pressure that a refusal goes.
 const REFUSAL_STEP: f64 = 0.05;
 
 /// Time in which the pressure by refusals halves.
-const REFUSALS_FADE: Duration = Duration::from_secs(1);
+const REFUSAL_HALF_LIFE: Duration = Duration::from_secs(1);
 
 /// Time in which pressure halves when nothing is heard of the group.
-const FORGETTING: Duration = Duration::from_secs(2);
+const STALE_HALF_LIFE: Duration = Duration::from_secs(2);
 
 /// Time for which a group isn't asked after it couldn't be reached.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(500);
@@ -41,27 +41,27 @@
 const SHIFT_PAUSE: Duration = Duration::from_millis(100);
 
 /// Time for which a digest's hint at a used-up shift is believed.
-const HINT_LAPSE: Duration = Duration::from_millis(500);
+const HINT_MAX_AGE: Duration = Duration::from_millis(500);
 
 /// Holds what one entry knows of one group.
 #[derive(Debug, Default)]
 pub struct LoadEstimate {
     owner: Option<SessionId>,
-    load: Option<HeardLoad>,
+    load: Option<ReceivedLoad>,
     /// Pressure by use, as digests tell.
     use_pressure: f64,
     /// Pressure by refusals, as this entry has met them.
     refusal_pressure: f64,
     updated: Option<Instant>,
     unreachable_until: Option<Instant>,
-    closed_origins: BTreeMap<PlaceName, Instant>,
+    blocked_origins: BTreeMap<PlaceName, Instant>,
     /// Requests sent lately and likely running still, at `sent_at`.
     sent: f64,
     sent_at: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct HeardLoad {
+struct ReceivedLoad {
     at: Instant,
     load: GroupLoad,
 }
@@ -71,14 +71,14 @@
     pub fn take_load(&mut self, now: Instant, owner: SessionId, load: &GroupLoad) {
         self.update(now);
         self.owner = Some(owner);
-        self.load = Some(HeardLoad {
+        self.load = Some(ReceivedLoad {
             at: now,
             load: load.clone(),
         });
     }
 
     /// Forgets what another owner told.
-    pub fn follow_owner(&mut self, owner: SessionId) {
+    pub fn set_owner(&mut self, owner: SessionId) {
         if self.owner.is_some_and(|known| known != owner) {
             self.load = None;
             self.unreachable_until = None;
@@ -88,7 +88,7 @@
 
     /// Notes that a request was sent.
     pub fn note_sent(&mut self, now: Instant) {
-        self.sent = self.sent_now(now) + 1.0;
+        self.sent = self.estimated_sent(now) + 1.0;
         self.sent_at = Some(now);
     }
 
@@ -97,7 +97,7 @@
         self.update(now);
         match reason {
             NotRunReason::ShiftCap | NotRunReason::LinkLimit => {
-                self.closed_origins
+                self.blocked_origins
                     .insert(origin.clone(), now + SHIFT_PAUSE);
             }
             NotRunReason::NoBackendServer => self.refusal_pressure = 1.0,
@@ -134,39 +134,39 @@
     #[must_use]
     pub fn is_open(&self, now: Instant, origin: &PlaceName) -> bool {
         let reachable = self.unreachable_until.is_none_or(|until| now >= until);
-        let unclosed = self
-            .closed_origins
+        let unblocked = self
+            .blocked_origins
             .get(origin)
             .is_none_or(|until| now >= *until);
         let hinted = self
-            .fresh_load(now, HINT_LAPSE)
+            .fresh_load(now, HINT_MAX_AGE)
             .is_some_and(|load| load.full_origins.contains(origin));
         let has_slots = self
             .fresh_load(now, DIGEST_LAPSE)
             .is_none_or(|load| load.slots > 0);
-        reachable && unclosed && !hinted && has_slots
+        reachable && unblocked && !hinted && has_slots
     }
 
     /// Returns the slots that are likely free, what this entry has sent since the
     /// digest taken off, and discounted by the digest's age.
     #[must_use]
     pub fn likely_free(&self, now: Instant) -> f64 {
-        let Some(heard) = &self.load else {
+        let Some(received) = &self.load else {
             return 0.0;
         };
-        let used = f64::from(heard.load.in_flight) + f64::from(heard.load.queued);
-        let free = f64::from(heard.load.slots) - used - self.sent_now(now);
-        free.max(0.0) * GroupLoad::confidence(now.saturating_duration_since(heard.at))
+        let used = f64::from(received.load.in_flight) + f64::from(received.load.queued);
+        let free = f64::from(received.load.slots) - used - self.estimated_sent(now);
+        free.max(0.0) * GroupLoad::confidence(now.saturating_duration_since(received.at))
     }
 
     /// Returns the time that a request needs there, the wait for a slot included.
     #[must_use]
     pub fn expected_time(&self) -> Duration {
-        self.load.as_ref().map_or(Duration::ZERO, |heard| {
-            let ms = heard
+        self.load.as_ref().map_or(Duration::ZERO, |received| {
+            let ms = received
                 .load
                 .expected_wait_ms
-                .saturating_add(heard.load.service_ms);
+                .saturating_add(received.load.service_ms);
             Duration::from_millis(u64::from(ms))
         })
     }
@@ -179,48 +179,48 @@
 
     /// Fades what was sent by the group's service time, of which the digest knows the
     /// more the longer ago it was.
-    fn sent_now(&self, now: Instant) -> f64 {
-        let (Some(at), Some(heard)) = (self.sent_at, &self.load) else {
+    fn estimated_sent(&self, now: Instant) -> f64 {
+        let (Some(at), Some(received)) = (self.sent_at, &self.load) else {
             return 0.0;
         };
-        let passed = now.saturating_duration_since(at).as_secs_f64();
-        let service = f64::from(heard.load.service_ms.max(1)) / 1_000.0;
-        self.sent * (-passed / service).exp()
+        let elapsed = now.saturating_duration_since(at).as_secs_f64();
+        let service = f64::from(received.load.service_ms.max(1)) / 1_000.0;
+        self.sent * (-elapsed / service).exp()
     }
 
     fn fresh_load(&self, now: Instant, lapse: Duration) -> Option<&GroupLoad> {
-        let heard = self.load.as_ref()?;
-        (now.saturating_duration_since(heard.at) < lapse).then_some(&heard.load)
+        let received = self.load.as_ref()?;
+        (now.saturating_duration_since(received.at) < lapse).then_some(&received.load)
     }
 
     /// Moves the pressure by the time passed: as far as the digest is trusted, towards
     /// the target use; as far as it isn't, towards nothing.
     fn update(&mut self, now: Instant) {
         let last = *self.updated.get_or_insert(now);
-        let passed = now.saturating_duration_since(last).as_secs_f64();
+        let elapsed = now.saturating_duration_since(last).as_secs_f64();
         self.updated = Some(last.max(now));
-        let (error, trust) = self.load.as_ref().map_or((0.0, 0.0), |heard| {
-            let age = now.saturating_duration_since(heard.at);
-            (heard.error(), GroupLoad::confidence(age))
+        let (error, trust) = self.load.as_ref().map_or((0.0, 0.0), |received| {
+            let age = now.saturating_duration_since(received.at);
+            (received.error(), GroupLoad::confidence(age))
         });
-        let forgotten = self.use_pressure * halved(passed * (1.0 - trust), FORGETTING);
-        self.use_pressure = (forgotten + GAIN * error * trust * passed).clamp(0.0, 1.0);
-        self.refusal_pressure *= halved(passed, REFUSALS_FADE);
+        let decayed = self.use_pressure * decay(elapsed * (1.0 - trust), STALE_HALF_LIFE);
+        self.use_pressure = (decayed + GAIN * error * trust * elapsed).clamp(0.0, 1.0);
+        self.refusal_pressure *= decay(elapsed, REFUSAL_HALF_LIFE);
     }
 }
 
 /// Returns what is left after `seconds` of what halves within `half_life`.
-fn halved(seconds: f64, half_life: Duration) -> f64 {
+fn decay(seconds: f64, half_life: Duration) -> f64 {
     0.5_f64.powf(seconds / half_life.as_secs_f64())
 }
 
-impl HeardLoad {
+impl ReceivedLoad {
     fn error(&self) -> f64 {
         if self.load.slots == 0 {
-            return LARGEST_ERROR;
+            return MAX_ERROR;
         }
         let used = f64::from(self.load.in_flight) + f64::from(self.load.queued);
         let error = used / f64::from(self.load.slots) - TARGET_USE;
-        error.clamp(-LARGEST_ERROR, LARGEST_ERROR)
+        error.clamp(-MAX_ERROR, MAX_ERROR)
     }
 }
--- a/lib/src/rate_meter.rs
+++ b/lib/src/rate_meter.rs
@@ -16,24 +16,25 @@
 impl RateMeter {
     /// Counts one event.
     pub fn note(&mut self, now: Instant) {
-        self.turn(now);
+        self.advance(now);
         self.current += 1;
     }
 
     /// Returns the events of the last second, taking the older period's as even.
     pub fn per_second(&mut self, now: Instant) -> f64 {
-        self.turn(now);
+        self.advance(now);
         let start = self.start.unwrap_or(now);
-        let into = now.saturating_duration_since(start).as_secs_f64() / PERIOD.as_secs_f64();
-        f64::from(self.current) + f64::from(self.previous) * (1.0 - into).max(0.0)
+        let elapsed_share =
+            now.saturating_duration_since(start).as_secs_f64() / PERIOD.as_secs_f64();
+        f64::from(self.current) + f64::from(self.previous) * (1.0 - elapsed_share).max(0.0)
     }
 
-    fn turn(&mut self, now: Instant) {
+    fn advance(&mut self, now: Instant) {
         let start = *self.start.get_or_insert(now);
-        let passed = now.saturating_duration_since(start);
-        if passed >= 2 * PERIOD {
+        let elapsed = now.saturating_duration_since(start);
+        if elapsed >= 2 * PERIOD {
             (self.start, self.current, self.previous) = (Some(now), 0, 0);
-        } else if passed >= PERIOD {
+        } else if elapsed >= PERIOD {
             self.start = Some(start + PERIOD);
             self.previous = self.current;
             self.current = 0;
--- a/lib/src/request_rank.rs
+++ b/lib/src/request_rank.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 /// Share of the time left that a request without a team may wait, by its route's priority.
-const BY_ROUTE: [f64; RANKS] = [1.0, 0.8, 0.6];
+const ROUTE_WAIT_SHARES: [f64; RANKS] = [1.0, 0.8, 0.6];
 
 /// What each rank of a team takes off that share. A whole span of routes lies within it.
 const TEAM_STEP: f64 = 0.15;
@@ -24,11 +24,11 @@
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
 /// Requests of a rank that must have been seen before it can count as starved.
-const ENOUGH: f64 = 4.0;
+const MIN_REQUESTS: f64 = 4.0;
 
 /// Share of how often all are served below which a rank is starved. No rank may be served less
 /// than a quarter as often as all.
-const STARVED_BELOW: f64 = 0.5;
+const STARVATION_RATIO: f64 = 0.5;
 
 /// Says which requests one comes after.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -45,8 +45,8 @@
     pub fn wait_share(self) -> f64 {
         let route = rank(self.route);
         match self.team {
-            None => BY_ROUTE[route],
-            Some(team) => 1.0 - TEAM_STEP * steps(rank(team)) - ROUTE_STEP * steps(route),
+            None => ROUTE_WAIT_SHARES[route],
+            Some(team) => 1.0 - TEAM_STEP * to_f64(rank(team)) - ROUTE_STEP * to_f64(route),
         }
     }
 
@@ -60,43 +60,43 @@
     usize::try_from(priority).map_or(RANKS - 1, |rank| rank.min(RANKS - 1))
 }
 
-fn steps(rank: usize) -> f64 {
+fn to_f64(rank: usize) -> f64 {
     u32::try_from(rank).map_or(f64::MAX, f64::from)
 }
 
 /// Follows how often the teams of each rank are served.
 #[derive(Debug, Default)]
 pub struct RankFairness {
-    seen: [Seen; RANKS],
+    counts: [RankCounts; RANKS],
     at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    asked: f64,
+struct RankCounts {
+    requested: f64,
     served: f64,
 }
 
-impl Seen {
+impl RankCounts {
     fn share(self) -> f64 {
-        self.served / self.asked.max(1.0)
+        self.served / self.requested.max(1.0)
     }
 }
 
 impl RankFairness {
     /// Notes that a request was given a backend server, or was refused for want of room.
     pub fn note(&mut self, now: Instant, rank: RequestRank, served: bool) {
-        self.fade(now);
-        let seen = &mut self.seen[rank.class()];
-        seen.asked += 1.0;
+        self.decay(now);
+        let counts = &mut self.counts[rank.class()];
+        counts.requested += 1.0;
         if served {
-            seen.served += 1.0;
+            counts.served += 1.0;
         }
     }
 
     /// Returns the share of the time left that a request may wait.
     pub fn wait_share(&mut self, now: Instant, rank: RequestRank) -> f64 {
-        self.fade(now);
+        self.decay(now);
         if self.is_starved(rank) {
             1.0
         } else {
@@ -105,21 +105,24 @@
     }
 
     fn is_starved(&self, rank: RequestRank) -> bool {
-        let own = self.seen[rank.class()];
-        let all = self.seen.iter().fold(Seen::default(), |all, seen| Seen {
-            asked: all.asked + seen.asked,
-            served: all.served + seen.served,
-        });
-        own.asked >= ENOUGH && own.share() < STARVED_BELOW * all.share()
+        let own = self.counts[rank.class()];
+        let all = self
+            .counts
+            .iter()
+            .fold(RankCounts::default(), |all, counts| RankCounts {
+                requested: all.requested + counts.requested,
+                served: all.served + counts.served,
+            });
+        own.requested >= MIN_REQUESTS && own.share() < STARVATION_RATIO * all.share()
     }
 
-    fn fade(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(*self.at.get_or_insert(now));
+    fn decay(&mut self, now: Instant) {
+        let elapsed = now.saturating_duration_since(*self.at.get_or_insert(now));
         self.at = Some(now);
-        let kept = 0.5_f64.powf(passed.as_secs_f64() / HALF_LIFE.as_secs_f64());
-        for seen in &mut self.seen {
-            seen.asked *= kept;
-            seen.served *= kept;
+        let remaining = 0.5_f64.powf(elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64());
+        for counts in &mut self.counts {
+            counts.requested *= remaining;
+            counts.served *= remaining;
         }
     }
 }
--- a/lib/src/shift_budget.rs
+++ b/lib/src/shift_budget.rs
@@ -75,13 +75,13 @@
     /// Applies a view with its owners.
     pub fn apply_view(&mut self, view: &ControlView, owners: &OwnerTable, step: ViewStep) {
         let shares = self.shares(view, owners);
-        let from_nothing = step == ViewStep::Whole || !self.has_view;
+        let must_reset = step == ViewStep::Whole || !self.has_view;
         for (key, share) in &shares {
             let budget = self.caps.entry(key.clone()).or_insert_with(|| CapBudget {
                 share: SettledShare::with_base(NO_CAP),
                 usage: UsageWindow::default(),
             });
-            if from_nothing {
+            if must_reset {
                 budget.share.reset(view.revision, *share);
             } else {
                 budget.share.set(view.revision, *share);
@@ -222,14 +222,15 @@
         let Some(in_force) = &view.manifest else {
             return 0;
         };
-        let far = far_places(&in_force.manifest, &in_force.manifest.services[name], cap);
-        let total = requests_per_second(cap, &far);
+        let targets = target_places(&in_force.manifest, &in_force.manifest.services[name], cap);
+        let total = requests_per_second(cap, &targets);
         match self.sharing {
             Sharing::Owners => {
-                let weights: Vec<u64> = far.iter().map(|(_, rate)| *rate).collect();
+                let weights: Vec<u64> = targets.iter().map(|(_, rate)| *rate).collect();
                 let parts = split(total, &weights);
                 let owned = |place| owners.owner(name, place) == Some(self.session);
-                far.iter()
+                targets
+                    .iter()
                     .zip(parts)
                     .filter(|((place, _), _)| owned(place))
                     .map(|(_, part)| part)
@@ -260,16 +261,16 @@
 /// Returns the requests a second that `cap` allows all sessions together.
 #[must_use]
 pub fn allowed_per_second(manifest: &Manifest, service: &Service, cap: &ShiftCap) -> u64 {
-    requests_per_second(cap, &far_places(manifest, service, cap))
+    requests_per_second(cap, &target_places(manifest, service, cap))
 }
 
-fn requests_per_second(cap: &ShiftCap, far: &[(PlaceName, u64)]) -> u64 {
-    let bearable: u64 = far.iter().map(|(_, rate)| *rate).sum();
-    bearable * u64::from(cap.percent) / 100
+fn requests_per_second(cap: &ShiftCap, targets: &[(PlaceName, u64)]) -> u64 {
+    let capacity: u64 = targets.iter().map(|(_, rate)| *rate).sum();
+    capacity * u64::from(cap.percent) / 100
 }
 
 /// Returns the places at the far end of `cap` with what the service may put on them.
-fn far_places(manifest: &Manifest, service: &Service, cap: &ShiftCap) -> Vec<(PlaceName, u64)> {
+fn target_places(manifest: &Manifest, service: &Service, cap: &ShiftCap) -> Vec<(PlaceName, u64)> {
     service
         .limits
         .iter()
--- a/lib/src/steering.rs
+++ b/lib/src/steering.rs
@@ -27,10 +27,10 @@
 use crate::view::ControlView;
 
 /// Round trip assumed to an entry VM in the same region, until one is measured.
-const NEAR_ROUND_TRIP: Duration = Duration::from_millis(2);
+const SAME_REGION_ROUND_TRIP: Duration = Duration::from_millis(2);
 
 /// Round trip assumed to an entry VM in another region, until one is measured.
-const FAR_ROUND_TRIP: Duration = Duration::from_millis(100);
+const OTHER_REGION_ROUND_TRIP: Duration = Duration::from_millis(100);
 
 /// Round trips that differ by less than this count as equally far.
 const ROUND_TRIP_STEP: Duration = Duration::from_millis(10);
@@ -40,7 +40,7 @@
 
 /// Pressure up to which another region is asked after a refusal. Where it is hard to
 /// get served too, the try would only make the final refusal late by a round trip.
-const FAR_PRESSURE: f64 = 0.2;
+const MAX_OTHER_REGION_PRESSURE: f64 = 0.2;
 
 /// Describes a request that is to be steered.
 #[derive(Clone, Copy, Debug)]
@@ -71,8 +71,8 @@
     view: Arc<ControlView>,
     owners: OwnerTable,
     round_trips: BTreeMap<SessionId, Duration>,
-    outlooks: BTreeMap<Group, LoadEstimate>,
-    serials: BTreeMap<SessionId, u64>,
+    estimates: BTreeMap<Group, LoadEstimate>,
+    last_serials: BTreeMap<SessionId, u64>,
     rng: ChaCha8Rng,
 }
 
@@ -96,7 +96,7 @@
 }
 
 impl RatedCandidate {
-    const fn is_near(&self) -> bool {
+    const fn is_in_region(&self) -> bool {
         matches!(self.tier, Tier::Origin | Tier::Region)
     }
 }
@@ -110,8 +110,8 @@
             view: Arc::default(),
             owners: OwnerTable::default(),
             round_trips: BTreeMap::new(),
-            outlooks: BTreeMap::new(),
-            serials: BTreeMap::new(),
+            estimates: BTreeMap::new(),
+            last_serials: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -119,14 +119,14 @@
     /// Applies a view.
     pub fn apply_view(&mut self, view: &Arc<ControlView>) {
         self.view = Arc::clone(view);
-        let lives = |session: &SessionId| view.sessions.contains_key(session);
-        self.round_trips.retain(|session, _| lives(session));
-        self.serials.retain(|session, _| lives(session));
+        let exists = |session: &SessionId| view.sessions.contains_key(session);
+        self.round_trips.retain(|session, _| exists(session));
+        self.last_serials.retain(|session, _| exists(session));
         self.owners = OwnerTable::of(view);
-        self.outlooks.retain(|group, outlook| {
+        self.estimates.retain(|group, estimate| {
             let owner = self.owners.owner(&group.service, &group.place);
             if let Some(owner) = owner {
-                outlook.follow_owner(owner);
+                estimate.set_owner(owner);
             }
             owner.is_some()
         });
@@ -134,7 +134,7 @@
 
     /// Takes another owner's digest (or this session's own).
     pub fn take_digest(&mut self, now: Instant, digest: &LoadDigest) {
-        let serial = self.serials.entry(digest.session).or_default();
+        let serial = self.last_serials.entry(digest.session).or_default();
         if digest.serial <= *serial {
             return;
         }
@@ -143,8 +143,8 @@
             let group = &load.group;
             let owner = self.owners.owner(&group.service, &group.place);
             if owner == Some(digest.session) {
-                let outlook = self.outlooks.entry(group.clone()).or_default();
-                outlook.take_load(now, digest.session, load);
+                let estimate = self.estimates.entry(group.clone()).or_default();
+                estimate.take_load(now, digest.session, load);
             }
         }
     }
@@ -160,55 +160,60 @@
         let mut rated = self.rate(now, req);
         // Each one draws its place within its tier, likelier in front with more free
         // slots; one draw for all would send every entry to the same one.
-        for option in &mut rated {
+        for rated_candidate in &mut rated {
             let draw: f64 = self.rng.random();
-            option.weight = draw.powf(1.0 / (1.0 + option.weight));
+            rated_candidate.weight = draw.powf(1.0 / (1.0 + rated_candidate.weight));
         }
         rated.sort_by(|a, b| a.tier.cmp(&b.tier).then(b.weight.total_cmp(&a.weight)));
         self.divert(&mut rated);
         let mut position = 0;
-        rated.retain(|option| {
+        rated.retain(|rated_candidate| {
             position += 1;
-            position == 1 || option.is_near() || option.pressure <= FAR_PRESSURE
+            position == 1
+                || rated_candidate.is_in_region()
+                || rated_candidate.pressure <= MAX_OTHER_REGION_PRESSURE
         });
-        rated.into_iter().map(|option| option.candidate).collect()
+        rated
+            .into_iter()
+            .map(|rated_candidate| rated_candidate.candidate)
+            .collect()
     }
 
     /// Notes that a request was sent to `candidate`; digests don't show it yet.
     pub fn note_sent(&mut self, now: Instant, candidate: &Candidate) {
-        self.outlook(candidate).note_sent(now);
+        self.estimate(candidate).note_sent(now);
     }
 
     /// Notes that `candidate` refused a request.
     pub fn note_refused(&mut self, now: Instant, candidate: &Candidate, reason: NotRunReason) {
-        self.outlook(candidate)
+        self.estimate(candidate)
             .note_refused(now, &candidate.origin, reason);
     }
 
     /// Notes that `candidate` couldn't be reached.
     pub fn note_unreachable(&mut self, now: Instant, candidate: &Candidate) {
-        self.outlook(candidate).note_unreachable(now);
+        self.estimate(candidate).note_unreachable(now);
     }
 
     /// Returns what the owners have told of their groups lately.
     #[must_use]
     pub fn known_loads(&self, now: Instant) -> Vec<GroupLoad> {
-        self.outlooks
+        self.estimates
             .values()
-            .filter_map(|outlook| outlook.load(now))
+            .filter_map(|estimate| estimate.load(now))
             .cloned()
             .collect()
     }
 
     /// Returns the pressure that this entry sees at a group, from 0 to 1.
     pub fn pressure(&mut self, now: Instant, group: &Group) -> f64 {
-        self.outlooks
+        self.estimates
             .get_mut(group)
-            .map_or(0.0, |outlook| outlook.pressure(now))
+            .map_or(0.0, |estimate| estimate.pressure(now))
     }
 
-    fn outlook(&mut self, candidate: &Candidate) -> &mut LoadEstimate {
-        self.outlooks.entry(candidate.group.clone()).or_default()
+    fn estimate(&mut self, candidate: &Candidate) -> &mut LoadEstimate {
+        self.estimates.entry(candidate.group.clone()).or_default()
     }
 
     fn rate(&mut self, now: Instant, req: SteeringRequest<'_>) -> Vec<RatedCandidate> {
@@ -227,15 +232,15 @@
             let assumed = if owner == self.session {
                 Duration::ZERO
             } else if Some(&session.info.region) == own_region {
-                NEAR_ROUND_TRIP
+                SAME_REGION_ROUND_TRIP
             } else {
-                FAR_ROUND_TRIP
+                OTHER_REGION_ROUND_TRIP
             };
             let round_trip = self.round_trips.get(&owner).copied().unwrap_or(assumed);
             let group = Group::new(req.service.clone(), place.clone());
-            let outlook = self.outlooks.entry(group.clone()).or_default();
-            let in_time = round_trip + outlook.expected_time() <= req.left;
-            if !in_time || !outlook.is_open(now, req.origin) {
+            let estimate = self.estimates.entry(group.clone()).or_default();
+            let in_time = round_trip + estimate.expected_time() <= req.left;
+            if !in_time || !estimate.is_open(now, req.origin) {
                 continue;
             }
             let tier = if place == req.origin {
@@ -246,9 +251,9 @@
                 Tier::Away(round_trip.as_millis() / ROUND_TRIP_STEP.as_millis())
             };
             rated.push(RatedCandidate {
-                pressure: outlook.pressure(now),
-                refusal_pressure: outlook.refusal_pressure(now),
-                weight: outlook.likely_free(now),
+                pressure: estimate.pressure(now),
+                refusal_pressure: estimate.refusal_pressure(now),
+                weight: estimate.likely_free(now),
                 candidate: Candidate {
                     group,
                     owner,
--- a/lib/src/usage_window.rs
+++ b/lib/src/usage_window.rs
@@ -23,13 +23,13 @@
 const BUCKET: Duration = Duration::from_millis(2);
 
 /// Length of the steps in which use is told to another.
-const TOLD_STEP: Duration = Duration::from_millis(20);
+const REPORT_STEP: Duration = Duration::from_millis(20);
 
 /// Parts of the window among which use is spread.
-const PARTS: u32 = 5;
+const SUBWINDOWS: u32 = 5;
 
 /// Multiple of the even spread that one part may hold.
-const BURST: u64 = 2;
+const BURST_FACTOR: u64 = 2;
 
 /// Counts uses over a sliding window.
 #[derive(Clone, Debug, Default)]
@@ -62,20 +62,21 @@
     /// even share. Otherwise a limit that is reached would let everything through at
     /// the start of each window and nothing in the rest of it.
     pub fn has_room(&mut self, now: Instant, amount: u64, limit: u64) -> bool {
-        self.forget(now);
-        let whole = self.sum + self.reserved + amount <= limit;
-        whole && self.recent(now) + amount <= part_limit(limit).max(amount)
+        self.expire(now);
+        let fits_window = self.sum + self.reserved + amount <= limit;
+        fits_window && self.recent(now) + amount <= subwindow_limit(limit).max(amount)
     }
 
     /// Tells whether `amount` that is reserved may be used now.
     pub fn may_use_reserved(&mut self, now: Instant, amount: u64, limit: u64) -> bool {
-        self.forget(now);
-        self.sum + amount <= limit && self.recent(now) + amount <= part_limit(limit).max(amount)
+        self.expire(now);
+        self.sum + amount <= limit
+            && self.recent(now) + amount <= subwindow_limit(limit).max(amount)
     }
 
     /// Returns what still fits under `limit`.
     pub fn room(&mut self, now: Instant, limit: u64) -> u64 {
-        self.forget(now);
+        self.expire(now);
         limit.saturating_sub(self.sum + self.reserved)
     }
 
@@ -89,7 +90,7 @@
 
     /// Counts a use.
     pub fn add(&mut self, now: Instant, amount: u64) {
-        self.forget(now);
+        self.expire(now);
         self.sum += amount;
         match self.buckets.back_mut() {
             Some(bucket) if now < bucket.first + BUCKET => {
@@ -116,54 +117,57 @@
 
     /// Returns what counts now, without what is reserved.
     pub fn used(&mut self, now: Instant) -> u64 {
-        self.forget(now);
+        self.expire(now);
         self.sum
     }
 
-    /// Returns what counts now, in steps of [`TOLD_STEP`].
-    pub fn tell(&mut self, now: Instant) -> Vec<RecentUse> {
-        self.forget(now);
-        let mut told: Vec<RecentUse> = Vec::new();
+    /// Returns what counts now, in steps of [`REPORT_STEP`].
+    pub fn recent_use(&mut self, now: Instant) -> Vec<RecentUse> {
+        self.expire(now);
+        let mut reported: Vec<RecentUse> = Vec::new();
         let mut first = None;
         for bucket in &self.buckets {
             let age = now.saturating_duration_since(bucket.last).as_millis();
             let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
-            match told.last_mut() {
-                Some(last) if first.is_some_and(|first| bucket.last < first + TOLD_STEP) => {
+            match reported.last_mut() {
+                Some(last) if first.is_some_and(|first| bucket.last < first + REPORT_STEP) => {
                     last.age_ms = age_ms;
                     last.amount += bucket.amount;
                 }
                 _ => {
                     first = Some(bucket.last);
-                    told.push(RecentUse {
+                    reported.push(RecentUse {
                         age_ms,
                         amount: bucket.amount,
                     });
                 }
             }
         }
-        told
+        reported
     }
 
-    /// Counts what another has told of, heard at `heard`, before anything else is.
-    pub fn begin_with(&mut self, heard: Instant, told: &[RecentUse]) {
-        for recent in told {
+    /// Counts what another has told of, heard at `received_at`, before anything else is.
+    pub fn add_reported(&mut self, received_at: Instant, reported: &[RecentUse]) {
+        for recent in reported {
             let age = Duration::from_millis(u64::from(recent.age_ms));
-            self.add(heard.checked_sub(age).unwrap_or(heard), recent.amount);
+            self.add(
+                received_at.checked_sub(age).unwrap_or(received_at),
+                recent.amount,
+            );
         }
     }
 
     fn recent(&self, now: Instant) -> u64 {
-        let part = COUNTED_FOR / PARTS;
+        let subwindow = COUNTED_FOR / SUBWINDOWS;
         self.buckets
             .iter()
             .rev()
-            .take_while(|bucket| now < bucket.last + part)
+            .take_while(|bucket| now < bucket.last + subwindow)
             .map(|bucket| bucket.amount)
             .sum()
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn expire(&mut self, now: Instant) {
         while let Some(bucket) = self.buckets.front() {
             if now < bucket.last + COUNTED_FOR {
                 return;
@@ -174,9 +178,9 @@
     }
 }
 
-fn part_limit(limit: u64) -> u64 {
+fn subwindow_limit(limit: u64) -> u64 {
     limit
-        .saturating_mul(BURST)
-        .div_ceil(u64::from(PARTS))
+        .saturating_mul(BURST_FACTOR)
+        .div_ceil(u64::from(SUBWINDOWS))
         .max(1)
 }
--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -122,7 +122,7 @@
         self.admission.finish(self.now, dispatch.key, ending)
     }
 
-    fn pass(&mut self, time: Duration) -> Vec<Effect> {
+    fn advance(&mut self, time: Duration) -> Vec<Effect> {
         self.now += time;
         self.admission.tick(self.now)
     }
@@ -172,7 +172,7 @@
 
 slot_cases! {
     test_admission_slots_announced: |_, announced| announced.slots = 2 => 2;
-    test_admission_slots_lied_about: |_, announced| announced.slots = 50 => 3;
+    test_admission_slots_overstated: |_, announced| announced.slots = 50 => 3;
     test_admission_slots_by_connections: |_, announced| announced.max_connections = 1 => 1;
     test_admission_slots_by_place: |manifest, _| limit(manifest).max_in_flight = 2 => 2;
     test_admission_slots_by_rate: |manifest, _| limit(manifest).max_per_second = 1 => 1;
@@ -185,7 +185,7 @@
     // A report of running work that nobody here has sent takes half at most.
     test_admission_slots_reported_in_use: |_, announced| announced.in_flight = 3 => 2;
     test_admission_slots_reported_overload: |_, announced| announced.load = 9.0 => 2;
-    test_admission_slots_reported_nonsense: |_, announced| announced.load = f64::NAN => 3;
+    test_admission_slots_reported_not_a_number: |_, announced| announced.load = f64::NAN => 3;
 }
 
 /// Symptom: a backend server gets full load on a report that is seconds old. Cause: the
@@ -193,9 +193,9 @@
 #[test]
 fn test_admission_old_reports_lower_slots() {
     let mut owner = Owner::of(&["r1"]);
-    owner.pass(1_200 * MS);
+    owner.advance(1_200 * MS);
     assert_eq!(owner.fill(), 2);
-    owner.pass(1_000 * MS);
+    owner.advance(1_000 * MS);
     let (reason, _) = owner.refusal(Duration::from_secs(1));
     assert_eq!(reason, NotRunReason::NoBackendServer);
 }
@@ -213,7 +213,7 @@
         matches!(effects[..], [Effect::Disconnect { .. }]),
         "{effects:?}"
     );
-    owner.pass(100 * MS);
+    owner.advance(100 * MS);
     owner.announce(&ready("r1"));
     assert_eq!(owner.fill(), 0);
 }
@@ -227,7 +227,7 @@
     let dispatch = owner.dispatch();
     owner.finish(&dispatch, Ending::Failed);
     assert_eq!(owner.fill(), 2);
-    let effects = owner.pass(1_100 * MS);
+    let effects = owner.advance(1_100 * MS);
     let dispatched = |effect: &&Effect| matches!(effect, Effect::Dispatch { .. });
     // Those that wait have the same deadline, so none of them is dispatched any more.
     assert_eq!(effects.iter().filter(dispatched).count(), 0);
@@ -242,7 +242,7 @@
     let dispatch = owner.dispatch();
     owner.finish(&dispatch, Ending::ShedByServer);
     assert_eq!(owner.fill(), 0);
-    owner.pass(60 * MS);
+    owner.advance(60 * MS);
     assert_eq!(owner.fill(), 1);
 }
 
@@ -257,14 +257,14 @@
     informed.announce(&ready("r1"));
     while !matches!(informed.offer(100 * MS), Verdict::Dispatch(_)) {
         waited += 50 * MS;
-        informed.pass(50 * MS);
+        informed.advance(50 * MS);
         informed.announce(&ready("r1"));
     }
     let mut owner = Owner::fresh();
-    owner.pass(waited);
+    owner.advance(waited);
     let verdict = owner.offer(Duration::from_secs(1));
     assert!(matches!(verdict, Verdict::Queued), "{verdict:?}");
-    owner.pass(100 * MS);
+    owner.advance(100 * MS);
     let effects = owner.announce(&ready("r1"));
     let dispatched = |effect: &Effect| matches!(effect, Effect::Dispatch { .. });
     assert!(effects.iter().any(dispatched), "{effects:?}");
@@ -291,7 +291,7 @@
     }
     assert_eq!(failed.get(&BackendName::new("r1")), Some(&3));
     // After the pause, one request probes it.
-    owner.pass(600 * MS);
+    owner.advance(600 * MS);
     assert_eq!(owner.fill(), 4);
 }
 
@@ -305,9 +305,9 @@
     let mut owner = Owner::new(manifest);
     owner.announce(&ready("r1"));
     assert_eq!(owner.admission.loads(owner.now)[0].slots, 1);
-    owner.pass(1_900 * MS);
+    owner.advance(1_900 * MS);
     owner.announce(&ready("r1"));
-    owner.pass(200 * MS);
+    owner.advance(200 * MS);
     assert_eq!(owner.admission.loads(owner.now)[0].slots, 3);
 }
 
@@ -322,11 +322,11 @@
     for backend in ["r1", "r2", "r3"] {
         owner.announce(&ready(backend));
     }
-    owner.pass(1_500 * MS);
+    owner.advance(1_500 * MS);
     for backend in ["r1", "r2", "r3"] {
         owner.announce(&ready(backend));
     }
-    owner.pass(600 * MS);
+    owner.advance(600 * MS);
     assert_eq!(owner.admission.loads(owner.now)[0].slots, 9);
     assert_eq!(owner.fill(), 3);
 }
@@ -344,7 +344,7 @@
     owner.fill();
     let (reason, _) = owner.refusal(400 * MS);
     assert_eq!(reason, NotRunReason::DeadlineTooShort);
-    let effects = owner.pass(750 * MS);
+    let effects = owner.advance(750 * MS);
     let late = |effect: &Effect| match effect {
         Effect::Refuse { refusal, .. } => refusal.reason() == NotRunReason::DeadlineTooShort,
         _ => false,
@@ -453,7 +453,7 @@
             for backend in ["r1", "r2", "r3"] {
                 owner.announce(&ready(backend));
             }
-            effects = owner.pass(Duration::ZERO);
+            effects = owner.advance(Duration::ZERO);
         }
         while let Some(done) = running.iter().position(|(ends, ..)| *ends <= now) {
             let (ends, start, dispatch) = running.swap_remove(done);
--- a/lib/tests/test_digest_throttle.rs
+++ b/lib/tests/test_digest_throttle.rs
@@ -38,7 +38,7 @@
     assert!(throttle.is_due(now, &loads));
 }
 
-macro_rules! pace_tests {
+macro_rules! throttle_tests {
     ($($name:ident: $change:expr, $after:expr => $due:literal;)*) => {$(
         #[test]
         fn $name() {
@@ -47,7 +47,7 @@
     )*};
 }
 
-pace_tests! {
+throttle_tests! {
     test_pace_nothing_new: |_| {}, SOON => false;
     test_pace_quiet_for_long: |_| {}, MAX_DIGEST_INTERVAL => true;
     test_pace_small_change_of_use: |loads| loads[0].in_flight += 1, SOON => false;
--- a/lib/tests/test_ownership.rs
+++ b/lib/tests/test_ownership.rs
@@ -86,7 +86,7 @@
     session: SessionId,
     key: DispatchKey,
     answered: Instant,
-    told: bool,
+    reported: bool,
 }
 
 struct OwnerModel {
@@ -136,7 +136,7 @@
             }
         }
         self.check_slots(now);
-        self.runs.retain(|run| !run.told || now < run.ends);
+        self.runs.retain(|run| !run.reported || now < run.ends);
     }
 
     /// Everything an entry VM does in one step: announcements come in, answers come
@@ -149,7 +149,7 @@
             .runs
             .iter()
             .enumerate()
-            .filter(|(_, run)| run.entry == index && run.session == session && !run.told)
+            .filter(|(_, run)| run.entry == index && run.session == session && !run.reported)
             .filter(|(_, run)| now >= run.answered)
             .map(|(position, run)| (position, run.key))
             .collect();
@@ -158,7 +158,7 @@
             .as_mut()
             .expect("a session");
         for (position, key) in answered {
-            self.runs[position].told = true;
+            self.runs[position].reported = true;
             let latency = Duration::from_millis(50);
             let effects = owner
                 .admission
@@ -213,7 +213,7 @@
             session,
             key: dispatch.key,
             answered: ends + travel,
-            told: false,
+            reported: false,
         });
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// Does one of the things that go wrong.
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let now = self.model.now;
         let index = self.rng.random_range(0..self.model.entries.len());
         let freeze = Duration::from_millis(self.rng.random_range(200..=4_000));
@@ -264,11 +264,11 @@
             }
             _ => entry.max_delay_ms = self.rng.random_range(5..=400),
         }
-        self.replace_left();
+        self.replace_departed();
     }
 
     /// Ends the sessions that have left and run nothing, and starts them anew.
-    fn replace_left(&mut self) {
+    fn replace_departed(&mut self) {
         let now = self.model.now;
         for index in 0..self.model.entries.len() {
             let entry = &mut self.model.entries[index];
@@ -325,14 +325,14 @@
     for step in 0..15_000 {
         owners.step();
         if step % 400 == 399 || (step % 50 == 0 && owners.rng.random_ratio(1, 20)) {
-            owners.disturb();
+            owners.inject_fault();
         }
     }
     // Quiet again: one owner, and it dispatches.
     let before = owners.dispatched;
     for _ in 0..2_000 {
         owners.step();
-        owners.replace_left();
+        owners.replace_departed();
     }
     assert!(owners.dispatched > before + 20, "nobody dispatches");
     println!(
@@ -476,7 +476,7 @@
 /// after the change; the old owner says that it has finished. Cause: the request, which
 /// may still run, is no dispatch any more.
 #[rstest]
-fn test_ownership_counts_broken_off_work(#[values(true, false)] breaks: bool) {
+fn test_ownership_counts_work_on_broken_connections(#[values(true, false)] breaks: bool) {
     let mut handover = Handover::new();
     let answered = Ending::Answered {
         latency: Duration::from_millis(20),
@@ -539,7 +539,7 @@
     test_ownership_goes_to_the_region:
         [(1, "x", "a2", "a"), (3, "z", "b1", "b")], "a1" => Some("x");
     test_ownership_goes_anywhere: [(3, "z", "b1", "b")], "a1" => Some("z");
-    test_ownership_of_nobody: [], "a1" => None;
+    test_ownership_without_sessions: [], "a1" => None;
 }
 
 /// A session that comes takes groups only to itself, and one that goes leaves the
--- a/lib/tests/test_shift_budget.rs
+++ b/lib/tests/test_shift_budget.rs
@@ -430,7 +430,7 @@
 
 /// What isn't disturbed uses the whole cap, not a part of it.
 #[test]
-fn test_shift_budget_is_used() {
+fn test_shift_budget_uses_whole_cap() {
     let arrivals = run::<Requests>(1, &[]);
     let sum: u64 = arrivals.seen.values().sum();
     // 50% of 80 requests a second, over steps of 5 ms.
@@ -480,7 +480,7 @@
 
 /// Others are told which origins' callers find the cap used up, and no others.
 #[test]
-fn test_shift_budget_tells_full_origins() {
+fn test_shift_budget_reports_full_origins() {
     let now = Instant::now() + Duration::from_secs(2);
     let manifest = capped(Some(10));
     let view = view(1, manifest.clone(), &[(1, "entry-1", "b1", "b")]);
@@ -497,7 +497,7 @@
 
 /// What an answer weighs beyond the share is paid back before anything else is sent.
 #[test]
-fn test_shift_budget_link_owes() {
+fn test_shift_budget_link_repays_excess() {
     let now = Instant::now();
     let view = view(1, capped(Some(10)), &[(1, "entry-1", "a1", "a")]);
     let mut links = LinkBudgets::new(SessionId(1));
--- a/lib/tests/test_steering.rs
+++ b/lib/tests/test_steering.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    fn hear(&mut self, load: GroupLoad) {
+    fn receive(&mut self, load: GroupLoad) {
         self.serial += 1;
         let digest = LoadDigest {
             session: owner_of(load.group.place.as_str()),
@@ -128,7 +128,7 @@
     };
 }
 
-fn note_refused(entry: &mut Entry, place_name: &str, reason: NotRunReason) {
+fn note_refusal_by(entry: &mut Entry, place_name: &str, reason: NotRunReason) {
     let candidate = Candidate {
         group: Group::new(service(), place(place_name)),
         owner: owner_of(place_name),
@@ -139,25 +139,25 @@
 
 order_cases! {
     test_steering_nearest_first: |_| {} => "a1", "a2";
-    test_steering_passes_over_empty: |entry| entry.hear(load("a1", 0, 0)) => "a2";
+    test_steering_passes_over_empty: |entry| entry.receive(load("a1", 0, 0)) => "a2";
     test_steering_passes_over_refused_shift: |entry| {
-        note_refused(entry, "a2", NotRunReason::ShiftCap);
-        entry.hear(load("b1", 0, 0));
+        note_refusal_by(entry, "a2", NotRunReason::ShiftCap);
+        entry.receive(load("b1", 0, 0));
     } => "a1", "b2";
     test_steering_passes_over_hinted_shift: |entry| {
         let mut full = load("a2", 9, 0);
         full.full_origins.push(place("a1"));
-        entry.hear(full);
-        entry.hear(load("b2", 0, 0));
+        entry.receive(full);
+        entry.receive(load("b2", 0, 0));
     } => "a1", "b1";
     test_steering_passes_over_unreachable: |entry| {
         let candidates = entry.candidates(&place("a1"), Duration::from_secs(1));
         entry.steering.note_unreachable(entry.now, &candidates[0]);
     } => "a2";
     test_steering_prefers_free_of_equals: |entry| {
-        entry.hear(load("a1", 0, 0));
-        entry.hear(load("a2", 0, 0));
-        entry.hear(load("b1", 1_000_000, 0));
+        entry.receive(load("a1", 0, 0));
+        entry.receive(load("a2", 0, 0));
+        entry.receive(load("b1", 1_000_000, 0));
     } => "b1", "b2";
 }
 
@@ -173,9 +173,9 @@
 #[test]
 fn test_steering_ignores_overtaken_digest() {
     let mut entry = Entry::new(Instant::now(), 1);
-    entry.hear(load("a1", 9, 0));
+    entry.receive(load("a1", 9, 0));
     entry.serial = 0;
-    entry.hear(load("a1", 0, 0));
+    entry.receive(load("a1", 0, 0));
     assert_eq!(entry.places()[0], "a1");
 }
 
@@ -185,7 +185,7 @@
     let mut entry = Entry::new(Instant::now(), 1);
     let at_home = |entry: &mut Entry| (0..200).filter(|_| entry.places()[0] == "a1").count();
     for _ in 0..30 {
-        note_refused(&mut entry, "a1", NotRunReason::Overloaded);
+        note_refusal_by(&mut entry, "a1", NotRunReason::Overloaded);
     }
     let diverting = at_home(&mut entry);
     assert!(
@@ -194,7 +194,7 @@
     );
     for place_name in ["a2", "b1", "b2"] {
         for _ in 0..30 {
-            note_refused(&mut entry, place_name, NotRunReason::Overloaded);
+            note_refusal_by(&mut entry, place_name, NotRunReason::Overloaded);
         }
     }
     // When all refuse alike, nothing is gained by going far.
@@ -245,7 +245,7 @@
                         reason = "a small positive count"
                     )]
                     let in_use = used(old, name) as u32;
-                    entry.hear(load(name, SLOTS, in_use));
+                    entry.receive(load(name, SLOTS, in_use));
                 }
             }
         }
