--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod clock;
 pub mod cold_gate;
 pub mod cold_queries;
-pub mod cold_watch;
+pub mod cold_tracker;
 pub mod command;
 mod config_document;
 pub mod config_fault;
--- a/lib/src/log_cause.rs
+++ b/lib/src/log_cause.rs
@@ -1,6 +1,6 @@
 //! The likely cause of a request's fate, from the line on it and what changed round it.
 
-use crate::cold_watch::CONTROL_LOST_AFTER;
+use crate::cold_tracker::CONTROL_LOST_AFTER;
 use crate::duration_text::whole_ms;
 use crate::follow_lag::MAX_IN_FORCE_DELAY;
 use crate::log_chain::LogLine;
