--- a/lib/src/group_admission.rs
+++ b/lib/src/group_admission.rs
@@ -458,7 +458,7 @@
                     .shifts
                     .may_use_reserved(cx.now, shift(cx.manifest, offer));
             if admitted {
-                placed = registry.place(cx.now, warm_up, offer.idempotent);
+                placed = registry.reserve_slot(cx.now, warm_up, offer.idempotent);
             }
             placed.is_some()
         })?;
