--- a/lib/src/group_admission.rs
+++ b/lib/src/group_admission.rs
@@ -476,7 +476,10 @@
         let is_new_owner = self.counts_new_as_warm(cx.now);
         self.origins
             .admits(cx.now, &offer.origin, warm_up, slots, is_new_owner)
-            .then(|| self.registry.place(cx.now, warm_up, offer.idempotent))?
+            .then(|| {
+                self.registry
+                    .reserve_slot(cx.now, warm_up, offer.idempotent)
+            })?
     }
 
     fn charge(&mut self, cx: &mut GroupContext<'_>, offer: &Offer) {
