--- a/lib/examples/client_block_bench.rs
+++ b/lib/examples/client_block_bench.rs
@@ -1,4 +1,5 @@
-//! Measures the table of client blocks: bytes a block, time to build, look-ups a second.
+//! Benchmarks the client block table: bytes per block, build time and look-ups per
+//! second.
 //!
 //! `cargo run --release -p heatherring-lib --example client_block_bench -- BLOCKS PLACES`
 
@@ -27,16 +28,22 @@
 const SEED: u64 = 11;
 const LOOK_UPS: usize = 20_000_000;
 const ADDRESSES: usize = 1 << 20;
-/// Share of IPv6 blocks (/48) among all.
+/// Proportion of IPv6 blocks (/48) among all blocks.
 const V6_SHARE: f64 = 0.15;
-/// Share of outer IPv4 blocks (/20) that hold /24 blocks.
+/// Proportion of IPv4 blocks that are /20 blocks, which may contain /24 blocks.
 const OUTER_SHARE: f64 = 0.05;
 const PAGE_BYTES: u64 = 4_096;
 
 fn main() -> Result<(), Box<dyn Error>> {
     let mut arguments = std::env::args().skip(1);
-    let blocks: usize = arguments.next().ok_or("BLOCKS is missing")?.parse()?;
-    let places: usize = arguments.next().ok_or("PLACES is missing")?.parse()?;
+    let blocks: usize = arguments
+        .next()
+        .ok_or("argument BLOCKS is missing")?
+        .parse()?;
+    let places: usize = arguments
+        .next()
+        .ok_or("argument PLACES is missing")?
+        .parse()?;
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
 
     let before = resident_bytes()?;
@@ -63,17 +70,17 @@
         table.ranges()
     );
     println!(
-        "table bytes {}, a block {:.1}",
+        "table {} bytes, {:.1} per block",
         table.heap_bytes(),
         ratio(table.heap_bytes(), blocks)
     );
     println!(
-        "manifest in memory {manifest_bytes} bytes, a block {:.1}",
+        "manifest in memory {manifest_bytes} bytes, {:.1} per block",
         ratio(usize::try_from(manifest_bytes)?, blocks)
     );
     println!("built in {built:?}");
     println!(
-        "look-ups a second on one core {:.2} million ({:.0}% with a place)",
+        "look-ups per second on one core {:.2} million ({:.0}% with a place)",
         ratio(LOOK_UPS, 1) / looked_up.as_secs_f64() / 1e6,
         100.0 * ratio(found, LOOK_UPS)
     );
--- a/lib/examples/steering_model/direct.rs
+++ b/lib/examples/steering_model/direct.rs
@@ -1,4 +1,4 @@
-//! Contenders without owners: each entry VM sends to backend servers by itself.
+//! Strategies without owners: each entry VM sends to backend servers on its own.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,25 +14,27 @@
 use crate::world::WARM_UP;
 use crate::world::World;
 
-/// Age of the load reports that entry VMs go by is up to this.
+/// Interval between load reports, and so the maximum age of the reports that entry VMs
+/// use.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Tries of one request, the first included.
+/// Attempts per request, including the first.
 const TRIES: usize = 3;
 
-/// Requests that may wait for each credit.
+/// Maximum number of queued requests per credit.
 const QUEUED_PER_CREDIT: usize = 2;
 
-/// How an entry VM chooses a backend server.
+/// Strategy by which an entry VM selects a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Strategy {
-    /// The next of all in the region.
+    /// The backend servers of the region in turn.
     RoundRobin,
-    /// The one in the region that last reported the least load.
+    /// A backend server of the region with the lowest load in its last report.
     LeastReported,
-    /// The better of two drawn in the region, by own count and report.
+    /// The less loaded of two random backend servers of the region, by own in-flight
+    /// count and last report.
     TwoChoices,
-    /// One of those whose slots this entry VM holds a lease on; others wait.
+    /// A backend server with a slot leased to this entry VM; other requests wait.
     Credits,
 }
 
@@ -81,11 +83,11 @@
 pub struct Direct {
     strategy_kind: Strategy,
     queue: EventQueue<Event>,
-    /// Backend servers of each entry VM's region.
-    near: Vec<Vec<usize>>,
+    /// Backend servers in the region of each entry VM.
+    regional: Vec<Vec<usize>>,
     next: Vec<usize>,
-    /// By entry VM and backend server.
-    own: Vec<Vec<u32>>,
+    /// Own requests in flight, indexed by entry VM and backend server.
+    own_in_flight: Vec<Vec<u32>>,
     credits: Vec<Vec<u32>>,
     waiting: Vec<VecDeque<Request>>,
     reported: Vec<u32>,
@@ -95,7 +97,7 @@
 impl Direct {
     pub fn new(world: &World, strategy_kind: Strategy, seed: u64) -> Self {
         let region = |place: usize| world.places[place].1;
-        let near: Vec<Vec<usize>> = world
+        let regional: Vec<Vec<usize>> = world
             .entry_places
             .iter()
             .map(|place| {
@@ -117,10 +119,10 @@
         Self {
             strategy_kind,
             queue: EventQueue::new(),
-            next: vec![0; near.len()],
-            waiting: vec![VecDeque::new(); near.len()],
-            near,
-            own: none,
+            next: vec![0; regional.len()],
+            waiting: vec![VecDeque::new(); regional.len()],
+            regional,
+            own_in_flight: none,
             credits,
             reported: vec![0; world.backends.len()],
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -166,7 +168,7 @@
                     .add(now + back, Event::Answer { backend, request });
             }
             Event::Answer { backend, request } => {
-                self.own[request.entry][backend] -= 1;
+                self.own_in_flight[request.entry][backend] -= 1;
                 world.answered(now, &request);
                 if let Some(next) = self.waiting[request.entry].pop_front() {
                     self.send(world, now, next, 1);
@@ -177,7 +179,7 @@
                 request,
                 tries,
             } => {
-                self.own[request.entry][backend] -= 1;
+                self.own_in_flight[request.entry][backend] -= 1;
                 if tries < TRIES {
                     self.send(world, now, request, tries + 1);
                 } else {
@@ -206,7 +208,7 @@
             }
             return;
         };
-        self.own[entry][backend] += 1;
+        self.own_in_flight[entry][backend] += 1;
         let there = travel(world, backend, &request);
         let reach = Event::Reach {
             backend,
@@ -217,15 +219,15 @@
     }
 
     fn choose(&mut self, entry: usize) -> Option<usize> {
-        let near = &self.near[entry];
+        let regional = &self.regional[entry];
         match self.strategy_kind {
             Strategy::RoundRobin => {
                 self.next[entry] += 1;
-                Some(near[self.next[entry] % near.len()])
+                Some(regional[self.next[entry] % regional.len()])
             }
             Strategy::LeastReported => {
-                let least = near.iter().map(|b| self.reported[*b]).min()?;
-                let least: Vec<usize> = near
+                let least = regional.iter().map(|b| self.reported[*b]).min()?;
+                let least: Vec<usize> = regional
                     .iter()
                     .copied()
                     .filter(|b| self.reported[*b] == least)
@@ -233,14 +235,14 @@
                 Some(least[self.rng.random_range(0..least.len())])
             }
             Strategy::TwoChoices => {
-                let draw = |rng: &mut ChaCha8Rng| near[rng.random_range(0..near.len())];
+                let draw = |rng: &mut ChaCha8Rng| regional[rng.random_range(0..regional.len())];
                 let pair = [draw(&mut self.rng), draw(&mut self.rng)];
-                let load = |b: &usize| self.own[entry][*b].max(self.reported[*b]);
+                let load = |b: &usize| self.own_in_flight[entry][*b].max(self.reported[*b]);
                 pair.into_iter().min_by_key(load)
             }
             Strategy::Credits => {
-                let free = |b: &usize| self.own[entry][*b] < self.credits[entry][*b];
-                near.iter().copied().find(free)
+                let free = |b: &usize| self.own_in_flight[entry][*b] < self.credits[entry][*b];
+                regional.iter().copied().find(free)
             }
         }
     }
--- a/lib/examples/steering_model/main.rs
+++ b/lib/examples/steering_model/main.rs
@@ -1,9 +1,9 @@
-//! Compares ways to steer requests to backend servers, under the same arrivals.
+//! Compares strategies for steering requests to backend servers under identical arrivals.
 //!
-//! A deterministic model of entry VMs, backend servers and the delays between them; it
-//! drives the core's own admission and steering against simpler contenders. Run it with
+//! A deterministic model of entry VMs, backend servers and the delays between them. It
+//! runs the admission and steering of the library against simpler strategies. Run it with
 //! `cargo run --release -p heatherring-lib --example steering_model -- kyushu` (or
-//! `qazyna`); the figures in docs/design/steering.md come from it.
+//! `qazyna`); it produces the figures in docs/design/steering.md.
 
 mod direct;
 mod owners;
--- a/lib/examples/steering_model/owners.rs
+++ b/lib/examples/steering_model/owners.rs
@@ -1,4 +1,4 @@
-//! The core's own decisions: one owner for each group, steering by pressure.
+//! The strategy of the library: one owner for each group, steering by pressure.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -58,7 +58,7 @@
 const TICK: Duration = Duration::from_millis(20);
 const SERVICE: &str = "service";
 
-/// Time before the first arrival in which owners become active.
+/// Time before the first arrival that lets owners become active.
 const SETTLING: Duration = Duration::from_secs(5);
 
 enum Event {
@@ -98,7 +98,7 @@
     Tick,
 }
 
-/// A request with the owners that are left to try.
+/// A request and the candidates that are still to be tried, the next one last.
 #[derive(Clone)]
 struct RoutedRequest {
     request: Request,
@@ -270,7 +270,7 @@
         let group = routed
             .candidates
             .last()
-            .expect("one is tried")
+            .expect("a candidate is being tried")
             .group
             .clone();
         let offer = Offer {
@@ -418,8 +418,11 @@
                 };
                 let admission = &mut self.entries[owner].admission;
                 let effects = admission.announce(at, &announcement);
-                let effects = effects.expect("it fits the manifest");
-                assert!(effects.is_empty(), "a report gives no slot");
+                let effects = effects.expect("the announcement matches the manifest");
+                assert!(
+                    effects.is_empty(),
+                    "an announcement alone dispatches nothing"
+                );
             }
         }
         if now < WARM_UP + MEASURED {
--- a/lib/examples/steering_model/report.rs
+++ b/lib/examples/steering_model/report.rs
@@ -1,17 +1,17 @@
-//! What came of the requests of one run.
+//! Outcomes of the requests of one run.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// Longest time that is told apart, in microseconds.
+/// Largest latency that the histograms distinguish, in microseconds.
 const LONGEST_US: u64 = 60_000_000;
 
-/// Collects what callers and backend servers saw.
+/// Collects latencies and outcomes as callers and backend servers observe them.
 pub struct Report {
     answered: Histogram<u64>,
     refused: Histogram<u64>,
-    /// Answers that came within the deadline.
+    /// Answers that arrived within the deadline.
     in_time_answers: u64,
     offered: u64,
     /// Requests that arrived at a backend server without a free slot.
@@ -23,13 +23,14 @@
 
 impl Report {
     pub const HEAD: &'static str = "\
-| load | contender | goodput | p50 ms | p99 ms | p99.9 ms | refused | refusal p50 ms | refusal p99 ms | overruns | refused with a free slot in the region |
+| load | strategy | goodput | p50 ms | p99 ms | p99.9 ms | refused | refusal p50 ms | refusal p99 ms | overruns | refused with a free slot in the region |
 | ---: | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |";
 
-    /// Starts with the requests that all slots together could serve.
+    /// Creates an empty report; `capacity` is the number of requests that all slots
+    /// together can serve in the measured time.
     pub fn new(capacity: f64) -> Self {
         let histogram =
-            || Histogram::new_with_max(LONGEST_US, 3).expect("the bounds and digits are allowed");
+            || Histogram::new_with_max(LONGEST_US, 3).expect("valid histogram bounds and digits");
         Self {
             answered: histogram(),
             refused: histogram(),
--- a/lib/examples/steering_model/world.rs
+++ b/lib/examples/steering_model/world.rs
@@ -1,4 +1,4 @@
-//! Places, entry VMs, backend servers, delays and arrivals.
+//! The simulated world: places, entry VMs, backend servers, delays and arrivals.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,24 +10,24 @@
 
 use crate::report::Report;
 
-/// Time that is measured.
+/// Length of the measured part of a run.
 pub const MEASURED: Duration = Duration::from_secs(30);
 
-/// Time before it, in which averages settle.
+/// Time before the measured part, in which averages converge.
 pub const WARM_UP: Duration = Duration::from_secs(5);
 
-/// Time from arrival within which an answer is of use.
+/// Time from the arrival of a request to its deadline.
 pub const DEADLINE: Duration = Duration::from_secs(2);
 
-/// Delay within a place.
+/// One-way delay within a place.
 const SAME_PLACE: Duration = Duration::from_micros(100);
 
-/// Multiple of its fair share of callers that the first place has.
+/// Factor by which the callers of the first place exceed its fair share.
 const HOT_PLACE_FACTOR: f64 = 1.5;
 
-/// Describes a deployment; the sizes and delays are those of the brief.
+/// Describes a deployment; sizes and delays are those of the requirements.
 pub struct Deployment {
-    /// Places with their region.
+    /// Names of the places, each with the name of its region.
     pub places: Vec<(&'static str, &'static str)>,
     pub backends_per_place: Vec<usize>,
     pub slots: u32,
@@ -80,25 +80,25 @@
     }
 }
 
-/// A request on its way.
+/// A simulated request.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     pub id: usize,
-    /// When the entry VM got it.
+    /// Time at which the entry VM received it.
     pub arrived: Duration,
-    /// The entry VM that it came to.
+    /// Index of the entry VM that received it.
     pub entry: usize,
     pub origin: usize,
     pub service: Duration,
 }
 
-/// A backend server, as it is.
+/// Actual state of a backend server.
 pub struct Backend {
     pub place: usize,
     pub running: u32,
 }
 
-/// What the contenders share.
+/// State that every strategy runs against.
 pub struct World {
     pub places: Vec<(&'static str, &'static str)>,
     pub entry_places: Vec<usize>,
@@ -112,7 +112,7 @@
 }
 
 impl World {
-    /// Draws the arrivals of `load` times what all slots can serve.
+    /// Generates arrivals at `load` times the rate that all slots together can serve.
     pub fn new(deployment: &Deployment, load: f64, seed: u64) -> Self {
         let backends: Vec<Backend> = deployment
             .backends_per_place
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Returns the delay from one place to another, one way.
+    /// Returns the one-way delay between two places.
     pub fn delay(&self, from: usize, to: usize) -> Duration {
         if from == to {
             SAME_PLACE
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Notes the answer as the caller gets it.
+    /// Records an answer with its latency at the caller.
     pub fn answered(&mut self, now: Duration, request: &Request) {
         if request.arrived >= WARM_UP {
             let taken = now.saturating_sub(request.arrived);
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Notes the refusal as the caller gets it.
+    /// Records a refusal with its latency at the caller.
     pub fn refused(&mut self, now: Duration, request: &Request) {
         if request.arrived >= WARM_UP {
             let region = self.places[request.origin].1;
@@ -206,7 +206,8 @@
         }
     }
 
-    /// Begins a request at a backend server, or notes that it has no slot free.
+    /// Starts a request at a backend server; if no slot is free, records an overrun and
+    /// returns `false`.
     pub fn begin(&mut self, backend: usize, request: &Request) -> bool {
         let server = &mut self.backends[backend];
         if server.running >= self.slots {
@@ -220,7 +221,7 @@
     }
 }
 
-/// Events in order of time.
+/// Pending events, ordered by time and, at equal times, by insertion.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<(Duration, u64)>>,
     events: std::collections::HashMap<u64, E>,
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -1,7 +1,7 @@
-//! What the owner of backend servers lets through to them.
+//! Admission control of the owner of backend servers.
 //!
-//! One [`Admission`] holds all groups that a session owns. The shell gives it every
-//! event with the time, and carries out the [`Effect`]s that come back.
+//! One [`Admission`] manages all groups that a session owns. Its driver passes in each
+//! event with the current time and executes the returned [`Effect`]s.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -51,18 +51,19 @@
 use crate::shift_budget::ShiftBudgets;
 use crate::view::ControlView;
 
-/// Time between two calls of [`Admission::tick`] while requests wait, by which slots are
-/// used that come free without a [`Admission::finish`]: held ones, ramps, pauses that
-/// end; and by which requests are refused that can't be answered in time any more.
+/// Interval between calls of [`Admission::tick`] while requests are queued. A tick uses
+/// slots that become free without a call of [`Admission::finish`] (expired held slots,
+/// warm-up, end of a back-off) and refuses requests that can no longer be answered in
+/// time.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Time between two calls of [`Admission::tick`] while nothing waits.
+/// Interval between calls of [`Admission::tick`] while no request is queued.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time to come back after when the session's lease is over.
+/// Retry time advised when the session's lease has expired.
 const LEASE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Holds the admission of all groups that one session owns.
+/// Admission control for all groups that one session owns.
 #[derive(Debug)]
 pub struct Admission {
     session: SessionId,
@@ -77,23 +78,25 @@
     handover: Handover,
     shifts: ShiftBudgets,
     advice: RetryAdvice,
-    /// Planned drains that aren't held back.
+    /// Planned drains that are carried out, that is, not held back.
     drains: Vec<Drain>,
 }
 
-/// Records a dispatch until it is finished.
+/// A dispatch that has not finished.
 #[derive(Debug)]
 struct Dispatched {
     offer: Offer,
     backend: BackendName,
     began: Instant,
-    /// The revision by which the session owned the group. A later ownership knows of the
-    /// dispatch from the release of the owner in between, or waits until it is over.
+    /// Revision at which the session acquired the group. If the session loses the group
+    /// and acquires it again, the later ownership learns of this dispatch from the
+    /// release of the owner in between, or waits until the dispatch must have ended.
     acquired: Revision,
 }
 
 impl Admission {
-    /// Starts the admission of a session; `seed` spreads the return of refused callers.
+    /// Creates the admission of a session without any group; `seed` drives the jitter in
+    /// the retry times of refused callers.
     #[must_use]
     pub fn new(session: SessionId, seed: u64) -> Self {
         Self {
@@ -113,14 +116,14 @@
         }
     }
 
-    /// Notes that the session's lease runs until `until`. Without a lease nothing is
-    /// dispatched: a frozen process that wakes up may have been replaced as owner.
+    /// Extends the session's lease to `until`. Without a lease nothing is dispatched: a
+    /// process that resumes after a freeze may have been replaced as owner.
     pub fn extend_lease(&mut self, until: Instant) {
         self.lease_until = self.lease_until.max(Some(until));
     }
 
-    /// Applies a view. To be called for each change on its own, with
-    /// [`ViewStep::OneChange`], and with [`ViewStep::Whole`] after a whole view.
+    /// Applies a view. Must be called once for every single change, with
+    /// [`ViewStep::OneChange`], and with [`ViewStep::Whole`] after a complete view.
     pub fn apply_view(
         &mut self,
         now: Instant,
@@ -133,7 +136,7 @@
         let owned: BTreeSet<Group> = owners.groups_of(self.session).collect();
         let mut effects = self.release_groups_except(now, &owned);
         self.shifts.apply_view(view, &owners, step);
-        // While no manifest was in force, nobody can have dispatched anything.
+        // As long as no manifest was in force, no session can have dispatched anything.
         let first_manifest =
             self.has_view && step == ViewStep::OneChange && before.manifest.is_none();
         let seen_until = if self.has_view {
@@ -151,7 +154,7 @@
         effects
     }
 
-    /// Notes that `revision` is settled, as control said.
+    /// Records that `revision` is settled, as reported by control.
     pub fn settle(&mut self, now: Instant, revision: Revision) -> Vec<Effect> {
         self.settled = self.settled.max(revision);
         let settled = self.settled.min(self.view.revision);
@@ -162,14 +165,14 @@
         self.process_all_queues(now)
     }
 
-    /// Takes an old owner's release.
+    /// Applies the release of a previous owner.
     pub fn take_release(&mut self, now: Instant, release: &Release) -> Vec<Effect> {
         if !release.complete || release.from == self.session {
             return Vec::new();
         }
         let received_at = now;
         if let Some(owned) = self.groups.get_mut(&release.group) {
-            // One from before this ownership tells nothing about the owners since.
+            // A release from before this ownership does not cover the owners since then.
             if release.revision > owned.seen_until() {
                 owned.take_release(now, received_at, release);
                 self.apply_released_announcements(received_at, release);
@@ -180,12 +183,12 @@
         self.process_all_queues(now)
     }
 
-    /// Takes the announcement of a backend server that this session owns; one of
-    /// another owner's is checked only.
+    /// Applies the announcement of a backend server that this session owns; an
+    /// announcement for another owner is only validated.
     ///
     /// # Errors
     ///
-    /// Returns an error if the announcement doesn't fit the manifest in force.
+    /// Returns an error if the announcement does not match the manifest in force.
     pub fn announce(
         &mut self,
         now: Instant,
@@ -197,11 +200,12 @@
         Ok(effects)
     }
 
-    /// Decides which planned drains are carried out, by what the owners of other groups
-    /// tell (`others`) and this one's own loads. To be called with each digest.
+    /// Decides which planned drains are carried out, from the loads that other owners
+    /// report (`others`) and the loads of this session's groups. Must be called with each
+    /// digest.
     ///
-    /// What was carried out stays so while it is planned, even if it would be held back
-    /// now: a drain that comes and goes would be worse than a late one.
+    /// A drain that is carried out stays so as long as it is planned, even if it would be
+    /// held back now: a drain that starts and stops repeatedly is worse than a late one.
     pub fn decide_drains(&mut self, now: Instant, others: Vec<GroupLoad>) -> Vec<DrainDecision> {
         let view = Arc::clone(&self.view);
         let Some(in_force) = &view.manifest else {
@@ -236,7 +240,7 @@
         decisions
     }
 
-    /// Decides what becomes of a request.
+    /// Decides whether a request is dispatched, queued or refused.
     pub fn offer(&mut self, now: Instant, offer: Offer) -> Verdict {
         match self.decide(now, &offer) {
             Ok(Decision::Place(placed)) => Verdict::Dispatch(self.dispatch(now, offer, placed)),
@@ -248,7 +252,7 @@
         }
     }
 
-    /// Notes how a dispatch ended and returns what may be dispatched now.
+    /// Records how a dispatch ended and returns the effects that the freed slot allows.
     pub fn finish(&mut self, now: Instant, key: DispatchKey, ending: Ending) -> Vec<Effect> {
         let Some(done) = self.dispatches.remove(key) else {
             return Vec::new();
@@ -263,7 +267,7 @@
         self.process_group(now, &name)
     }
 
-    /// Drops a request that waits; its caller is gone. Returns whether it waited.
+    /// Removes a queued request whose caller is gone. Returns whether it was queued.
     pub fn cancel(&mut self, now: Instant, token: RequestToken) -> bool {
         let Some(name) = self.waiting.remove(&token) else {
             return false;
@@ -272,7 +276,7 @@
             .unwrap_or(false)
     }
 
-    /// Lets time pass: lapses, expiries, ramps. To be called at [`Self::next_tick`].
+    /// Processes expiries and warm-up. Must be called at [`Self::next_tick`].
     pub fn tick(&mut self, now: Instant) -> Vec<Effect> {
         self.last_tick = Some(now);
         let mut effects = Vec::new();
@@ -283,7 +287,8 @@
         effects
     }
 
-    /// Returns the time at which [`Self::tick`] is due.
+    /// Returns the time at which [`Self::tick`] is due, or `None` while no group is
+    /// owned.
     #[must_use]
     pub fn next_tick(&self) -> Option<Instant> {
         if self.groups.is_empty() {
@@ -297,7 +302,7 @@
         self.last_tick.map(|last| last + interval)
     }
 
-    /// Returns what each owned group can take, for a digest.
+    /// Returns the load and capacity of every owned group.
     pub fn loads(&mut self, now: Instant) -> Vec<GroupLoad> {
         let view = Arc::clone(&self.view);
         let Some(in_force) = &view.manifest else {
@@ -311,12 +316,13 @@
         loads
     }
 
-    /// Returns what a digest tells of the owned groups: those that this session may
+    /// Returns the loads for a digest: those of owned groups that this session may
     /// dispatch to.
     ///
-    /// A group whose change of owner isn't over has no slots yet. Told so, others would
-    /// refuse its requests at once for want of slots, where this session lets them wait:
-    /// every planned stop of an entry VM would fail some.
+    /// A group whose change of owner is not complete has no slots yet. If a digest
+    /// reported that, other entry VMs would refuse its requests at once for lack of
+    /// slots, whereas this session queues them; every planned stop of an entry VM would
+    /// then cause refusals.
     pub fn digest_loads(&mut self, now: Instant) -> Vec<GroupLoad> {
         let mut loads = self.loads(now);
         let groups = &self.groups;
@@ -327,8 +333,8 @@
         loads
     }
 
-    /// Tells whether nothing is dispatched and nothing waits, so that a leaving entry
-    /// may end.
+    /// Returns whether no request is dispatched or queued, so that a leaving entry VM may
+    /// end.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.dispatches.is_empty() && self.waiting.is_empty()
@@ -486,7 +492,8 @@
         for backend in &release.backends {
             let age = Duration::from_millis(u64::from(backend.age_ms));
             let announced_at = received_at.checked_sub(age).unwrap_or(received_at);
-            // What doesn't fit the manifest in force is left for the server to repeat.
+            // An announcement that does not match the manifest in force is dropped; the
+            // backend server repeats it.
             let _ = self.take_announcement(announced_at, &backend.announcement);
         }
     }
@@ -539,8 +546,8 @@
         effects
     }
 
-    /// Notes the end of a dispatch at a group that was given up; the last one is told to
-    /// the new owner.
+    /// Records the end of a dispatch in a group that was released. After the last one the
+    /// new owner is sent a second release.
     fn finish_released(&mut self, now: Instant, done: &Dispatched, ending: Ending) -> Vec<Effect> {
         let name = &done.offer.group;
         if let Some(until) = ending.may_run_until(now, done.offer.deadline) {
--- a/lib/src/admission_event.rs
+++ b/lib/src/admission_event.rs
@@ -1,4 +1,4 @@
-//! What the owner's admission is asked and what it answers.
+//! Requests to the owner's admission, its decisions and its effects.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,82 +13,88 @@
 use crate::ownership::Group;
 use crate::ownership::Release;
 
-/// Time that a backend server is given to notice that its request was cancelled.
+/// Time allowed for a backend server to notice that its request was cancelled.
 const CANCEL_GRACE: Duration = Duration::from_millis(50);
 
-/// Time beyond the deadline until which a request whose connection broke counts.
+/// Time after the deadline for which a request counts as running if its connection broke.
 pub const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
 new_key_type! {
-    /// Identifies a dispatch, from the moment it takes a slot until it is finished.
+    /// Identifies a dispatch from the time it takes a slot until it is finished.
     pub struct DispatchKey;
 }
 
-/// Identifies a request towards the shell; the shell draws it, unique in its process.
+/// Identifies a request between driver and admission; assigned by the driver, unique in
+/// its process.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RequestToken(pub u64);
 
 /// Describes a request that asks for a slot.
 #[derive(Clone, Debug)]
 pub struct Offer {
-    /// Identifies the request in later effects.
+    /// Identifies the request in later effects; chosen by the driver.
     pub token: RequestToken,
-    /// The group that it was steered to.
+    /// The group that the request was steered to.
     pub group: Group,
-    /// Position of its operation in the service's list.
+    /// Index of its operation in the service's list of operations.
     pub operation: usize,
-    /// The place of its caller.
+    /// The place of the caller.
     pub origin: PlaceName,
-    /// Time until which an answer is of use.
+    /// Time after which an answer is of no use.
     pub deadline: Instant,
-    /// Whether running it twice is harmless.
+    /// Whether the request may safely run twice.
     pub idempotent: bool,
 }
 
-/// Tells at once what becomes of an offered request.
+/// Immediate decision about an offered request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// Send it now.
+    /// The request is to be sent now.
     Dispatch(Dispatch),
-    /// It waits; an [`Effect`] with its token follows.
+    /// The request is queued; an [`Effect`] with its token follows.
     Queued,
-    /// It is not run.
+    /// The request is refused and does not run.
     Refused(NotRun),
 }
 
-/// Tells where to send a request. The slot is taken until [`Admission::finish`](crate::admission::Admission::finish).
+/// Specifies where to send a request. The slot is occupied until
+/// [`Admission::finish`](crate::admission::Admission::finish).
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Dispatch {
-    /// Identifies the dispatch.
+    /// Passed to [`Admission::finish`](crate::admission::Admission::finish) when the
+    /// dispatch ends.
     pub key: DispatchKey,
-    /// The backend server.
+    /// The backend server that runs the request.
     pub backend: BackendName,
-    /// Its address.
+    /// Address from the backend server's announcement.
     pub address: SocketAddr,
-    /// Time at which the shell cancels the request by dropping its connection.
+    /// Time at which the driver cancels the request by closing its connection.
     pub deadline: Instant,
 }
 
-/// Tells how a dispatch ended.
+/// Describes how a dispatch ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ending {
-    /// The whole answer came; `latency` counts from the dispatch.
+    /// The complete answer was received.
     Answered {
         /// Time from the dispatch to the last byte of the answer.
         latency: Duration,
     },
-    /// The connection could not be made, so nothing was sent.
+    /// The connection could not be established, so nothing was sent.
     NotConnected,
-    /// The connection broke or the answer was faulty; the request may still run.
+    /// The connection broke or the answer was malformed; the request may still be
+    /// running.
     Failed,
-    /// The backend server refused it before running it.
+    /// The backend server refused the request before running it.
     ShedByServer,
-    /// The shell dropped the connection: the caller is gone or the deadline passed.
+    /// The driver closed the connection, because the caller is gone or the deadline
+    /// passed.
     Cancelled,
 }
 
 impl Ending {
-    /// Returns the time until which the request may still run, if it may.
+    /// Returns the time until which the request may still be running, or `None` if it has
+    /// ended.
     #[must_use]
     pub fn may_run_until(self, now: Instant, deadline: Instant) -> Option<Instant> {
         match self {
@@ -99,44 +105,45 @@
     }
 }
 
-/// Tells the shell what to do.
+/// Action that the driver has to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a request that waited.
+    /// Send a request that was queued.
     Dispatch {
-        /// The request.
+        /// Token of the queued request.
         token: RequestToken,
-        /// Where to.
+        /// Where to send it.
         dispatch: Dispatch,
     },
-    /// Refuse a request that waited.
+    /// Refuse a request that was queued.
     Refuse {
-        /// The request.
+        /// Token of the queued request.
         token: RequestToken,
-        /// Why, and when to come back.
+        /// Reason and advised retry time.
         refusal: NotRun,
     },
-    /// Send a release to the new owner.
+    /// Send a release to the new owner of a group.
     Release {
         /// The new owner's session.
         to: SessionId,
-        /// What to send.
+        /// The release to send.
         release: Release,
     },
-    /// Close idle connections to a backend server: it leaves, lapsed or moved away.
+    /// Close idle connections to a backend server, because it is leaving, its
+    /// announcement lapsed, or its group has another owner.
     Disconnect {
-        /// The backend server.
+        /// The backend server to disconnect from.
         backend: BackendName,
-        /// Its address.
+        /// Address that the connections lead to.
         address: SocketAddr,
     },
 }
 
-/// Tells how a view came about.
+/// Describes how a view relates to the previous one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ViewStep {
-    /// It differs from the last one by a single change of the log.
+    /// The view differs from the previous one by a single log entry.
     OneChange,
-    /// It came whole, so changes between may have gone unseen.
+    /// The view was received as a whole; intermediate changes may have been missed.
     Whole,
 }
--- a/lib/src/circuit_breaker.rs
+++ b/lib/src/circuit_breaker.rs
@@ -1,47 +1,48 @@
-//! Whether a backend server that fails is used.
+//! Circuit breaker for a failing backend server.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Failures in a row that open the circuit.
+/// Consecutive failures that open the circuit.
 const FAILURES_TO_OPEN: u32 = 3;
 
-/// Time for which the circuit stays open at first; it doubles with each failed probe.
+/// Initial time for which the circuit stays open; it doubles with each failed probe.
 const INITIAL_PAUSE: Duration = Duration::from_millis(500);
 
-/// Longest time for which the circuit stays open.
+/// Maximum time for which the circuit stays open.
 const MAX_PAUSE: Duration = Duration::from_secs(8);
 
-/// Follows the failures of one backend server.
+/// State of the circuit breaker of one backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CircuitBreaker {
-    /// Requests flow.
+    /// Requests pass.
     Closed {
-        /// Failures since the last answer.
+        /// Consecutive failures since the last answer.
         failures: u32,
     },
-    /// No request flows until the pause is over; then one does, as a probe.
+    /// No request passes until the pause is over; then a single probe does.
     Open {
-        /// End of the pause.
+        /// End of the pause; a probe may pass from then on.
         until: Instant,
-        /// Its length.
+        /// Length of the pause.
         pause: Duration,
-        /// Whether the probe is under way.
+        /// Whether a probe is in flight.
         probing: bool,
     },
 }
 
-/// Tells which requests a circuit lets through.
+/// Describes which requests a circuit breaker lets through.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Flow {
-    /// All.
+    /// All requests.
     All,
-    /// One, that may run twice without harm. A probe that is an action could end as
-    /// "unknown" for its caller.
+    /// A single idempotent request. A probe that is not idempotent could end as "unknown"
+    /// for its caller.
     OneIdempotent,
-    /// One of any kind: no idempotent one came for another pause's length.
+    /// A single request of any kind, because no idempotent request arrived within another
+    /// pause's length.
     One,
-    /// None.
+    /// No request.
     Nothing,
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl CircuitBreaker {
-    /// Tells what may be sent now.
+    /// Returns which requests may be sent now.
     #[must_use]
     pub fn flow(&self, now: Instant) -> Flow {
         match *self {
@@ -64,33 +65,34 @@
         }
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request was sent.
     pub fn note_sent(&mut self) {
         if let Self::Open { probing, .. } = self {
             *probing = true;
         }
     }
 
-    /// Notes an answer.
+    /// Records an answer and closes the circuit.
     pub fn note_answer(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes that a request ended without telling anything about the server.
+    /// Records that a request ended without evidence about the backend server's health.
     pub fn note_inconclusive(&mut self) {
         if let Self::Open { probing, .. } = self {
             *probing = false;
         }
     }
 
-    /// Notes a failure.
+    /// Records a failure and opens the circuit if there were enough.
     pub fn note_failure(&mut self, now: Instant) {
         *self = match *self {
             Self::Closed { failures } if failures + 1 < FAILURES_TO_OPEN => Self::Closed {
                 failures: failures + 1,
             },
             Self::Closed { .. } => Self::open(now, INITIAL_PAUSE),
-            // Requests that were under way when the circuit opened also fail.
+            // Requests already in flight when the circuit opened fail too; they do not
+            // extend the pause.
             Self::Open { probing: false, .. } => *self,
             Self::Open { pause, .. } => Self::open(now, (pause * 2).min(MAX_PAUSE)),
         };
--- a/lib/src/digest_throttle.rs
+++ b/lib/src/digest_throttle.rs
@@ -1,23 +1,23 @@
-//! When a digest is worth sending to the other entries.
+//! Decides when a load digest is sent to the other entry VMs.
 //!
-//! Digests are looked at every [`DIGEST_INTERVAL`](crate::load_digest::DIGEST_INTERVAL).
-//! Sent each time, to each entry, they cost an idle entry VM more than its requests do;
-//! a digest that says nothing new is held back, but not for so long that others stop
-//! trusting what they know.
+//! Digests are considered every [`DIGEST_INTERVAL`](crate::load_digest::DIGEST_INTERVAL).
+//! Sending each of them to every entry VM would cost an idle entry VM more than its
+//! requests do. A digest without significant changes is therefore withheld, but not for
+//! so long that the confidence of the receivers in the last one drops.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::load_digest::GroupLoad;
 
-/// Time after which a digest is sent even if nothing has changed. A tenth of the time
-/// in which it lapses, so that the others' trust stays above nine tenths.
+/// Maximum interval between digests when nothing changes. One tenth of the time after
+/// which a digest lapses, so that the receivers' confidence stays above 0.9.
 pub const MAX_DIGEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Change of a group's use, as a share of its slots, that is worth telling at once.
+/// Change of a group's utilization, as a fraction of its slots, that is sent at once.
 const USE_CHANGE_THRESHOLD: f64 = 0.15;
 
-/// Remembers what was told last.
+/// Tracks the last digest that was sent.
 #[derive(Debug, Default)]
 pub struct DigestThrottle {
     last_sent: Option<SentDigest>,
@@ -30,7 +30,7 @@
 }
 
 impl DigestThrottle {
-    /// Tells whether `loads` are to be sent now.
+    /// Returns whether `loads` should be sent now.
     #[must_use]
     pub fn is_due(&self, now: Instant, loads: &[GroupLoad]) -> bool {
         let Some(last_sent) = &self.last_sent else {
@@ -42,7 +42,7 @@
             || last_sent.loads.iter().zip(loads).any(differ)
     }
 
-    /// Notes that `loads` were sent.
+    /// Records that `loads` were sent.
     pub fn note_sent(&mut self, now: Instant, loads: &[GroupLoad]) {
         self.last_sent = Some(SentDigest {
             at: now,
@@ -50,7 +50,7 @@
         });
     }
 
-    /// Makes the next digest due, for entries that have heard none yet.
+    /// Makes the next digest due, for entry VMs that have not received any yet.
     pub fn reset(&mut self) {
         self.last_sent = None;
     }
--- a/lib/src/group_admission.rs
+++ b/lib/src/group_admission.rs
@@ -1,4 +1,4 @@
-//! What the owner of one group lets through to its backend servers.
+//! Admission control for one group of backend servers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -38,64 +38,65 @@
 use crate::wait_queue::WaitQueue;
 use crate::warm_up::OriginRamps;
 
-/// Requests that may wait for each slot. A request thus waits for about this many
-/// service times at most; more would make good answers late under overload, less would
-/// refuse what a short burst brings (figures in docs/design/admission.md).
+/// Maximum number of queued requests per slot, so that a request waits for at most about
+/// this many service times. A longer queue would make answers late under overload; a
+/// shorter one would refuse requests of a short burst (figures in
+/// docs/design/admission.md).
 const QUEUED_PER_SLOT: usize = 2;
 
-/// Time to come back after when no backend server takes work.
+/// Retry time advised when no backend server accepts requests.
 const NO_SERVER_WAIT: Duration = Duration::from_millis(500);
 
-/// Time within which every backend server of a new owner has announced itself again.
+/// Time within which every backend server has repeated its announcement to a new owner.
 const ANNOUNCEMENT_WAIT: Duration = Duration::from_millis(2 * REPEAT_MS as u64);
 
-/// Time to come back after when ownership isn't settled.
+/// Retry time advised while ownership is not settled.
 const UNSETTLED_WAIT: Duration = Duration::from_millis(200);
 
-/// Holds what several groups decide with together.
+/// State that several groups share when they decide.
 #[derive(Debug)]
 pub struct GroupContext<'a> {
-    /// The time.
+    /// Current time.
     pub now: Instant,
     /// The manifest in force.
     pub manifest: &'a Manifest,
-    /// The shares of the caps on shifts.
+    /// This session's shares of the shift caps.
     pub shifts: &'a mut ShiftBudgets,
-    /// Spreads the return of refused callers.
+    /// Computes retry times with jitter for refused callers.
     pub advice: &'a mut RetryAdvice,
 }
 
-/// Tells what becomes of an offered request.
+/// Decision about an offered request that is not refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It runs at this server.
+    /// The request runs at this backend server.
     Place(BackendEndpoint),
-    /// It waits.
+    /// The request is queued.
     Wait,
 }
 
-/// Tells what becomes of a request that waited.
+/// Decision about a queued request.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// It runs at this server.
+    /// The request runs at this backend server.
     Place(Offer, BackendEndpoint),
-    /// It is refused.
+    /// The request is refused.
     Refuse(RequestToken, NotRun),
 }
 
-/// Holds the settings of a group, from the manifest.
+/// Settings of a group, taken from the manifest.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct GroupSettings {
     limit: PlaceLimit,
     warm_up: Duration,
 }
 
-/// Holds the admission of one group.
+/// Admission state of one group.
 #[derive(Debug)]
 pub struct GroupAdmission {
     group: Group,
     settings: GroupSettings,
-    /// Longest deadline of any request dispatched under a manifest seen so far.
+    /// Longest deadline of any operation in the manifests applied so far.
     longest_deadline: Duration,
     acquired: Acquisition,
     ownership_state: OwnershipState,
@@ -111,7 +112,7 @@
 }
 
 impl GroupAdmission {
-    /// Starts with the moment at which this session became the owner.
+    /// Creates the admission state at the time this session becomes the owner.
     #[must_use]
     pub fn new(group: Group, service: &Service, acquired: Acquisition) -> Self {
         let limit = place_limit(service, &group);
@@ -137,19 +138,20 @@
         }
     }
 
-    /// Returns the revision by which this session owns the group.
+    /// Returns the revision at which this session acquired the group.
     #[must_use]
     pub const fn acquired(&self) -> Revision {
         self.acquired.revision
     }
 
-    /// Returns the revision up to which this session had seen the owners before.
+    /// Returns the latest revision whose owners this session knew before it acquired the
+    /// group.
     #[must_use]
     pub const fn seen_until(&self) -> Revision {
         self.acquired.seen_until
     }
 
-    /// Takes a new manifest's settings.
+    /// Applies the settings of a new manifest.
     pub fn apply_settings(&mut self, service: &Service, revision: Revision) {
         self.settings = GroupSettings {
             limit: place_limit(service, &self.group),
@@ -160,20 +162,21 @@
         self.rate_share.set(revision, rate);
     }
 
-    /// Marks what is drained by plan.
+    /// Updates whether the place and the backend servers of the group are drained.
     pub fn set_drained(&mut self, place: &PlaceName, drains: &[Drain]) {
         self.place_drained = drains.contains(&Drain::Place(place.clone()));
         self.registry.set_drained(drains);
     }
 
-    /// Notes that `revision` is settled.
+    /// Records that `revision` is settled.
     pub fn settle(&mut self, now: Instant, revision: Revision) {
         self.ownership_state
             .settle(now, revision, self.longest_deadline);
         self.rate_share.settle(now, revision);
     }
 
-    /// Takes what an old owner has left in flight, heard of at `received_at`.
+    /// Applies the release of a previous owner: its requests in flight occupy slots until
+    /// they must have ended.
     pub fn take_release(&mut self, now: Instant, received_at: Instant, release: &Release) {
         self.registry.drop_held_from(release.from);
         for work in &release.in_flight {
@@ -189,19 +192,19 @@
         self.ownership_state.note_release(now);
     }
 
-    /// Takes an announcement with the slots that are believed of it; returns whether
-    /// the server has just stopped taking new work.
+    /// Applies an announcement, limited to `slots`; returns whether the backend server
+    /// has just stopped accepting requests.
     pub fn announce(&mut self, now: Instant, announcement: &Announcement, slots: u32) -> bool {
         let is_new_owner = self.counts_new_as_warm(now);
         self.registry
             .announce(now, announcement, slots, is_new_owner)
     }
 
-    /// Decides what becomes of a request.
+    /// Decides whether a request runs now or is queued.
     ///
     /// # Errors
     ///
-    /// Returns a refusal if the request is not to be run.
+    /// Returns a refusal if the request must not run.
     pub fn offer(&mut self, cx: &mut GroupContext<'_>, offer: &Offer) -> Result<Decision, NotRun> {
         self.arrivals.note(cx.now);
         let decision = self.decide(cx, offer);
@@ -225,7 +228,8 @@
         if cx.now + needed > offer.deadline {
             return Err(self.refuse(cx, NotRunReason::DeadlineTooShort, Duration::ZERO));
         }
-        // What waits already has had its turn: it is pumped whenever a slot comes free.
+        // Queued requests need no check here: the queue is processed whenever a slot
+        // becomes free.
         if let Some(placed) = self.try_place(cx, offer) {
             self.charge(cx, offer);
             return Ok(Decision::Place(placed));
@@ -240,8 +244,8 @@
         Ok(self.enqueue(cx, offer))
     }
 
-    /// Lets a request wait for the change of owner to be over, so that a planned one
-    /// refuses nothing that has the time.
+    /// Queues a request until the change of owner is complete, so that a planned change
+    /// refuses no request whose deadline allows for the wait.
     fn wait_for_ownership(
         &mut self,
         cx: &mut GroupContext<'_>,
@@ -256,12 +260,12 @@
         Ok(self.enqueue(cx, offer))
     }
 
-    /// Keeps a request of a new owner's until its backend servers have announced
-    /// themselves to it.
+    /// Queues a request at a new owner until backend servers have announced themselves to
+    /// it.
     ///
-    /// The old owner's release names them, but it can get lost, and a new owner would
-    /// then refuse what could run a moment later. One would notice it by single refusals
-    /// while entry VMs are replaced.
+    /// The release of the previous owner lists them, but it can be lost. The new owner
+    /// would then refuse requests that could run a moment later, which showed as
+    /// occasional refusals while entry VMs were replaced.
     fn wait_for_servers(
         &mut self,
         cx: &mut GroupContext<'_>,
@@ -269,8 +273,8 @@
     ) -> Result<Decision, NotRun> {
         let active = self.ownership_state.active_since(cx.now);
         let is_new = active.is_some_and(|since| cx.now < since + ANNOUNCEMENT_WAIT);
-        // One that has announced itself and takes nothing is another matter: it starts,
-        // leaves, or pauses after it refused.
+        // If a backend server has announced itself but accepts nothing, waiting does not
+        // help: it is starting, leaving, or backing off after a refusal.
         let none_announced = self.registry.is_empty();
         let needed = self.times.needed(cx.now, offer.operation);
         let in_time = cx.now + NO_SERVER_WAIT + needed <= offer.deadline;
@@ -288,7 +292,8 @@
         Decision::Wait
     }
 
-    /// Dispatches what waits and has a slot, and refuses what can't be in time.
+    /// Dispatches queued requests for which a slot is free and refuses those that can no
+    /// longer be answered in time.
     pub fn process_queue(&mut self, cx: &mut GroupContext<'_>) -> Vec<Step> {
         self.ownership_state.tick(cx.now);
         let mut steps = self.refuse_expired(cx);
@@ -301,8 +306,8 @@
         steps
     }
 
-    /// Refuses everything that waits, as this session no longer owns the group or may
-    /// not dispatch.
+    /// Refuses all queued requests, because this session no longer owns the group or has
+    /// no lease.
     pub fn refuse_all(&mut self, cx: &mut GroupContext<'_>, reason: NotRunReason) -> Vec<Step> {
         let waiting = self.queue.take_unless(|_| false);
         waiting
@@ -314,7 +319,7 @@
             .collect()
     }
 
-    /// Drops a request that waits; returns whether it did.
+    /// Removes a queued request; returns whether it was queued.
     pub fn cancel(&mut self, cx: &mut GroupContext<'_>, token: RequestToken) -> bool {
         let Some(offer) = self.queue.remove(token) else {
             return false;
@@ -323,7 +328,7 @@
         true
     }
 
-    /// Notes how a dispatch ended that began at `began`.
+    /// Records how a dispatch that began at `began` ended.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -344,45 +349,46 @@
         }
     }
 
-    /// Forgets what has lapsed; returns the servers that are gone.
+    /// Removes lapsed entries and returns the backend servers that were removed.
     pub fn forget(&mut self, now: Instant) -> Vec<BackendEndpoint> {
         self.registry.forget(now)
     }
 
-    /// Returns what may still run here of others' and cancelled work.
+    /// Returns the slots held for requests that may still be running: those of previous
+    /// owners, cancelled ones and those whose connection broke.
     pub fn held(&self, now: Instant) -> impl Iterator<Item = &HeldSlot> {
         self.registry.held(now)
     }
 
-    /// Returns all backend servers.
+    /// Returns all registered backend servers.
     pub fn backends(&self) -> impl Iterator<Item = BackendEndpoint> {
         self.registry.all()
     }
 
-    /// Returns what was begun within the last window.
+    /// Returns the requests started within the last window, by age.
     pub fn recent(&mut self, now: Instant) -> Vec<RecentUse> {
         self.rate.recent_use(now)
     }
 
-    /// Returns the last announcements of the backend servers, with their ages.
+    /// Returns the latest announcement of each backend server with its age.
     #[must_use]
     pub fn announcements(&self, now: Instant) -> Vec<ReleasedBackend> {
         self.registry.announcements(now)
     }
 
-    /// Tells whether this session can say all that is in flight here.
+    /// Returns whether this session knows all requests in flight in this group.
     #[must_use]
     pub fn knows_all_in_flight(&self, now: Instant) -> bool {
         self.ownership_state.knows_all_in_flight(now)
     }
 
-    /// Tells whether the session may dispatch to the group.
+    /// Returns whether the session may dispatch to the group.
     #[must_use]
     pub fn is_active(&self, now: Instant) -> bool {
         self.ownership_state.active_since(now).is_some()
     }
 
-    /// Returns what the group can take.
+    /// Returns the current load and capacity of the group.
     pub fn load(&mut self, now: Instant) -> GroupLoad {
         let open = self.ownership_state.active_since(now).is_some() && !self.place_drained;
         let usable = if open { self.usable(now) } else { 0 };
--- a/lib/src/handover.rs
+++ b/lib/src/handover.rs
@@ -1,4 +1,4 @@
-//! What passes between the old and the new owner of a group.
+//! State that is handed over between the old and the new owner of a group.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,11 +11,11 @@
 use crate::ownership::Release;
 use crate::ownership::ReleasedWork;
 
-/// Releases kept that came before the view that they belong to.
+/// Maximum number of releases kept that arrived before the corresponding view.
 const MAX_EARLY_RELEASES: usize = 4_096;
 
-/// Holds what one session tells as an old owner, and what it has heard before it is the
-/// new one.
+/// Releases of one session: those it made as a previous owner, and those received before
+/// the view that makes it the new owner.
 #[derive(Debug)]
 pub struct Handover {
     session: SessionId,
@@ -24,33 +24,35 @@
     early: BTreeMap<Group, EarlyRelease>,
 }
 
-/// Records a group that another session owns now, while own work may run there.
+/// A group that another session owns now while requests of this session may still be
+/// running.
 #[derive(Debug)]
 pub struct ReleasedGroup {
-    /// The new owner.
+    /// Session of the new owner.
     pub to: SessionId,
-    /// The revision that made it the owner.
+    /// Revision at which the new owner acquired the group.
     pub revision: Revision,
-    /// Whether all that may run is known.
+    /// Whether all requests that may be running are known.
     pub complete: bool,
-    /// What may still run besides the dispatches that aren't finished.
+    /// Slots held for requests that may be running although their dispatch is finished.
     pub held: Vec<HeldSlot>,
 }
 
-/// Holds a release that came before its view.
+/// A release that arrived before the corresponding view.
 #[derive(Debug)]
 pub struct EarlyRelease {
-    /// When it came.
+    /// Time at which it arrived.
     pub received_at: Instant,
-    /// The release.
+    /// The release as received.
     pub release: Release,
 }
 
-/// Describes a dispatch that isn't finished: where, and until when it may run.
+/// A dispatch that is not finished: its backend server and the time until which it may
+/// run.
 pub type RunningWork = (BackendName, Instant);
 
 impl Handover {
-    /// Starts with nothing given up and nothing heard.
+    /// Creates the handover state of a session that has released and received nothing.
     #[must_use]
     pub const fn new(session: SessionId) -> Self {
         Self {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Records that a group was given up and returns the release for its new owner.
+    /// Records that a group was released and returns the release for its new owner.
     pub fn release_group(
         &mut self,
         now: Instant,
@@ -75,16 +77,16 @@
         release
     }
 
-    /// Counts a request at a given-up group that may still run although its dispatch is
-    /// finished.
+    /// Adds a request of a released group that may still be running although its dispatch
+    /// is finished.
     pub fn hold(&mut self, group: &Group, held: HeldSlot) {
         if let Some(released) = self.released.get_mut(group) {
             released.held.push(held);
         }
     }
 
-    /// Returns a second release for a group of which all dispatches are finished, so
-    /// that its new owner need not wait for their deadlines.
+    /// Returns a second release for a group whose dispatches are all finished, so that
+    /// the new owner does not have to wait for their deadlines.
     pub fn finish(&mut self, now: Instant, group: &Group) -> Option<(SessionId, Release)> {
         let released = self.released.remove(group)?;
         self.serial += 1;
@@ -92,12 +94,12 @@
         Some((released.to, release))
     }
 
-    /// Forgets that a group was given up, as this session owns it again.
+    /// Removes the record of a released group, because this session owns it again.
     pub fn regain(&mut self, group: &Group) {
         self.released.remove(group);
     }
 
-    /// Keeps a release of a group that this session doesn't own yet.
+    /// Stores a release for a group that this session does not own yet.
     pub fn keep_early(&mut self, received_at: Instant, release: &Release) {
         let version = |release: &Release| (release.revision, release.serial);
         let known = self.early.get(&release.group);
@@ -117,13 +119,14 @@
         }
     }
 
-    /// Takes out the release kept for a group, if it tells of owners after `seen_until`.
+    /// Removes and returns the stored release of a group, if it covers owners later than
+    /// `seen_until`.
     pub fn take_early(&mut self, group: &Group, seen_until: Revision) -> Option<EarlyRelease> {
         let early = self.early.remove(group)?;
         (early.release.revision > seen_until).then_some(early)
     }
 
-    /// Forgets the releases kept that belong to views up to `revision`.
+    /// Discards stored releases that belong to views up to `revision`.
     pub fn forget_early(&mut self, revision: Revision) {
         self.early
             .retain(|_, early| early.release.revision > revision);
--- a/lib/src/link_budget.rs
+++ b/lib/src/link_budget.rs
@@ -1,8 +1,8 @@
-//! How many bytes an entry may send to another region.
+//! Limits the bytes that an entry VM sends to other regions.
 //!
-//! The sessions of the sending region share the link's limit equally. What an answer
-//! weighs is known only once it was sent, so it may be charged in arrears; what exceeds
-//! the share is then missing from the following windows.
+//! The sessions of the sending region share the limit of a link equally. The size of an
+//! answer is known only after it was sent, so it may be charged afterwards; bytes beyond
+//! the share are carried over as debt and deducted from later windows.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,10 +20,10 @@
 
 const BYTES_PER_KILOBYTE: u64 = 1_000;
 
-/// Stands for the share of a link without a limit.
+/// Share of a link without a limit.
 const NO_LIMIT: u64 = u64::MAX;
 
-/// Holds this session's shares of the links out of its region.
+/// This session's shares of the links from its region to others.
 #[derive(Debug)]
 pub struct LinkBudgets {
     session: SessionId,
@@ -40,7 +40,7 @@
 }
 
 impl LinkBudgets {
-    /// Starts with no share of anything.
+    /// Creates the budgets without any link; a link without a budget is not limited.
     #[must_use]
     pub const fn new(session: SessionId) -> Self {
         Self {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Applies a view.
+    /// Applies a view and updates the shares of all links.
     pub fn apply_view(&mut self, view: &ControlView, step: ViewStep) {
         let shares = self.shares(view);
         let must_reset = step == ViewStep::Whole || !self.has_view;
@@ -78,7 +78,7 @@
         self.has_view = true;
     }
 
-    /// Notes that `revision` is settled.
+    /// Records that `revision` is settled.
     pub fn settle(&mut self, now: Instant, revision: Revision) {
         self.links.retain(|_, link| {
             link.share.settle(now, revision);
@@ -86,13 +86,13 @@
         });
     }
 
-    /// Takes `bytes` out of the share of the link to `to`. A body that is larger than
-    /// the share should be sent in pieces; a larger piece goes only into an empty
-    /// window, and its excess is owed.
+    /// Charges `bytes` to the share of the link to `to`. A body larger than the share
+    /// should be sent in pieces; a piece larger than the share is accepted only in an
+    /// empty window, and its excess becomes debt.
     ///
     /// # Errors
     ///
-    /// Returns the time after which it may be tried again if the share is used up.
+    /// Returns the time after which to retry if the share is used up.
     pub fn try_send(&mut self, now: Instant, to: &RegionName, bytes: u64) -> Result<(), Duration> {
         let Some(link) = self.links.get_mut(to) else {
             return Ok(());
@@ -107,8 +107,8 @@
         Ok(())
     }
 
-    /// Charges bytes that are sent already, as an answer's; what exceeds the share is
-    /// owed and taken from the following windows.
+    /// Charges bytes that were already sent, such as an answer; bytes beyond the share
+    /// become debt that is deducted from later windows.
     pub fn charge(&mut self, now: Instant, to: &RegionName, bytes: u64) {
         if let Some(link) = self.links.get_mut(to) {
             let limit = link.share.limit(now);
@@ -151,7 +151,7 @@
         self.debt = self.debt.saturating_add(bytes - fits);
     }
 
-    /// Moves what is owed into windows that have room, one window after the other.
+    /// Moves debt into windows with room, in steps of a tenth of a window.
     fn repay(&mut self, now: Instant, limit: u64) {
         if self.debt == 0 || self.repaid_until.is_some_and(|until| now < until) {
             return;
--- a/lib/src/link_congestion.rs
+++ b/lib/src/link_congestion.rs
@@ -1,67 +1,73 @@
-//! What this entry VM's own link carries.
+//! Congestion control for the link of this entry VM.
 //!
-//! All that an entry VM passes on goes over one link, both ways. When more is asked of it than
-//! the link carries, as when callers of others that stopped come here too, whatever stands there
-//! waits behind everything else: requests, answers, connections. Each caller is late then, and
-//! connections to backend servers that have room time out. A request that is turned away at once
-//! costs the link a few hundred bytes, and its caller gets its answer from an entry VM with room.
+//! All traffic of an entry VM passes one link in both directions. If demand exceeds its
+//! capacity, for example because callers of stopped entry VMs arrive here as well, a
+//! queue builds up in which requests, answers and new connections wait behind everything
+//! else. All callers are then late, and connections to backend servers with free slots
+//! time out. A request that is refused at once costs the link only a few hundred bytes,
+//! and its caller is served by an entry VM with room.
 //!
-//! The system says nothing of that queue. What tells is the time that a connection to a backend
-//! server takes beyond the shortest that one to its region took: it passes the link once each
-//! way, and needs nothing of the backend server but to be there. Where one backend server or a
-//! region is dark others aren't, so that the shorter ones of the latest few count.
+//! The operating system does not expose that queue. It is estimated from the time by
+//! which connecting to a backend server exceeds the shortest connection time to its
+//! region: a connection crosses the link once in each direction and only requires the
+//! backend server to be reachable. An unreachable backend server or region does not
+//! affect the others, so the estimate uses the lower quartile of the latest samples.
 //!
-//! What a queue is bounded by is the number of requests under way, as TCP does: each that ends
-//! lets another one in, so that the link is never left idle, and what waits follows within the
-//! time of one request. A share of the requests, turned away by the wait alone, leaves the link
-//! full and idle by turns of 0.7 s, since what is seen of the wait is as old as the wait.
+//! As in TCP, the queue is limited by a window of requests in flight: each one that ends
+//! admits another, so the link never idles, and the queueing delay reacts within the
+//! duration of one request. Refusing a share of the requests by the queueing delay alone
+//! made the link alternate between full and idle every 0.7 s, because the observed delay
+//! is as old as the delay is long.
 //!
-//! What it gains, with a crowd of 1.6 times the usual while 62 entry VMs stop in turn, 31 in 4 s
-//! twice, one play each: 0.55 of the requests in time in place of 0.33, late 0.22 of 0.48, failed
-//! 0.004 of 0.078. What it costs: 0.23 are refused in place of 0.11. On a day with usual callers
-//! and faults 0.643 are in time in place of 0.632, and 0.056 refused in place of 0.027.
+//! Effect with 1.6 times the usual callers while 62 entry VMs stop, 31 within 4 s twice,
+//! one run each: 0.55 of the requests were in time instead of 0.33, 0.22 instead of 0.48
+//! late, 0.004 instead of 0.078 failed, and 0.23 instead of 0.11 refused. On a day with
+//! the usual callers and faults, 0.643 instead of 0.632 were in time and 0.056 instead of
+//! 0.027 refused.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Connections that are looked at together.
+/// Maximum number of connection samples per evaluation.
 const MAX_SAMPLES: usize = 8;
 
-/// Connections that tell anything. Fewer may all be to backend servers that went dark together.
+/// Minimum number of samples for an estimate. Fewer could all belong to backend servers
+/// that became unreachable together.
 const MIN_SAMPLES: usize = 3;
 
-/// Time after which as many as there are since the last look are looked at: about that of a
-/// request.
+/// Time after which the samples so far are evaluated; about the duration of a request.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Wait there and back from which on the link counts as full. With a new connection a request
-/// passes the link six times until its caller has its answer, three times as often as the
-/// connection does: a quarter of a second, up to half of a usual latency objective.
+/// Round-trip queueing delay from which the link counts as congested. With a new
+/// connection, a request crosses the link six times until its caller has the answer,
+/// three times as often as the connection alone: a quarter of a second, up to half of a
+/// typical latency objective.
 const CONGESTED_DELAY: Duration = Duration::from_millis(80);
 
-/// Factors by which the number of requests under way changes with each look. It falls faster
-/// than it rises, so that a queue is gone before the next one begins.
+/// Factors by which the window changes at each evaluation. It shrinks faster than it
+/// grows, so that one queue has drained before the next builds up.
 const DECREASE_FACTOR: f64 = 0.75;
 const INCREASE_FACTOR: f64 = 1.15;
 
-/// Requests that may be under way at least; with fewer next to nothing tells of the link.
+/// Minimum window; fewer requests yield too few samples for an estimate.
 const MIN_WINDOW: f64 = 6.0;
 
-/// Times as many as are under way beyond which there is no bound any more.
+/// Ratio of window to requests in flight from which the window no longer applies.
 const WINDOW_RELEASE_RATIO: f64 = 3.0;
 
-/// Follows the link of one entry VM.
+/// Congestion state of one entry VM's link.
 #[derive(Debug, Default)]
 pub struct LinkCongestion {
     samples: VecDeque<Duration>,
     evaluated_at: Option<Instant>,
-    /// Requests that may be under way; nothing while the link has room.
+    /// Maximum number of requests in flight; `None` while the link is not congested.
     window: Option<f64>,
 }
 
 impl LinkCongestion {
-    /// Notes by how much a connection took longer than its way; also one that never came.
+    /// Records by how much a connection exceeded the shortest connection time, including
+    /// connections that failed.
     pub fn note(&mut self, excess: Duration) {
         if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
@@ -69,8 +75,9 @@
         self.samples.push_back(excess);
     }
 
-    /// Returns whether one more request may go beside `in_flight` ones. Requests that may wait
-    /// for a smaller `wait_share` of their time give way first.
+    /// Returns whether one more request may start beside `in_flight` ones. Requests with
+    /// a smaller `wait_share`, the share of their time that they may wait, are refused
+    /// first.
     pub fn has_room(&mut self, now: Instant, in_flight: usize, wait_share: f64) -> bool {
         let in_flight = f64::from(u32::try_from(in_flight).unwrap_or(u32::MAX));
         self.evaluate(now, in_flight);
@@ -98,8 +105,8 @@
         };
     }
 
-    /// Returns how long the link holds up what passes it there and back; nothing if too little
-    /// tells.
+    /// Returns the estimated round-trip queueing delay of the link, or `None` with too
+    /// few samples.
     fn queueing_delay(&self) -> Option<Duration> {
         let mut delays: Vec<Duration> = self.samples.iter().copied().collect();
         delays.sort_unstable();
--- a/lib/src/load_digest.rs
+++ b/lib/src/load_digest.rs
@@ -1,6 +1,7 @@
-//! What each owner tells the other entries about what it can take.
+//! Load digests, by which owners report the load and capacity of their groups to other
+//! entry VMs.
 //!
-//! Digests steer; only the owner's admission decides.
+//! Digests only guide steering; the owner's admission decides.
 
 use std::time::Duration;
 
@@ -11,48 +12,49 @@
 use crate::id::SessionId;
 use crate::ownership::Group;
 
-/// Time between two digests of an owner.
+/// Interval at which an owner considers sending a digest.
 pub const DIGEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Age from which a digest says nothing any more.
+/// Age from which a digest is no longer used.
 pub const DIGEST_LAPSE: Duration = Duration::from_secs(5);
 
-/// Holds what one owner can take, for all groups that it owns.
+/// Load and capacity of all groups of one owner.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LoadDigest {
-    /// The owner's session.
+    /// Session of the owner.
     pub session: SessionId,
-    /// Counts the digests of this session; an older one never replaces a newer one.
+    /// Sequence number among the digests of this session; an older digest never replaces
+    /// a newer one.
     pub serial: u64,
-    /// One entry for each group owned.
+    /// One element for each group that the owner may dispatch to.
     pub loads: Vec<GroupLoad>,
 }
 
-/// Holds what the owner of one group can take.
+/// Load and capacity of one group, as seen by its owner.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GroupLoad {
-    /// The group.
+    /// The group that the load refers to.
     pub group: Group,
-    /// Slots that may be used now, after limits, warm-up and back-off.
+    /// Usable slots, after limits, warm-up and back-off.
     pub slots: u32,
-    /// Slots in use, those held for an old owner's work included.
+    /// Occupied slots, including those held for requests of a previous owner.
     pub in_flight: u32,
-    /// Requests that wait for a slot.
+    /// Requests waiting for a slot.
     pub queued: u32,
-    /// Requests that are dispatched or refused a second, by the owner's average.
+    /// Requests offered to the owner per second, dispatched and refused, averaged.
     pub arrivals_per_second: u32,
-    /// Wait that a request which arrives now must expect, in milliseconds.
+    /// Expected wait of a request that arrives now, in milliseconds.
     pub expected_wait_ms: u32,
-    /// Average time that a request takes at the backend servers, in milliseconds.
+    /// Average service time at the backend servers, in milliseconds.
     pub service_ms: u32,
-    /// Share of the slots that are warmed up, 0 to 100.
+    /// Percentage of the slots that are warmed up, 0 to 100.
     pub warm_percent: u8,
-    /// Origin places whose shift to this group is used up for now.
+    /// Origin places whose shift budget for this group is currently used up.
     pub full_origins: Vec<PlaceName>,
 }
 
 impl GroupLoad {
-    /// Returns how sure a digest of the given age still is, from 1 (new) to 0 (lapsed).
+    /// Returns the confidence in a digest of the given age, from 1 (new) to 0 (lapsed).
     #[must_use]
     pub fn confidence(age: Duration) -> f64 {
         let left = DIGEST_LAPSE.saturating_sub(age);
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -1,9 +1,9 @@
-//! Which session of an entry VM owns the backend servers of a service at a place.
+//! Assignment of the backend servers of a service at a place to an owning session.
 //!
-//! All backend servers of one (service, place) have the same owner, so that one queue
-//! and one count stand before them and the place's limits need no sharing. The owner
-//! is found by rendezvous hashing, so a session that comes or goes moves only what it
-//! gains or owned.
+//! All backend servers of one (service, place) have the same owner, so that a single
+//! queue and a single count apply to them and the place's limits need not be divided. The
+//! owner is selected by rendezvous hashing, so a session that starts or ends moves only
+//! the groups that it acquires or owned.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,64 +23,70 @@
 use crate::view::ControlView;
 use crate::view::EntrySession;
 
-/// Names the backend servers of one service at one place.
+/// Identifies the backend servers of one service at one place.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Group {
-    /// The service.
+    /// Service that the backend servers run.
     pub service: ServiceName,
-    /// The place.
+    /// Place at which they run.
     pub place: PlaceName,
 }
 
 impl Group {
-    /// Names the group of `service` at `place`.
+    /// Identifies the group of `service` at `place`.
     #[must_use]
     pub const fn new(service: ServiceName, place: PlaceName) -> Self {
         Self { service, place }
     }
 }
 
-/// Tells the new owner of a group what the old one may still have in flight there.
+/// Informs the new owner of a group about the requests that the old owner may still have
+/// in flight there.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Release {
-    /// The group that was given up.
+    /// The group that was released.
     pub group: Group,
-    /// The session that gave it up.
+    /// The session that released it.
     pub from: SessionId,
-    /// The revision that took the group from it.
+    /// Revision at which the session lost the group.
     pub revision: Revision,
-    /// Counts the releases of this session; a later one replaces an earlier one.
+    /// Sequence number among the releases of this session; a later one replaces an
+    /// earlier one.
     pub serial: u64,
-    /// What may still run.
+    /// Requests that may still be running.
     pub in_flight: Vec<ReleasedWork>,
-    /// What was begun within the last window.
+    /// Requests started within the last window, by age.
     pub recent: Vec<RecentUse>,
-    /// The backend servers, so that the new owner need not wait to hear of them.
+    /// Backend servers of the group, so that the new owner does not have to wait for
+    /// their announcements.
     pub backends: Vec<ReleasedBackend>,
-    /// False if the old owner didn't know itself what its own predecessor had left.
+    /// Whether the list is complete; `false` if the old owner did not know what its
+    /// predecessor left in flight.
     pub complete: bool,
 }
 
-/// Passes a backend server's last announcement on.
+/// The latest announcement of a backend server, forwarded to the new owner.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ReleasedBackend {
-    /// The announcement.
+    /// The announcement as received from the backend server.
     pub announcement: Announcement,
-    /// Its age when the release was made, in milliseconds.
+    /// Age of the announcement when the release was created, in milliseconds.
     pub age_ms: u32,
 }
 
-/// Describes one request that an old owner still has in flight.
+/// A request that the old owner still has in flight.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReleasedWork {
-    /// The backend server that runs it.
+    /// Backend server that runs the request.
     pub backend: BackendName,
-    /// Time left until its deadline when the release was made, in milliseconds.
+    /// Time from the creation of the release until the request must have ended, in
+    /// milliseconds.
     pub left_ms: u32,
 }
 
 impl ReleasedWork {
-    /// Describes a request with the deadline `until`, rounded up.
+    /// Creates an entry for a request that ends by `until`; the remaining time is rounded
+    /// up.
     #[must_use]
     pub fn new(backend: BackendName, now: Instant, until: Instant) -> Self {
         let left = until.saturating_duration_since(now) + Duration::from_millis(1);
@@ -89,8 +95,8 @@
     }
 }
 
-/// Returns the owner of the backend servers of `service` at `place`, if any session
-/// may own some.
+/// Returns the owner of the backend servers of `service` at `place`, or `None` if no
+/// session is eligible.
 #[must_use]
 pub fn owner<'v>(
     view: &'v ControlView,
@@ -100,8 +106,9 @@
     highest_ranked(&eligible(view, place), service, place)
 }
 
-/// Returns the sessions that may own backend servers at `place`: those of the place
-/// that aren't leaving; if there are none, those of its region; else all.
+/// Returns the sessions eligible to own backend servers at `place`: the sessions at that
+/// place that are not leaving; if there are none, those in its region; otherwise all that
+/// are not leaving.
 #[must_use]
 pub fn eligible<'v>(view: &'v ControlView, place: &PlaceName) -> Vec<&'v EntrySession> {
     let staying = || view.sessions.values().filter(|session| !session.leaving);
@@ -123,14 +130,14 @@
     staying().collect()
 }
 
-/// Holds the owners of all groups of one view, so that finding one costs no hashing.
+/// Owners of all groups of one view, precomputed so that a look-up needs no hashing.
 #[derive(Clone, Debug, Default)]
 pub struct OwnerTable {
     owners: BTreeMap<ServiceName, BTreeMap<PlaceName, SessionId>>,
 }
 
 impl OwnerTable {
-    /// Finds the owners of all groups that the manifest in force has.
+    /// Computes the owners of all groups in the manifest in force.
     #[must_use]
     pub fn of(view: &ControlView) -> Self {
         let mut owners: BTreeMap<ServiceName, BTreeMap<PlaceName, SessionId>> = BTreeMap::new();
@@ -153,13 +160,13 @@
         Self { owners }
     }
 
-    /// Returns the owner of a group.
+    /// Returns the owner of a group, or `None` if it has none.
     #[must_use]
     pub fn owner(&self, service: &ServiceName, place: &PlaceName) -> Option<SessionId> {
         self.owners.get(service)?.get(place).copied()
     }
 
-    /// Returns the places at which a service has an owner, with the owner.
+    /// Returns the places at which a service has an owner, each with its owner.
     pub fn places(&self, service: &ServiceName) -> impl Iterator<Item = (&PlaceName, SessionId)> {
         let places = self.owners.get(service).into_iter().flatten();
         places.map(|(place, owner)| (place, *owner))
--- a/lib/src/ownership_state.rs
+++ b/lib/src/ownership_state.rs
@@ -1,11 +1,12 @@
-//! From when on a session may dispatch to a group that it owns.
+//! When a session may dispatch to a group that it owns.
 //!
-//! Two sessions may hold different views and each believe that it is the owner. The
-//! one with the older view may dispatch until it learns better, so the other one waits
-//! until its revision is settled: then nobody acts on an older view. What the old owner
-//! had in flight may still run then, and what it began within the last window counts
-//! against the place's limit a second. Either the old owner has told what that is, by a
-//! release, or it is gone and the new owner waits until all of it is over.
+//! Two sessions with different views may both consider themselves the owner. The one with
+//! the older view may dispatch until it learns of the change, so the new owner waits
+//! until its revision is settled: from then on no session acts on an older view. Requests
+//! of the old owner may still be running at that time, and those it started within the
+//! last window count against the place's limit per second. Either the old owner has
+//! reported them in a release, or it is gone and the new owner waits until all of them
+//! must have ended.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,42 +15,42 @@
 use crate::id::Revision;
 use crate::usage_window::COUNTED_FOR;
 
-/// Tells how this session became the owner of a group.
+/// How this session became the owner of a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Acquisition {
-    /// The revision of the view under which it found itself the owner.
+    /// Revision of the view under which this session became the owner.
     pub revision: Revision,
-    /// The revision up to which it had seen the owners before. Only releases of later
-    /// revisions tell about those who owned the group since.
+    /// Latest revision whose owners this session knew. Only releases of later revisions
+    /// cover the owners since then.
     pub seen_until: Revision,
-    /// Whether it is sure that nobody dispatched anything before.
+    /// Whether it is certain that no session has dispatched to the group before.
     pub no_earlier_work: bool,
 }
 
-/// Follows one session's ownership of one group.
+/// Progress of one session's ownership of a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OwnershipState {
     /// Another session may still dispatch.
     Unsettled {
-        /// The revision under which this session became the owner.
+        /// Revision under which this session became the owner.
         acquired: Revision,
-        /// Whether it is known what the old owner had left in flight.
+        /// Whether it is known which requests the old owner left in flight.
         informed: bool,
     },
-    /// Nobody else dispatches any more, but unknown work may still run.
+    /// No other session dispatches any more, but unknown requests may still be running.
     Clearing {
-        /// Time at which it is over.
+        /// Time at which all of them must have ended.
         until: Instant,
     },
     /// This session dispatches.
     Active {
-        /// Since when.
+        /// Time from which it may dispatch.
         since: Instant,
     },
 }
 
 impl OwnershipState {
-    /// Begins an ownership.
+    /// Creates the state at the beginning of an ownership.
     #[must_use]
     pub const fn begin(acquired: Acquisition) -> Self {
         Self::Unsettled {
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Notes that `settled` is settled; `longest_deadline` is the longest deadline of any
-    /// request that may have been dispatched before.
+    /// Records that `settled` is settled; `longest_deadline` is the longest deadline of
+    /// any request that may have been dispatched before.
     pub fn settle(&mut self, now: Instant, settled: Revision, longest_deadline: Duration) {
         let Self::Unsettled { acquired, informed } = *self else {
             return;
@@ -76,7 +77,7 @@
         };
     }
 
-    /// Notes that the old owner has told what it had left in flight.
+    /// Records that the old owner has reported the requests that it left in flight.
     pub fn note_release(&mut self, now: Instant) {
         match self {
             Self::Unsettled { informed, .. } => *informed = true,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Ends the clearing period if it is over at `now`.
     pub fn tick(&mut self, now: Instant) {
         if let Self::Clearing { until } = *self
             && now >= until
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Tells since when this session may dispatch, if it may.
+    /// Returns the time from which this session may dispatch, or `None` if it may not
+    /// yet.
     #[must_use]
     pub fn active_since(&self, now: Instant) -> Option<Instant> {
         match *self {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Returns the time until dispatching may begin, as far as it is known.
+    /// Returns the time until dispatching may begin, or `None` if it is not known.
     #[must_use]
     pub fn wait(&self, now: Instant) -> Option<Duration> {
         match *self {
@@ -114,8 +116,8 @@
         }
     }
 
-    /// Tells whether this session can say what is in flight, its own and its
-    /// predecessors' work.
+    /// Returns whether this session knows all requests in flight, its own and those of
+    /// previous owners.
     #[must_use]
     pub fn knows_all_in_flight(&self, now: Instant) -> bool {
         match *self {
--- a/lib/src/planned_stop.rs
+++ b/lib/src/planned_stop.rs
@@ -1,28 +1,34 @@
-//! What an entry VM still takes, begins and finishes once it was asked to stop.
+//! Which requests an entry VM accepts, starts and finishes during a planned stop.
 //!
-//! Two rules. Nothing is begun that can't end before the process does: an action that is cut
-//! off has an unknown fate, and its caller can't ask again; the same request that is refused
-//! unrun is answered by another entry VM. Whether work can end is therefore asked where it
-//! is passed on, however long ago its request was read. Refusing from the first moment would
-//! be as safe, and would turn away what has time enough. And whatever was begun gets an answer
-//! before the end, if only that its fate is unknown: a caller that hears nothing waits for its
-//! own deadline, and answers that are ready behind it on its connection would be lost with it.
+//! First, no work starts that cannot finish before the process ends. The outcome of an
+//! interrupted action is unknown and its caller cannot retry, whereas a request that is
+//! refused without being run is answered by another entry VM. The remaining time is
+//! therefore checked when a request is forwarded, however long ago it was read. Refusing
+//! everything from the beginning of the stop would be as safe, but would also refuse
+//! requests with enough time.
+//!
+//! Second, everything that was started is answered before the process ends, if only with
+//! an unknown outcome. A caller without an answer waits until its own deadline, and
+//! finished answers queued behind it on the same connection would be lost as well.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Share of the time until a stop by force after which no more requests are taken. Callers
-/// have learned of other entry VMs by then, and what was taken last has time to finish.
+/// Fraction of the grace period after which no more requests are accepted. By then
+/// callers have learned of other entry VMs, and the requests accepted last have time to
+/// finish.
 const ACCEPT_SHARE: f64 = 0.45;
 
-/// Share of that time after which the process ends, whatever is still under way.
+/// Fraction of the grace period after which the process ends, even if requests are in
+/// flight.
 const FINISH_SHARE: f64 = 0.95;
 
-/// Time before that end in which the last answers are written. All that is under way is told
-/// at once then, and each answer takes its way of 8 to 24 ms.
+/// Time before the end of the process in which the remaining answers are written. All
+/// requests in flight are answered at once at that time, and each answer takes 8 to 24 ms
+/// to reach its caller.
 const FINAL_ANSWERS_MARGIN: Duration = Duration::from_millis(100);
 
-/// Follows a planned stop.
+/// Schedule of a planned stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlannedStop {
     requested_at: Instant,
@@ -30,8 +36,8 @@
 }
 
 impl PlannedStop {
-    /// Begins a stop that was asked for at `requested_at`; `grace` later the process is ended by
-    /// force.
+    /// Creates the schedule of a stop that was requested at `requested_at`; the process
+    /// is killed `grace` later.
     #[must_use]
     pub const fn new(requested_at: Instant, grace: Duration) -> Self {
         Self {
@@ -40,33 +46,33 @@
         }
     }
 
-    /// Returns until when requests are taken.
+    /// Returns the time until which requests are accepted.
     #[must_use]
     pub fn accepts_until(&self) -> Instant {
         self.requested_at + self.grace.mul_f64(ACCEPT_SHARE)
     }
 
-    /// Returns whether a request is taken whose head came at `arrived`, by whatever way it
-    /// came to be read after the others.
+    /// Returns whether a request whose head arrived at `arrived` is accepted, even if it
+    /// is read later.
     #[must_use]
     pub fn accepts(&self, arrived: Instant) -> bool {
         arrived <= self.accepts_until()
     }
 
-    /// Returns when an answer must be there at the latest.
+    /// Returns the time by which every answer must be ready.
     #[must_use]
     pub fn answers_until(&self) -> Instant {
         let ends_at = self.ends_at();
         ends_at.checked_sub(FINAL_ANSWERS_MARGIN).unwrap_or(ends_at)
     }
 
-    /// Returns when the process ends.
+    /// Returns the time at which the process ends.
     #[must_use]
     pub fn ends_at(&self) -> Instant {
         self.requested_at + self.grace.mul_f64(FINISH_SHARE)
     }
 
-    /// Returns the time from the request to stop until `at`; zero before it.
+    /// Returns the time from the stop request until `at`; zero if `at` is earlier.
     #[must_use]
     pub fn since_requested(&self, at: Instant) -> Duration {
         at.saturating_duration_since(self.requested_at)
--- a/lib/src/pressure.rs
+++ b/lib/src/pressure.rs
@@ -1,4 +1,5 @@
-//! How hard it is to get a request served by one group, as one entry sees it.
+//! Estimates, at one entry VM, of the load of a group and of the chance of being served
+//! there.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,52 +11,53 @@
 use crate::load_digest::GroupLoad;
 use crate::outcome::NotRunReason;
 
-/// Use of the slots, queue included, that pressure steers for. Just below the point
-/// from which requests wait.
+/// Target utilization of the slots, including queued requests; just below the point from
+/// which requests have to wait.
 const TARGET_USE: f64 = 0.9;
 
-/// Change of pressure a second for each unit by which use differs from the target.
+/// Change of pressure per second and unit of difference between utilization and target.
 ///
-/// Use answers to pressure after the digest's delay *d*, by about one unit for one of
-/// pressure, at most two. Such a loop is stable while gain times *d* stays below π/2,
-/// and settles without much overshoot below half of that: with 0.25 and two units, up
-/// to digests that are two to three seconds old.
+/// Utilization responds to pressure after the digest's delay *d*, by about one unit per
+/// unit of pressure and at most two. Such a loop is stable while gain times *d* is below
+/// π/2 and settles without much overshoot below half of that: with 0.25 and two units,
+/// for digests up to two to three seconds old.
 const GAIN: f64 = 0.25;
 
-/// Largest difference from the target that counts.
+/// Limit of the difference from the target utilization.
 const MAX_ERROR: f64 = 1.0;
 
-/// Share of the way to full pressure that a refusal goes.
+/// Fraction of the remaining distance to full pressure that each refusal adds.
 const REFUSAL_STEP: f64 = 0.05;
 
-/// Time in which the pressure by refusals halves.
+/// Half-life of the pressure caused by refusals.
 const REFUSAL_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// Time in which pressure halves when nothing is heard of the group.
+/// Half-life of the pressure when no digest of the group is received.
 const STALE_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Time for which a group isn't asked after it couldn't be reached.
+/// Time for which a group is not tried after its owner was unreachable.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(500);
 
-/// Time for which a group isn't asked for an origin whose shift it has refused.
+/// Time for which a group is not tried for an origin after it refused a shift from there.
 const SHIFT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Time for which a digest's hint at a used-up shift is believed.
+/// Maximum age of a digest whose list of origins with a used-up shift budget is taken
+/// into account.
 const HINT_MAX_AGE: Duration = Duration::from_millis(500);
 
-/// Holds what one entry knows of one group.
+/// Load of one group as estimated by one entry VM.
 #[derive(Debug, Default)]
 pub struct LoadEstimate {
     owner: Option<SessionId>,
     load: Option<ReceivedLoad>,
-    /// Pressure by use, as digests tell.
+    /// Pressure due to utilization, derived from digests.
     use_pressure: f64,
-    /// Pressure by refusals, as this entry has met them.
+    /// Pressure due to refusals that this entry VM received.
     refusal_pressure: f64,
     updated: Option<Instant>,
     unreachable_until: Option<Instant>,
     blocked_origins: BTreeMap<PlaceName, Instant>,
-    /// Requests sent lately and likely running still, at `sent_at`.
+    /// Estimated number of recently sent requests that were still running at `sent_at`.
     sent: f64,
     sent_at: Option<Instant>,
 }
@@ -67,7 +69,7 @@
 }
 
 impl LoadEstimate {
-    /// Takes the owner's digest.
+    /// Applies the load from the owner's digest.
     pub fn take_load(&mut self, now: Instant, owner: SessionId, load: &GroupLoad) {
         self.update(now);
         self.owner = Some(owner);
@@ -77,7 +79,8 @@
         });
     }
 
-    /// Forgets what another owner told.
+    /// Sets the owner of the group; a change discards the load reported by the previous
+    /// one.
     pub fn set_owner(&mut self, owner: SessionId) {
         if self.owner.is_some_and(|known| known != owner) {
             self.load = None;
@@ -86,13 +89,13 @@
         self.owner = Some(owner);
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent to the group.
     pub fn note_sent(&mut self, now: Instant) {
         self.sent = self.estimated_sent(now) + 1.0;
         self.sent_at = Some(now);
     }
 
-    /// Notes that a request was refused.
+    /// Records that the group refused a request.
     pub fn note_refused(&mut self, now: Instant, origin: &PlaceName, reason: NotRunReason) {
         self.update(now);
         match reason {
@@ -108,12 +111,12 @@
             | NotRunReason::BackendUnreachable => {
                 self.refusal_pressure += REFUSAL_STEP * (1.0 - self.refusal_pressure);
             }
-            // The others tell nothing about the group's load.
+            // The other reasons say nothing about the group's load.
             _ => {}
         }
     }
 
-    /// Notes that the owner couldn't be reached.
+    /// Records that the owner could not be reached.
     pub fn note_unreachable(&mut self, now: Instant) {
         self.unreachable_until = Some(now + UNREACHABLE_PAUSE);
     }
@@ -124,13 +127,13 @@
         self.use_pressure.max(self.refusal_pressure)
     }
 
-    /// Returns the part of the pressure that comes from refusals, from 0 to 1.
+    /// Returns the part of the pressure that is due to refusals, from 0 to 1.
     pub fn refusal_pressure(&mut self, now: Instant) -> f64 {
         self.update(now);
         self.refusal_pressure
     }
 
-    /// Tells whether a request from `origin` has any chance.
+    /// Returns whether a request from `origin` has any chance of being served.
     #[must_use]
     pub fn is_open(&self, now: Instant, origin: &PlaceName) -> bool {
         let reachable = self.unreachable_until.is_none_or(|until| now >= until);
@@ -147,8 +150,8 @@
         reachable && unblocked && !hinted && has_slots
     }
 
-    /// Returns the slots that are likely free, what this entry has sent since the
-    /// digest taken off, and discounted by the digest's age.
+    /// Returns the estimated number of free slots, less the requests that this entry VM
+    /// has sent since the digest, and discounted by the digest's age.
     #[must_use]
     pub fn likely_free(&self, now: Instant) -> f64 {
         let Some(received) = &self.load else {
@@ -159,7 +162,8 @@
         free.max(0.0) * GroupLoad::confidence(now.saturating_duration_since(received.at))
     }
 
-    /// Returns the time that a request needs there, the wait for a slot included.
+    /// Returns the expected time for a request in the group, including the wait for a
+    /// slot.
     #[must_use]
     pub fn expected_time(&self) -> Duration {
         self.load.as_ref().map_or(Duration::ZERO, |received| {
@@ -171,14 +175,14 @@
         })
     }
 
-    /// Returns the owner's last digest, unless it has lapsed.
+    /// Returns the load from the owner's last digest, unless it has lapsed.
     #[must_use]
     pub fn load(&self, now: Instant) -> Option<&GroupLoad> {
         self.fresh_load(now, DIGEST_LAPSE)
     }
 
-    /// Fades what was sent by the group's service time, of which the digest knows the
-    /// more the longer ago it was.
+    /// Returns the estimated number of sent requests that the digest does not include; it
+    /// decays with the group's service time.
     fn estimated_sent(&self, now: Instant) -> f64 {
         let (Some(at), Some(received)) = (self.sent_at, &self.load) else {
             return 0.0;
@@ -193,8 +197,8 @@
         (now.saturating_duration_since(received.at) < lapse).then_some(&received.load)
     }
 
-    /// Moves the pressure by the time passed: as far as the digest is trusted, towards
-    /// the target use; as far as it isn't, towards nothing.
+    /// Advances the pressure to `now`: in proportion to the confidence in the digest it
+    /// moves towards the target utilization, otherwise it decays to zero.
     fn update(&mut self, now: Instant) {
         let last = *self.updated.get_or_insert(now);
         let elapsed = now.saturating_duration_since(last).as_secs_f64();
@@ -209,7 +213,8 @@
     }
 }
 
-/// Returns what is left after `seconds` of what halves within `half_life`.
+/// Returns the fraction that remains after `seconds` of exponential decay with
+/// `half_life`.
 fn decay(seconds: f64, half_life: Duration) -> f64 {
     0.5_f64.powf(seconds / half_life.as_secs_f64())
 }
--- a/lib/src/rate_meter.rs
+++ b/lib/src/rate_meter.rs
@@ -1,11 +1,12 @@
-//! How many events happen a second.
+//! Event rate over the last second.
 
 use std::time::Duration;
 use std::time::Instant;
 
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// Counts events over the last second, from two periods of one second.
+/// Estimates the number of events in the last second from two counters of one second
+/// each.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateMeter {
     start: Option<Instant>,
@@ -14,13 +15,14 @@
 }
 
 impl RateMeter {
-    /// Counts one event.
+    /// Counts one event at `now`.
     pub fn note(&mut self, now: Instant) {
         self.advance(now);
         self.current += 1;
     }
 
-    /// Returns the events of the last second, taking the older period's as even.
+    /// Returns the events in the last second, assuming that those of the previous period
+    /// were evenly spread.
     pub fn per_second(&mut self, now: Instant) -> f64 {
         self.advance(now);
         let start = self.start.unwrap_or(now);
--- a/lib/src/rendezvous.rs
+++ b/lib/src/rendezvous.rs
@@ -1,12 +1,12 @@
-//! Scores for rendezvous hashing, the same in all processes and releases.
+//! Scores for rendezvous hashing, identical in all processes and releases.
 //!
-//! Each member of a group gets a score for a key; the key goes to the member with the
-//! highest one. A member that comes or goes moves only the keys that it wins or held.
+//! Each member gets a score for a key, and the key belongs to the member with the highest
+//! score. A member that joins or leaves moves only the keys that it gains or held.
 
-/// Scores `member` for the key that `parts` make up.
+/// Returns the score of `member` for the key composed of `parts`.
 ///
-/// The first 64 bits of BLAKE3 over the parts, each closed by a zero byte so that no
-/// two lists of parts read the same.
+/// The score is the first 64 bits of BLAKE3 over the parts and the member. Each part is
+/// terminated by a zero byte so that different lists of parts never hash the same bytes.
 #[must_use]
 pub fn score(parts: &[&str], member: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
@@ -18,7 +18,7 @@
     leading_number(&hasher.finalize())
 }
 
-/// Returns the first 64 bits of a hash.
+/// Returns the first 64 bits of a hash, in little-endian order.
 #[must_use]
 pub fn leading_number(hash: &blake3::Hash) -> u64 {
     let mut first = [0; 8];
--- a/lib/src/request_rank.rs
+++ b/lib/src/request_rank.rs
@@ -1,46 +1,49 @@
-//! Whose requests go first when room is short.
+//! Priority of requests when capacity is short.
 //!
-//! A less urgent request gives way by waiting less: it is refused while there still is room
-//! for an urgent one. A team's priority goes before that of the route. Since whoever waits
-//! least can be left without any room for as long as room is short, [`RankFairness`] lets a rank
-//! that is served much less often than the others wait as long as the first one.
+//! A less urgent request may wait for less time, so it is refused while there is still
+//! room for an urgent one. A team's priority takes precedence over the priority of the
+//! route. A request that may wait least could be starved for as long as capacity is
+//! short; [`RankFairness`] therefore lets a rank that is served much less often than the
+//! others wait as long as the first rank.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Share of the time left that a request without a team may wait, by its route's priority.
+/// Fraction of the remaining time that a request without a team may wait, by the priority
+/// of its route.
 const ROUTE_WAIT_SHARES: [f64; RANKS] = [1.0, 0.8, 0.6];
 
-/// What each rank of a team takes off that share. A whole span of routes lies within it.
+/// Reduction of that fraction per rank of the team. It exceeds the total reduction by
+/// route, so that the team takes precedence.
 const TEAM_STEP: f64 = 0.15;
 
-/// What each rank of a route takes off within a team.
+/// Reduction of that fraction per rank of the route within a team.
 const ROUTE_STEP: f64 = 0.05;
 
-/// Ranks that are told apart; those behind the last count as the last.
+/// Number of ranks that are distinguished; lower priorities count as the last rank.
 const RANKS: usize = 3;
 
-/// Time in which what was seen of a rank loses half of its weight.
+/// Half-life of the request counts of a rank.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Requests of a rank that must have been seen before it can count as starved.
+/// Minimum number of recent requests of a rank before it can count as starved.
 const MIN_REQUESTS: f64 = 4.0;
 
-/// Share of how often all are served below which a rank is starved. No rank may be served less
-/// than a quarter as often as all.
+/// A rank is starved if it is served less often than this fraction of the overall rate.
+/// No rank may be served less than a quarter as often as all.
 const STARVATION_RATIO: f64 = 0.5;
 
-/// Says which requests one comes after.
+/// Priority of a request.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RequestRank {
-    /// Priority of the team; 0 goes first. Nothing where it has none.
+    /// Priority of the team, 0 being the highest; `None` without a team.
     pub team: Option<u32>,
-    /// Priority of the route; 0 goes first.
+    /// Priority of the route, 0 being the highest.
     pub route: u32,
 }
 
 impl RequestRank {
-    /// Returns the share of the time left that the request may wait.
+    /// Returns the fraction of the remaining time that the request may wait.
     #[must_use]
     pub fn wait_share(self) -> f64 {
         let route = rank(self.route);
@@ -50,7 +53,7 @@
         }
     }
 
-    /// Returns the rank of the team, by which requests are told apart.
+    /// Returns the rank of the team, by which service rates are compared.
     fn class(self) -> usize {
         rank(self.team.unwrap_or(0))
     }
@@ -64,7 +67,7 @@
     u32::try_from(rank).map_or(f64::MAX, f64::from)
 }
 
-/// Follows how often the teams of each rank are served.
+/// Tracks the rate at which the teams of each rank are served.
 #[derive(Debug, Default)]
 pub struct RankFairness {
     counts: [RankCounts; RANKS],
@@ -84,7 +87,8 @@
 }
 
 impl RankFairness {
-    /// Notes that a request was given a backend server, or was refused for want of room.
+    /// Records that a request was assigned to a backend server, or refused for lack of
+    /// capacity.
     pub fn note(&mut self, now: Instant, rank: RequestRank, served: bool) {
         self.decay(now);
         let counts = &mut self.counts[rank.class()];
@@ -94,7 +98,8 @@
         }
     }
 
-    /// Returns the share of the time left that a request may wait.
+    /// Returns the fraction of the remaining time that a request may wait; a starved rank
+    /// may wait as long as the first one.
     pub fn wait_share(&mut self, now: Instant, rank: RequestRank) -> f64 {
         self.decay(now);
         if self.is_starved(rank) {
--- a/lib/src/settled_share.rs
+++ b/lib/src/settled_share.rs
@@ -1,16 +1,16 @@
-//! A share of a limit that several sessions hold together.
+//! A session's share of a limit that several sessions use together.
 //!
-//! Every session computes its share from its view alone, so the shares under one
-//! revision add up to the limit. Sessions don't apply a revision at the same moment,
-//! though: one that already takes its larger share, beside one that still takes the old
-//! share, would exceed the limit together. So a smaller share holds at once, and a
-//! larger one only from one window after its revision is settled. From then on, no
-//! window contains a use under an older share.
+//! Every session computes its share from its view alone, so the shares under one revision
+//! add up to the limit. Sessions do not apply a revision at the same time, however: if
+//! one already used its larger share while another still used its old share, they would
+//! exceed the limit together. A smaller share therefore applies at once, and a larger one
+//! only one window after its revision is settled. From then on, no window contains any
+//! use under an older share.
 //!
-//! The argument for any window that begins at *a*: let *b* be the latest revision that
-//! was settled at *a*. Whoever uses a share of revision *r* for itself has *r* settled
-//! since a window, so *r* ≤ *b*; it has applied *b* too, and takes the least of all
-//! shares from *r* on. So each session uses at most its share under *b*.
+//! Proof for any window that begins at *a*: let *b* be the latest revision that was
+//! settled at *a*. If a session uses a share of revision *r*, then *r* has been settled
+//! for a window, so *r* ≤ *b*. The session has also applied *b*, and it uses the minimum
+//! of all shares from *r* on. So each session uses at most its share under *b*.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -18,7 +18,7 @@
 use crate::id::Revision;
 use crate::usage_window::COUNTED_FOR;
 
-/// Follows one share over the revisions that change it.
+/// One share and the pending changes by later revisions.
 #[derive(Clone, Debug, Default)]
 pub struct SettledShare {
     base: u64,
@@ -33,7 +33,7 @@
 }
 
 impl SettledShare {
-    /// Starts a share that had one value under all revisions before.
+    /// Creates a share that had the value `base` under all revisions so far.
     #[must_use]
     pub const fn with_base(base: u64) -> Self {
         Self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Notes the share under `revision`.
+    /// Sets the share under `revision`.
     pub fn set(&mut self, revision: Revision, share: u64) {
         let last = self.pending.back().map_or(self.base, |last| last.share);
         if share != last {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Notes that `settled` is settled.
+    /// Records that all revisions up to `settled` are settled.
     pub fn settle(&mut self, now: Instant, settled: Revision) {
         let usable_from = now + COUNTED_FOR;
         self.pending
@@ -65,14 +65,14 @@
             });
     }
 
-    /// Starts again from nothing: changes may have gone unseen, and the argument needs
-    /// every share in between.
+    /// Starts again without a usable share: changes may have been missed, and the proof
+    /// requires every share in between.
     pub fn reset(&mut self, revision: Revision, share: u64) {
         *self = Self::default();
         self.set(revision, share);
     }
 
-    /// Returns what may be used now.
+    /// Returns the amount that may be used per window now.
     pub fn limit(&mut self, now: Instant) -> u64 {
         while let Some(first) = self.pending.front() {
             if first.usable_from.is_none_or(|from| now < from) {
@@ -88,9 +88,9 @@
     }
 }
 
-/// Splits `total` in proportion to `weights`, so that the parts add up to it exactly.
+/// Splits `total` in proportion to `weights` so that the parts add up exactly.
 ///
-/// What doesn't divide goes to the first ones, one each.
+/// The remainder is distributed one by one to the first parts with a non-zero weight.
 #[must_use]
 pub fn split(total: u64, weights: &[u64]) -> Vec<u64> {
     let sum: u128 = weights.iter().map(|weight| u128::from(*weight)).sum();
--- a/lib/src/shift_budget.rs
+++ b/lib/src/shift_budget.rs
@@ -1,8 +1,8 @@
-//! How many requests of callers elsewhere a session may let through.
+//! Limits how many requests from callers elsewhere a session lets through.
 //!
-//! A cap on shifts holds for all owners of backend servers at its far end together.
-//! Each has a share in proportion to what the places that it owns can bear. Requests
-//! are counted where they are dispatched, by their caller's place.
+//! A shift cap applies to all owners of backend servers at its target end together. Each
+//! owner has a share in proportion to the capacity of the places that it owns. Requests
+//! are counted where they are dispatched, by the place of the caller.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 use crate::usage_window::UsageWindow;
 use crate::view::ControlView;
 
-/// Tells who shares a cap.
+/// Sessions that share a cap.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Sharing {
     /// The owners of backend servers, for requests.
@@ -33,17 +33,18 @@
     AllSessions,
 }
 
-/// Holds one session's shares of all caps.
+/// One session's shares of all shift caps.
 #[derive(Debug)]
 pub struct ShiftBudgets {
     session: SessionId,
     sharing: Sharing,
     caps: BTreeMap<CapKey, CapBudget>,
-    /// False until a view was applied: then caps that weren't in it were no limit.
+    /// Whether a view was applied. From then on, a cap that the previous view did not
+    /// contain is known to have been no limit; the first view resets all shares.
     has_view: bool,
 }
 
-/// Identifies a cap over the manifests that change its percentage.
+/// Identifies a cap across manifests that change its percentage.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct CapKey {
     service: ServiceName,
@@ -57,11 +58,11 @@
     usage: UsageWindow,
 }
 
-/// Stands for the share of a cap that isn't in the manifest.
+/// Share of a cap that is not in the manifest.
 const NO_CAP: u64 = u64::MAX;
 
 impl ShiftBudgets {
-    /// Starts with no share of any cap.
+    /// Creates the budgets without any share.
     #[must_use]
     pub const fn new(session: SessionId, sharing: Sharing) -> Self {
         Self {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Applies a view with its owners.
+    /// Applies a view and its owner table.
     pub fn apply_view(&mut self, view: &ControlView, owners: &OwnerTable, step: ViewStep) {
         let shares = self.shares(view, owners);
         let must_reset = step == ViewStep::Whole || !self.has_view;
@@ -95,7 +96,7 @@
         self.has_view = true;
     }
 
-    /// Notes that `revision` is settled, and forgets caps that are gone for good.
+    /// Records that `revision` is settled and removes budgets whose cap no longer exists.
     pub fn settle(&mut self, now: Instant, revision: Revision) {
         self.caps.retain(|_, budget| {
             budget.share.settle(now, revision);
@@ -103,11 +104,11 @@
         });
     }
 
-    /// Tells whether a request of a caller at `origin` may be served at `place` now.
+    /// Checks whether a request from `shift.origin` may be served at `shift.place` now.
     ///
     /// # Errors
     ///
-    /// Returns the time after which there may be room, if a cap is used up.
+    /// Returns the time after which there may be room if a cap is used up.
     pub fn check(&mut self, now: Instant, shift: Shift<'_>) -> Result<(), Duration> {
         for budget in self.matching(shift) {
             let limit = budget.share.limit(now);
@@ -118,7 +119,8 @@
         Ok(())
     }
 
-    /// Returns the places whose callers' requests can't be served by `group` now.
+    /// Returns the places whose callers cannot be served by `group` now because a cap is
+    /// used up.
     pub fn full_origins(
         &mut self,
         now: Instant,
@@ -150,7 +152,7 @@
         manifest.places.keys().filter(is_full).cloned().collect()
     }
 
-    /// Tells whether a request that room was set aside for may be served now.
+    /// Returns whether a request with a reservation may be served now.
     pub fn may_use_reserved(&mut self, now: Instant, shift: Shift<'_>) -> bool {
         self.matching(shift).all(|budget| {
             let limit = budget.share.limit(now);
@@ -158,19 +160,19 @@
         })
     }
 
-    /// Sets room aside for a request that waits.
+    /// Reserves room for a queued request.
     pub fn reserve(&mut self, shift: Shift<'_>) {
         self.matching(shift)
             .for_each(|budget| budget.usage.reserve(1));
     }
 
-    /// Gives back the room of a request that waited.
+    /// Cancels the reservation of a queued request.
     pub fn unreserve(&mut self, shift: Shift<'_>) {
         self.matching(shift)
             .for_each(|budget| budget.usage.unreserve(1));
     }
 
-    /// Counts a request.
+    /// Counts a dispatched request.
     pub fn charge(&mut self, now: Instant, shift: Shift<'_>) {
         self.matching(shift)
             .for_each(|budget| budget.usage.add(now, 1));
@@ -202,7 +204,7 @@
                     from: cap.from.clone(),
                     to: cap.to.clone(),
                 };
-                // Two caps between the same ends: the lower one holds.
+                // If two caps have the same ends, the lower one applies.
                 shares
                     .entry(key)
                     .and_modify(|known: &mut u64| *known = share.min(*known))
@@ -245,20 +247,20 @@
     }
 }
 
-/// Describes where a request comes from and where it is to be served.
+/// Origin and destination of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Shift<'a> {
-    /// The manifest that says which places belong to which region.
+    /// The manifest that assigns places to regions.
     pub manifest: &'a Manifest,
-    /// The service.
+    /// The requested service.
     pub service: &'a ServiceName,
     /// The caller's place.
     pub origin: &'a PlaceName,
-    /// The place that is to serve it.
+    /// The place that serves the request.
     pub place: &'a PlaceName,
 }
 
-/// Returns the requests a second that `cap` allows all sessions together.
+/// Returns the requests per second that `cap` allows to all sessions together.
 #[must_use]
 pub fn allowed_per_second(manifest: &Manifest, service: &Service, cap: &ShiftCap) -> u64 {
     requests_per_second(cap, &target_places(manifest, service, cap))
@@ -269,7 +271,8 @@
     capacity * u64::from(cap.percent) / 100
 }
 
-/// Returns the places at the far end of `cap` with what the service may put on them.
+/// Returns the places at the target end of `cap`, each with the service's limit in
+/// requests per second.
 fn target_places(manifest: &Manifest, service: &Service, cap: &ShiftCap) -> Vec<(PlaceName, u64)> {
     service
         .limits
@@ -282,14 +285,14 @@
         .collect()
 }
 
-/// Tells whether a cap counts a shift.
+/// Returns whether a shift counts towards a cap.
 #[must_use]
 pub fn cap_covers(cap: &ShiftCap, shift: Shift<'_>) -> bool {
     covers(shift.manifest, &cap.from, &cap.to, shift)
 }
 
-/// `Any` at one end means any place outside the other end; at both ends, any place
-/// other than the caller's.
+/// `Any` at one end stands for all places outside the other end; at both ends, for all
+/// places other than the caller's.
 fn covers(manifest: &Manifest, from: &Scope, to: &Scope, shift: Shift<'_>) -> bool {
     let Shift { origin, place, .. } = shift;
     match (from, to) {
--- a/lib/src/steering.rs
+++ b/lib/src/steering.rs
@@ -1,10 +1,10 @@
-//! Where an entry sends a request: which owners, in which order.
+//! Selects the owners that an entry VM sends a request to, in order of preference.
 //!
 //! The nearest place that serves the service comes first. Requests are diverted from it
 //! only as far as its *pressure* exceeds that of another place. Pressure follows
-//! refusals, which are known at once, and digests, which may be old; digests move it
-//! slowly, so that entries that all see the same old digest don't move their traffic to
-//! and fro together. To another region only refusals divert.
+//! refusals, which are known at once, and digests, which may be old. Digests change it
+//! slowly, so that entry VMs that all see the same old digest do not move their traffic
+//! back and forth together. Only refusals divert requests to another region.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,45 +26,45 @@
 use crate::pressure::LoadEstimate;
 use crate::view::ControlView;
 
-/// Round trip assumed to an entry VM in the same region, until one is measured.
+/// Assumed round-trip time to an entry VM in the same region until it is measured.
 const SAME_REGION_ROUND_TRIP: Duration = Duration::from_millis(2);
 
-/// Round trip assumed to an entry VM in another region, until one is measured.
+/// Assumed round-trip time to an entry VM in another region until it is measured.
 const OTHER_REGION_ROUND_TRIP: Duration = Duration::from_millis(100);
 
-/// Round trips that differ by less than this count as equally far.
+/// Resolution of round-trip times to other regions; smaller differences count as equal.
 const ROUND_TRIP_STEP: Duration = Duration::from_millis(10);
 
-/// Difference of pressure below which nothing is diverted.
+/// Minimum difference of pressure that diverts requests.
 const HYSTERESIS: f64 = 0.05;
 
-/// Pressure up to which another region is asked after a refusal. Where it is hard to
-/// get served too, the try would only make the final refusal late by a round trip.
+/// Maximum pressure of a group in another region that is tried after a refusal. Above it,
+/// the attempt would probably fail as well and delay the final refusal by a round trip.
 const MAX_OTHER_REGION_PRESSURE: f64 = 0.2;
 
-/// Describes a request that is to be steered.
+/// A request to be steered.
 #[derive(Clone, Copy, Debug)]
 pub struct SteeringRequest<'a> {
-    /// The service.
+    /// The requested service.
     pub service: &'a ServiceName,
     /// The place of the caller.
     pub origin: &'a PlaceName,
-    /// Time left until the deadline.
+    /// Time remaining until the deadline.
     pub left: Duration,
 }
 
-/// Names an owner that may take a request.
+/// An owner that may serve a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// The group to ask for.
+    /// The group that would serve the request.
     pub group: Group,
-    /// The session that owns it.
+    /// The session that owns the group.
     pub owner: SessionId,
     /// The place of the caller.
     pub origin: PlaceName,
 }
 
-/// Holds what an entry knows of the other owners, and chooses among them.
+/// Load estimates of all groups at one entry VM, and the selection among them.
 #[derive(Debug)]
 pub struct Steering {
     session: SessionId,
@@ -76,12 +76,12 @@
     rng: ChaCha8Rng,
 }
 
-/// Orders places by their distance from the caller; nearer ones order first.
+/// Distance of a place from the caller; nearer places order first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Tier {
     Origin,
     Region,
-    /// Elsewhere, by steps of [`ROUND_TRIP_STEP`].
+    /// Outside the region, by round-trip time in units of [`ROUND_TRIP_STEP`].
     Away(u128),
 }
 
@@ -91,7 +91,7 @@
     tier: Tier,
     pressure: f64,
     refusal_pressure: f64,
-    /// Chance among those of the same tier.
+    /// Random sort key within a tier, biased by the number of free slots.
     weight: f64,
 }
 
@@ -102,7 +102,8 @@
 }
 
 impl Steering {
-    /// Starts with no digest; `seed` drives the choice among near-equal owners.
+    /// Creates the steering state without any digest; `seed` drives the random choice
+    /// among candidates.
     #[must_use]
     pub fn new(session: SessionId, seed: u64) -> Self {
         Self {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Applies a view.
+    /// Applies a view and drops estimates and round-trip times that no longer apply.
     pub fn apply_view(&mut self, view: &Arc<ControlView>) {
         self.view = Arc::clone(view);
         let exists = |session: &SessionId| view.sessions.contains_key(session);
@@ -132,7 +133,7 @@
         });
     }
 
-    /// Takes another owner's digest (or this session's own).
+    /// Applies the digest of an owner, which may be this session itself.
     pub fn take_digest(&mut self, now: Instant, digest: &LoadDigest) {
         let serial = self.last_serials.entry(digest.session).or_default();
         if digest.serial <= *serial {
@@ -149,17 +150,17 @@
         }
     }
 
-    /// Notes a measured round trip to another session's entry VM.
+    /// Records a measured round-trip time to another session's entry VM.
     pub fn note_round_trip(&mut self, session: SessionId, round_trip: Duration) {
         self.round_trips.insert(session, round_trip);
     }
 
-    /// Returns the owners to try, best first. Empty when nothing can take the request
-    /// in time.
+    /// Returns the owners to try, best first. Empty if none can answer the request in
+    /// time.
     pub fn candidates(&mut self, now: Instant, req: SteeringRequest<'_>) -> Vec<Candidate> {
         let mut rated = self.rate(now, req);
-        // Each one draws its place within its tier, likelier in front with more free
-        // slots; one draw for all would send every entry to the same one.
+        // Each candidate gets a random sort key within its tier, biased by its free
+        // slots. A common order would send every entry VM to the same one.
         for rated_candidate in &mut rated {
             let draw: f64 = self.rng.random();
             rated_candidate.weight = draw.powf(1.0 / (1.0 + rated_candidate.weight));
@@ -179,23 +180,23 @@
             .collect()
     }
 
-    /// Notes that a request was sent to `candidate`; digests don't show it yet.
+    /// Records that a request was sent to `candidate`; digests do not include it yet.
     pub fn note_sent(&mut self, now: Instant, candidate: &Candidate) {
         self.estimate(candidate).note_sent(now);
     }
 
-    /// Notes that `candidate` refused a request.
+    /// Records that `candidate` refused a request.
     pub fn note_refused(&mut self, now: Instant, candidate: &Candidate, reason: NotRunReason) {
         self.estimate(candidate)
             .note_refused(now, &candidate.origin, reason);
     }
 
-    /// Notes that `candidate` couldn't be reached.
+    /// Records that the owner of `candidate` could not be reached.
     pub fn note_unreachable(&mut self, now: Instant, candidate: &Candidate) {
         self.estimate(candidate).note_unreachable(now);
     }
 
-    /// Returns what the owners have told of their groups lately.
+    /// Returns the loads from all digests that have not lapsed.
     #[must_use]
     pub fn known_loads(&self, now: Instant) -> Vec<GroupLoad> {
         self.estimates
@@ -205,7 +206,7 @@
             .collect()
     }
 
-    /// Returns the pressure that this entry sees at a group, from 0 to 1.
+    /// Returns the pressure of a group as seen by this entry VM, from 0 to 1.
     pub fn pressure(&mut self, now: Instant, group: &Group) -> f64 {
         self.estimates
             .get_mut(group)
@@ -265,18 +266,19 @@
         rated
     }
 
-    /// Moves a farther candidate to the front, with the chance by which the pressure of
-    /// the one in front exceeds its own. One draw decides for all: a draw for each would
-    /// multiply the traffic that moves for the same difference of pressure, and with it
-    /// the gain that [`crate::pressure`] counts on.
+    /// Moves a more distant candidate to the front, with a probability equal to the
+    /// excess of the front candidate's pressure over its own. One random number decides
+    /// for all candidates: separate ones would multiply the traffic that moves for the
+    /// same difference of pressure, and thereby the gain that [`crate::pressure`] is
+    /// designed for.
     fn divert(&mut self, rated: &mut [RatedCandidate]) {
         let draw: f64 = self.rng.random();
         let Some((first, others)) = rated.split_first() else {
             return;
         };
         let better = |other: &RatedCandidate| {
-            // A wait for a slot is shorter than the way to another region and back, so
-            // only refusals send a request there.
+            // Waiting for a slot takes less time than a round trip to another region, so
+            // only refusals divert a request there.
             let pressure = match other.tier {
                 Tier::Away(_) if first.tier != other.tier => first.refusal_pressure,
                 _ => first.pressure,
--- a/lib/src/usage_window.rs
+++ b/lib/src/usage_window.rs
@@ -1,4 +1,4 @@
-//! How much was used within the last window of time.
+//! Usage within a sliding time window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,31 +7,31 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Length of the window over which caps and limits hold.
+/// Length of the window to which caps and limits apply.
 pub const WINDOW: Duration = Duration::from_secs(1);
 
-/// Time by which two uses may come closer together on their way to where they are
-/// counted. Without it, a use just after a window could arrive within it; a count at
-/// the backend servers would show it.
+/// Maximum reduction of the interval between two uses on their way to where they are
+/// counted. Without it, a use just after the end of a window could arrive within it, and
+/// a count at the backend servers would exceed the limit.
 pub const ARRIVAL_JITTER: Duration = Duration::from_millis(50);
 
 /// Time for which a use counts.
 pub const COUNTED_FOR: Duration = WINDOW.saturating_add(ARRIVAL_JITTER);
 
-/// Uses that are closer together than this are counted as one, at the time of the
-/// later one, which bounds the memory of a window.
+/// Uses closer together than this share one bucket with the time of the latest, which
+/// bounds the memory of a window.
 const BUCKET: Duration = Duration::from_millis(2);
 
-/// Length of the steps in which use is told to another.
+/// Time resolution of the usage that is reported to another session.
 const REPORT_STEP: Duration = Duration::from_millis(20);
 
-/// Parts of the window among which use is spread.
+/// Number of subwindows over which usage is spread.
 const SUBWINDOWS: u32 = 5;
 
-/// Multiple of the even spread that one part may hold.
+/// Factor by which one subwindow may exceed its even share.
 const BURST_FACTOR: u64 = 2;
 
-/// Counts uses over a sliding window.
+/// Counts usage in a sliding window, with reservations.
 #[derive(Clone, Debug, Default)]
 pub struct UsageWindow {
     buckets: VecDeque<Bucket>,
@@ -39,12 +39,12 @@
     reserved: u64,
 }
 
-/// Tells of uses by another, by their age.
+/// Usage by another session, reported by age.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RecentUse {
-    /// Age of the latest of them, in milliseconds.
+    /// Age of the latest use included, in milliseconds.
     pub age_ms: u32,
-    /// How much was used.
+    /// Total of the uses included.
     pub amount: u64,
 }
 
@@ -56,31 +56,31 @@
 }
 
 impl UsageWindow {
-    /// Tells whether `amount` more fits under `limit`, beside what is reserved.
+    /// Returns whether `amount` fits under `limit` in addition to the reservations.
     ///
-    /// Use is also spread within the window: a part of it holds no more than twice its
-    /// even share. Otherwise a limit that is reached would let everything through at
-    /// the start of each window and nothing in the rest of it.
+    /// Usage is also spread within the window: a subwindow holds at most twice its even
+    /// share. Otherwise, when the limit is reached, all uses would pass at the start of
+    /// each window and none in the rest of it.
     pub fn has_room(&mut self, now: Instant, amount: u64, limit: u64) -> bool {
         self.expire(now);
         let fits_window = self.sum + self.reserved + amount <= limit;
         fits_window && self.recent(now) + amount <= subwindow_limit(limit).max(amount)
     }
 
-    /// Tells whether `amount` that is reserved may be used now.
+    /// Returns whether an `amount` that is reserved may be used now.
     pub fn may_use_reserved(&mut self, now: Instant, amount: u64, limit: u64) -> bool {
         self.expire(now);
         self.sum + amount <= limit
             && self.recent(now) + amount <= subwindow_limit(limit).max(amount)
     }
 
-    /// Returns what still fits under `limit`.
+    /// Returns the amount that still fits under `limit` in addition to the reservations.
     pub fn room(&mut self, now: Instant, limit: u64) -> u64 {
         self.expire(now);
         limit.saturating_sub(self.sum + self.reserved)
     }
 
-    /// Returns the time until something that counts now is forgotten.
+    /// Returns the time until the oldest bucket leaves the window.
     #[must_use]
     pub fn wait(&self, now: Instant) -> Duration {
         self.buckets.front().map_or(COUNTED_FOR, |bucket| {
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Counts a use.
+    /// Counts a use of `amount` at `now`.
     pub fn add(&mut self, now: Instant, amount: u64) {
         self.expire(now);
         self.sum += amount;
@@ -105,23 +105,23 @@
         }
     }
 
-    /// Sets room aside for a use that comes later.
+    /// Reserves `amount` for a later use.
     pub fn reserve(&mut self, amount: u64) {
         self.reserved += amount;
     }
 
-    /// Gives back room that was set aside.
+    /// Cancels a reservation of `amount`.
     pub fn unreserve(&mut self, amount: u64) {
         self.reserved = self.reserved.saturating_sub(amount);
     }
 
-    /// Returns what counts now, without what is reserved.
+    /// Returns the usage in the window, without reservations.
     pub fn used(&mut self, now: Instant) -> u64 {
         self.expire(now);
         self.sum
     }
 
-    /// Returns what counts now, in steps of [`REPORT_STEP`].
+    /// Returns the usage in the window by age, at a resolution of [`REPORT_STEP`].
     pub fn recent_use(&mut self, now: Instant) -> Vec<RecentUse> {
         self.expire(now);
         let mut reported: Vec<RecentUse> = Vec::new();
@@ -146,7 +146,8 @@
         reported
     }
 
-    /// Counts what another has told of, heard at `received_at`, before anything else is.
+    /// Counts the usage that another session reported at `received_at`. Must be called
+    /// before any other use is counted.
     pub fn add_reported(&mut self, received_at: Instant, reported: &[RecentUse]) {
         for recent in reported {
             let age = Duration::from_millis(u64::from(recent.age_ms));
--- a/lib/src/wait_queue.rs
+++ b/lib/src/wait_queue.rs
@@ -1,52 +1,52 @@
 //! Requests that wait for a slot.
 //!
-//! The order is first in, first out. What could not be answered in time is refused when
-//! it arrives, so what waits is expected to be served; that leaves little for an order by
-//! deadline or last in, first out to gain, and a refusal after a wait, which both bring,
-//! comes late for its caller. Figures are in docs/design/admission.md.
+//! The queue is first in, first out. A request that cannot be answered in time is refused
+//! on arrival, so queued requests are expected to be served. Ordering by deadline or last
+//! in, first out would gain little, and both refuse requests after a wait, which is late
+//! for their callers. Figures are in docs/design/admission.md.
 
 use std::collections::VecDeque;
 
 use crate::admission_event::Offer;
 use crate::admission_event::RequestToken;
 
-/// Holds the requests that wait at one group.
+/// Queue of the requests waiting in one group.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
     waiting: VecDeque<Offer>,
 }
 
 impl WaitQueue {
-    /// Returns how many wait.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Puts a request at the end.
+    /// Appends a request.
     pub fn push(&mut self, offer: Offer) {
         self.waiting.push_back(offer);
     }
 
-    /// Takes a request out whose caller is gone.
+    /// Removes a request whose caller is gone.
     pub fn remove(&mut self, token: RequestToken) -> Option<Offer> {
         let position = self.waiting.iter().position(|offer| offer.token == token)?;
         self.waiting.remove(position)
     }
 
-    /// Takes out the first request that `fits`.
+    /// Removes and returns the first request for which `fits` holds.
     pub fn take_first(&mut self, fits: impl FnMut(&Offer) -> bool) -> Option<Offer> {
         let position = self.waiting.iter().position(fits)?;
         self.waiting.remove(position)
     }
 
-    /// Takes out all requests for which `keep` doesn't hold.
+    /// Removes and returns all requests for which `keep` does not hold.
     pub fn take_unless(&mut self, mut keep: impl FnMut(&Offer) -> bool) -> Vec<Offer> {
         let (kept, taken): (VecDeque<_>, Vec<_>) = {
             let mut kept = VecDeque::with_capacity(self.waiting.len());
--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -1,4 +1,4 @@
-//! Tests of what one owner lets through.
+//! Tests of the owner's admission control.
 
 mod entry_model;
 
@@ -37,7 +37,7 @@
 const PLACES: [(&str, &str); 2] = [("a1", "a"), ("a2", "a")];
 const MS: Duration = Duration::from_millis(1);
 
-/// The owner of a group, past the time that it waits after taking it over.
+/// The owner of a group, after the waiting time that follows the acquisition.
 struct Owner {
     now: Instant,
     admission: Admission,
@@ -59,14 +59,14 @@
         }
     }
 
-    /// An owner that has just taken its group over.
+    /// Creates an owner that has just acquired its group.
     fn fresh() -> Self {
         let mut owner = Self::new(manifest(&PLACES, plenty()));
         owner.now -= Duration::from_secs(10);
         owner
     }
 
-    /// An owner of `backends` that have warmed up.
+    /// Creates an owner of `backends` that are warmed up.
     fn of(backends: &[&str]) -> Self {
         let mut owner = Self::new(manifest(&PLACES, plenty()));
         for backend in backends {
@@ -78,7 +78,7 @@
     fn announce(&mut self, announcement: &Announcement) -> Vec<Effect> {
         self.admission
             .announce(self.now, announcement)
-            .expect("it fits the manifest")
+            .expect("the announcement matches the manifest")
     }
 
     fn offer(&mut self, deadline: Duration) -> Verdict {
@@ -104,14 +104,14 @@
     fn refusal(&mut self, deadline: Duration) -> (NotRunReason, Duration) {
         match self.offer(deadline) {
             Verdict::Refused(not_run) => {
-                let retry_after = not_run.retry_after().expect("it says when to come back");
+                let retry_after = not_run.retry_after().expect("the refusal has a retry time");
                 (not_run.reason(), retry_after)
             }
             other => panic!("not refused: {other:?}"),
         }
     }
 
-    /// Dispatches until nothing more is; returns how many.
+    /// Offers requests until one is not dispatched; returns how many were.
     fn fill(&mut self) -> usize {
         let at_once =
             |_: &usize| matches!(self.offer(Duration::from_secs(1)), Verdict::Dispatch(_));
@@ -150,7 +150,8 @@
 macro_rules! slot_cases {
     ($($name:ident: $change:expr => $slots:literal;)*) => {
         $(
-            /// However many are offered, no more run at once.
+            /// The number of concurrent requests stays within the slots, however many are
+            /// offered.
             #[test]
             fn $name() {
                 let mut manifest = manifest(&PLACES, plenty());
@@ -167,7 +168,10 @@
 
 fn limit(manifest: &mut Manifest) -> &mut PlaceLimit {
     let service = manifest.services.values_mut().next().expect("one service");
-    service.limits.get_mut(&place("a1")).expect("it is served")
+    service
+        .limits
+        .get_mut(&place("a1"))
+        .expect("the place has a limit")
 }
 
 slot_cases! {
@@ -182,14 +186,15 @@
     test_admission_slots_while_leaving: |_, announced| {
         announced.state = BackendState::Leaving;
     } => 0;
-    // A report of running work that nobody here has sent takes half at most.
+    // A report of requests in flight that this owner did not send reduces the slots by
+    // half at most.
     test_admission_slots_reported_in_use: |_, announced| announced.in_flight = 3 => 2;
     test_admission_slots_reported_overload: |_, announced| announced.load = 9.0 => 2;
     test_admission_slots_reported_not_a_number: |_, announced| announced.load = f64::NAN => 3;
 }
 
-/// Symptom: a backend server gets full load on a report that is seconds old. Cause: the
-/// age of its report doesn't count.
+/// Guards against full load on a backend server whose last report is seconds old, because
+/// the age of the report was ignored.
 #[test]
 fn test_admission_old_reports_lower_slots() {
     let mut owner = Owner::of(&["r1"]);
@@ -200,9 +205,8 @@
     assert_eq!(reason, NotRunReason::NoBackendServer);
 }
 
-/// Symptom: a leaving backend server gets work again. Sequence: it announces that it
-/// leaves; an earlier "ready" arrives later by another entry VM. Cause: the last
-/// announcement to arrive counts.
+/// Guards against new requests to a leaving backend server: it announces that it is
+/// leaving, then an earlier "ready" arrives via another entry VM and must not win.
 #[test]
 fn test_admission_leaving_holds() {
     let mut owner = Owner::of(&["r1"]);
@@ -218,9 +222,8 @@
     assert_eq!(owner.fill(), 0);
 }
 
-/// Symptom: a slot is used twice. Sequence: the connection to a backend server breaks
-/// and the slot is given to the next request, while the first still runs. Cause: a
-/// broken connection is taken for the end of the request.
+/// Guards against using a slot twice: the connection to a backend server breaks, and the
+/// slot is given to the next request while the first is still running.
 #[test]
 fn test_admission_failed_requests_count_until_deadline() {
     let mut owner = Owner::of(&["r1"]);
@@ -229,13 +232,13 @@
     assert_eq!(owner.fill(), 2);
     let effects = owner.advance(1_100 * MS);
     let dispatched = |effect: &&Effect| matches!(effect, Effect::Dispatch { .. });
-    // Those that wait have the same deadline, so none of them is dispatched any more.
+    // The queued requests have the same deadline, so none of them is dispatched any more.
     assert_eq!(effects.iter().filter(dispatched).count(), 0);
     owner.announce(&ready("r1"));
     assert_eq!(owner.fill(), 1);
 }
 
-/// Symptom: a backend server that refuses is asked again at once, and again.
+/// Guards against immediate retries at a backend server that sheds load.
 #[test]
 fn test_admission_backs_off_from_shedding() {
     let mut owner = Owner::of(&["r1"]);
@@ -246,10 +249,10 @@
     assert_eq!(owner.fill(), 1);
 }
 
-/// Symptom: single requests are refused with `no_backend_server` while entry VMs are
-/// replaced. Sequence: a group changes owner, the old owner's release is lost, and the
-/// new one is asked before backend servers have announced themselves to it. Cause: a new
-/// owner takes "none has announced itself yet" for "there are none".
+/// Guards against occasional `no_backend_server` refusals while entry VMs are replaced: a
+/// group changes owner, the release of the old owner is lost, and the new owner is asked
+/// before any backend server has announced itself. It must not conclude that there are
+/// none.
 #[test]
 fn test_admission_new_owner_waits_for_announcements() {
     let mut informed = Owner::fresh();
@@ -277,7 +280,8 @@
     assert_eq!(reason, NotRunReason::NoBackendServer);
 }
 
-/// Symptom: requests go on to a dead backend server. Sequence: three fail in a row.
+/// Guards against further requests to a dead backend server after three consecutive
+/// failures.
 #[test]
 fn test_admission_opens_circuit() {
     let mut owner = Owner::of(&["r1", "r2"]);
@@ -290,12 +294,13 @@
         owner.finish(&dispatch, ending);
     }
     assert_eq!(failed.get(&BackendName::new("r1")), Some(&3));
-    // After the pause, one request probes it.
+    // After the pause, a single request probes it.
     owner.advance(600 * MS);
     assert_eq!(owner.fill(), 4);
 }
 
-/// Symptom: a server that has just started gets full load with cold caches.
+/// Guards against full load on a backend server that has just started and has cold
+/// caches.
 #[test]
 fn test_admission_ramps_new_servers() {
     let mut manifest = manifest(&PLACES, plenty());
@@ -311,7 +316,7 @@
     assert_eq!(owner.admission.loads(owner.now)[0].slots, 3);
 }
 
-/// Symptom: a place meets callers whose data it hasn't cached, and gets them all at once.
+/// Guards against a sudden full load from callers whose data the place has not cached.
 #[test]
 fn test_admission_ramps_new_origins() {
     let mut manifest = manifest(&PLACES, plenty());
@@ -331,8 +336,8 @@
     assert_eq!(owner.fill(), 3);
 }
 
-/// A request that can't be answered in time is refused when it arrives, with a time to
-/// come back, and one that waits too long as soon as that is clear.
+/// A request that cannot be answered in time is refused on arrival, with a retry time; a
+/// queued request is refused as soon as it can no longer be answered in time.
 #[test]
 fn test_admission_refuses_early() {
     let mut owner = Owner::of(&["r1"]);
@@ -352,8 +357,8 @@
     assert!(effects.iter().any(late), "{effects:?}");
 }
 
-/// Callers refused together are told different times, so that they don't return
-/// together.
+/// Callers that are refused together get different retry times, so that they do not
+/// return together.
 #[test]
 fn test_admission_spreads_returns() {
     let mut owner = Owner::of(&["r1"]);
@@ -366,7 +371,7 @@
     assert!(times[40] > times[10] * 3 / 2, "{times:?}");
 }
 
-/// A caller that goes away makes room for the next one.
+/// A cancelled request leaves the queue and makes room for another.
 #[test]
 fn test_admission_cancels_waiting() {
     let mut owner = Owner::of(&["r1"]);
@@ -384,8 +389,8 @@
 macro_rules! drain_cases {
     ($($name:ident: $drain:expr, $in_use:literal => $held_back:literal;)*) => {
         $(
-            /// A planned drain is carried out if the rest can carry the load, else held
-            /// back.
+            /// A planned drain is carried out if the remaining capacity suffices,
+            /// otherwise it is held back.
             #[test]
             fn $name() {
                 let mut manifest = manifest(&PLACES, plenty());
@@ -408,7 +413,7 @@
                     Drain::Place(_) => $in_use,
                     _ => 3 + $in_use,
                 };
-                assert!(left <= expected, "{left} run");
+                assert!(left <= expected, "{left} requests run, {expected} allowed");
             }
         )*
     };
@@ -422,8 +427,8 @@
     test_admission_holds_server_back: Drain::BackendServer(BackendName::new("r1")), 6 => true;
 }
 
-/// Requests answered within their deadline, for each one that the slots could at most
-/// serve, when `load` times as many arrive.
+/// Returns the requests answered within their deadline, as a fraction of the maximum that
+/// the slots can serve, at `load` times that arrival rate.
 fn goodput(load: f64, seed: u64) -> f64 {
     const SLOTS: f64 = 9.0;
     const SERVICE: f64 = 0.020;
@@ -473,8 +478,8 @@
     f64::from(good) / (Duration::from_secs(SECONDS).as_secs_f64() * SLOTS / SERVICE)
 }
 
-/// Symptom: beyond full load fewer are answered in time than at full load. Cause: work
-/// goes into requests that come too late.
+/// Guards against a drop of goodput beyond full load, caused by work on requests that
+/// finish too late.
 #[test]
 fn test_admission_goodput_holds_under_overload() {
     let loads = [0.5, 0.8, 0.95, 1.0, 1.2, 1.5, 3.0];
--- a/lib/tests/test_digest_throttle.rs
+++ b/lib/tests/test_digest_throttle.rs
@@ -1,4 +1,4 @@
-//! Which digests are sent and which are held back.
+//! Tests of which digests are sent and which are withheld.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -30,7 +30,10 @@
     let now = Instant::now();
     let mut throttle = DigestThrottle::default();
     let mut loads = vec![load()];
-    assert!(throttle.is_due(now, &loads), "the first one is always due");
+    assert!(
+        throttle.is_due(now, &loads),
+        "the first digest is always due"
+    );
     throttle.note_sent(now, &loads);
     change(&mut loads);
     assert_eq!(throttle.is_due(now + after, &loads), due);
@@ -48,11 +51,11 @@
 }
 
 throttle_tests! {
-    test_pace_nothing_new: |_| {}, SOON => false;
-    test_pace_quiet_for_long: |_| {}, MAX_DIGEST_INTERVAL => true;
-    test_pace_small_change_of_use: |loads| loads[0].in_flight += 1, SOON => false;
-    test_pace_large_change_of_use: |loads| loads[0].queued += 2, SOON => true;
-    test_pace_slot_gone: |loads| loads[0].slots -= 1, SOON => true;
-    test_pace_origin_full: |loads| loads[0].full_origins.push(PlaceName::new("b")), SOON => true;
-    test_pace_group_gone: Vec::clear, SOON => true;
+    test_digest_throttle_nothing_new: |_| {}, SOON => false;
+    test_digest_throttle_max_interval: |_| {}, MAX_DIGEST_INTERVAL => true;
+    test_digest_throttle_small_change_of_use: |loads| loads[0].in_flight += 1, SOON => false;
+    test_digest_throttle_large_change_of_use: |loads| loads[0].queued += 2, SOON => true;
+    test_digest_throttle_slot_gone: |loads| loads[0].slots -= 1, SOON => true;
+    test_digest_throttle_origin_full: |loads| loads[0].full_origins.push(PlaceName::new("b")), SOON => true;
+    test_digest_throttle_group_gone: Vec::clear, SOON => true;
 }
--- a/lib/tests/test_ownership.rs
+++ b/lib/tests/test_ownership.rs
@@ -1,4 +1,5 @@
-//! Tests of who owns backend servers, and that a change of owner overloads none.
+//! Tests of the assignment of owners, and that a change of owner overloads no backend
+//! server.
 
 mod entry_model;
 
@@ -47,7 +48,7 @@
 const BACKENDS: [&str; 2] = ["r1", "r2"];
 const GROUP_PLACE: &str = "a1";
 
-/// Holds an admission and the effects that it has asked for.
+/// An admission and the effects it has returned so far.
 struct Owner {
     admission: Admission,
     effects: Vec<Effect>,
@@ -76,12 +77,13 @@
     }
 }
 
-/// A request at a backend server, as the server itself sees it.
+/// A request at a backend server, as seen by the server.
 struct Run {
     backend: BackendName,
     begins: Instant,
     ends: Instant,
-    /// The entry VM and the session that sent it, and when it hears of the end.
+    /// The entry VM and the session that sent it, and the time at which they receive the
+    /// answer.
     entry: usize,
     session: SessionId,
     key: DispatchKey,
@@ -139,8 +141,8 @@
         self.runs.retain(|run| !run.reported || now < run.ends);
     }
 
-    /// Everything an entry VM does in one step: announcements come in, answers come
-    /// back, requests are offered, and effects are carried out.
+    /// Runs one step of an entry VM: receives announcements and answers, offers requests,
+    /// and executes effects.
     fn act(&mut self, now: Instant, index: usize) {
         let Some(session) = self.model.entries[index].session else {
             return;
@@ -243,11 +245,14 @@
                 .iter()
                 .filter(|run| run.backend == backend && run.begins <= now && now < run.ends)
                 .count();
-            assert!(running <= SLOTS as usize, "{running} run at {backend}");
+            assert!(
+                running <= SLOTS as usize,
+                "{running} requests run at {backend}, which has {SLOTS} slots"
+            );
         }
     }
 
-    /// Does one of the things that go wrong.
+    /// Injects a random fault.
     fn inject_fault(&mut self) {
         let now = self.model.now;
         let index = self.rng.random_range(0..self.model.entries.len());
@@ -267,7 +272,7 @@
         self.replace_departed();
     }
 
-    /// Ends the sessions that have left and run nothing, and starts them anew.
+    /// Ends the sessions that have left and are idle, and restarts their entry VMs.
     fn replace_departed(&mut self) {
         let now = self.model.now;
         for index in 0..self.model.entries.len() {
@@ -310,10 +315,10 @@
     }
 }
 
-/// Symptom: a backend server runs more than its slots. Sequence: sessions open, leave,
-/// lapse, freeze and wake up in any order, views and releases come late or never, and
-/// the owner changes several times within one deadline. Cause: a new owner that starts
-/// before the old one has stopped, or that doesn't count what the old one left.
+/// Guards against more requests at a backend server than it has slots. Sessions open,
+/// leave, lapse, freeze and resume in any order, views and releases are late or lost, and
+/// the owner changes several times within one deadline. It would happen if a new owner
+/// started before the old one stopped, or ignored the requests that the old one left.
 #[rstest]
 fn test_ownership_changes_never_overload(
     #[values(1, 2, 3, 4)] seed: u64,
@@ -328,13 +333,13 @@
             owners.inject_fault();
         }
     }
-    // Quiet again: one owner, and it dispatches.
+    // Without further faults there is one owner, and it dispatches.
     let before = owners.dispatched;
     for _ in 0..2_000 {
         owners.step();
         owners.replace_departed();
     }
-    assert!(owners.dispatched > before + 20, "nobody dispatches");
+    assert!(owners.dispatched > before + 20, "no session dispatches");
     println!(
         "{} sessions, {} requests",
         owners.dispatching_sessions.len(),
@@ -346,9 +351,9 @@
     );
 }
 
-/// Symptom: two entry VMs dispatch to the same backend server. Sequence: the owner
-/// freezes, its session lapses and another owner takes over; the old one wakes up and
-/// has heard of nothing. Cause: it goes by its view and not by its lease.
+/// Guards against two entry VMs that dispatch to the same backend server: the owner
+/// freezes, its session lapses and another owner takes over; the old one resumes without
+/// knowing. It must check its lease, not only its view.
 #[test]
 fn test_ownership_frozen_owner_wakes() {
     let now = Instant::now();
@@ -361,7 +366,7 @@
     let awake = now + Duration::from_secs(2);
     admission
         .announce(awake, &announcement("r1"))
-        .expect("it fits the manifest");
+        .expect("the announcement matches the manifest");
     admission.tick(awake);
     let deadline = awake + Duration::from_secs(1);
     let verdict = admission.offer(awake, offer(RequestToken(1), deadline));
@@ -372,12 +377,12 @@
     assert!(matches!(verdict, Verdict::Refused(_)), "{verdict:?}");
 }
 
-/// Two owners at the moment at which a group moves from one to the other with two of
-/// three slots in use.
+/// Two owners at the time a group moves from one to the other with two of three slots in
+/// use.
 struct Handover {
     now: Instant,
     old_owner: Admission,
-    /// What the old owner has in flight.
+    /// Requests that the old owner has in flight.
     dispatched: Vec<DispatchKey>,
     new_owner: Admission,
     after: Arc<ControlView>,
@@ -397,7 +402,7 @@
         after
             .sessions
             .get_mut(&old.id)
-            .expect("it is there")
+            .expect("the session exists")
             .leaving = true;
         let after = Arc::new(after);
 
@@ -411,7 +416,7 @@
         let now = now + Duration::from_secs(2);
         old_owner
             .announce(now, &announcement("r1"))
-            .expect("it fits the manifest");
+            .expect("the announcement matches the manifest");
         let dispatched = (0..2).map(|number| {
             let request = offer(RequestToken(number), now + Duration::from_secs(1));
             match old_owner.offer(now, request) {
@@ -444,8 +449,8 @@
         self.new_owner.take_release(self.now, &self.release);
     }
 
-    /// Offers three requests to the new owner, and returns how many it dispatches
-    /// before and after the revision is settled.
+    /// Offers three requests to the new owner and returns how many it dispatches before
+    /// and after the revision is settled.
     fn dispatched(&mut self) -> (usize, usize) {
         let deadline = self.now + Duration::from_millis(900);
         let verdicts = (10..13).map(|number| {
@@ -460,10 +465,10 @@
     }
 }
 
-/// Symptom: a backend server runs more than its slots just after a planned change of
-/// owner. Sequence: the owner leaves with two of three slots in use; the new one takes
-/// over. Cause: it starts before the revision is settled, while others may still go by
-/// an older view, or doesn't count what the old one has in flight.
+/// Guards against overload just after a planned change of owner, with two of three slots
+/// in use. The new owner must not start before the revision is settled, because others
+/// may still act on an older view, and it must count the requests that the old one has in
+/// flight.
 #[test]
 fn test_ownership_counts_released_work() {
     let mut handover = Handover::new();
@@ -472,9 +477,9 @@
     assert_eq!(handover.dispatched(), (0, 1));
 }
 
-/// Symptom: as before. Sequence: the connection of a request of the old owner breaks
-/// after the change; the old owner says that it has finished. Cause: the request, which
-/// may still run, is no dispatch any more.
+/// Guards against the same overload if the connection of a request of the old owner
+/// breaks after the change: its dispatch is finished, but the request may still be
+/// running and must count.
 #[rstest]
 fn test_ownership_counts_work_on_broken_connections(#[values(true, false)] breaks: bool) {
     let mut handover = Handover::new();
@@ -494,7 +499,7 @@
     assert_eq!(handover.dispatched(), (0, if breaks { 2 } else { 3 }));
 }
 
-/// As before; the release comes before the view that it belongs to.
+/// The same, if the release arrives before the corresponding view.
 #[test]
 fn test_ownership_counts_work_released_early() {
     let mut handover = Handover::new();
@@ -503,8 +508,8 @@
     assert_eq!(handover.dispatched(), (0, 1));
 }
 
-/// Symptom: as before. Sequence: a release of an earlier change of owner comes late.
-/// Cause: it is taken for the one of this change.
+/// Guards against the same overload if a late release of an earlier change of owner is
+/// taken for the current one.
 #[rstest]
 fn test_ownership_ignores_old_release(#[values(true, false)] early: bool) {
     let mut handover = Handover::new();
@@ -542,8 +547,8 @@
     test_ownership_without_sessions: [], "a1" => None;
 }
 
-/// A session that comes takes groups only to itself, and one that goes leaves the
-/// others' groups where they were.
+/// A session that starts acquires groups only for itself, and one that ends leaves the
+/// groups of the others in place.
 #[test]
 fn test_ownership_moves_only_what_it_must() {
     let names: Vec<String> = (0..40).map(|number| format!("p{number}")).collect();
@@ -563,5 +568,5 @@
             moved += 1;
         }
     }
-    assert!((1..=20).contains(&moved), "{moved} of 40 moved");
+    assert!((1..=20).contains(&moved), "{moved} of 40 groups moved");
 }
--- a/lib/tests/test_shares.rs
+++ b/lib/tests/test_shares.rs
@@ -1,4 +1,4 @@
-//! Bounds that entry VMs keep together without telling each other.
+//! Tests of limits that entry VMs keep together without communication.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,12 +11,11 @@
 use heatherring_lib::weighted_round_robin::WeightedRoundRobin;
 use rstest::rstest;
 
-/// Symptom: a backend server that has just started crashes under its first requests.
+/// Guards against a crash of a backend server that has just started, under its first
+/// requests: all entry VMs start at the same time and send as fast as their shares allow.
 ///
-/// Sequence: all entry VMs send as fast as their shares allow, beginning in the same moment.
-///
-/// Cause: shares below one request a second can all be spent in one second. As many senders
-/// as there are requests a second may send at all.
+/// Shares below one request per second can all be spent in the same second, so only as
+/// many senders as requests per second may send at all.
 #[rstest]
 #[case(8, 9.9)]
 #[case(12, 7.5)]
@@ -51,7 +50,10 @@
             .iter()
             .filter(|at| **at >= *from && **at < *from + Duration::from_secs(1));
         let count = f64::from(u32::try_from(within.count()).unwrap());
-        assert!(count <= (rate * 1.5 + 5.0).max(1.0), "{count} in a second");
+        assert!(
+            count <= (rate * 1.5 + 5.0).max(1.0),
+            "{count} sent within a second"
+        );
     }
 }
 
@@ -65,8 +67,14 @@
         taken += u32::from(budget.try_take());
     }
     let allowed = 500.0 * 0.2 + 56.0 / f64::from(SENDERS);
-    assert!(f64::from(taken) <= allowed, "{taken} of {allowed}");
-    assert!(f64::from(taken) > 0.5 * allowed, "{taken} of {allowed}");
+    assert!(
+        f64::from(taken) <= allowed,
+        "{taken} resends, {allowed} allowed"
+    );
+    assert!(
+        f64::from(taken) > 0.5 * allowed,
+        "{taken} resends, {allowed} allowed"
+    );
 }
 
 #[test]
--- a/lib/tests/test_shift_budget.rs
+++ b/lib/tests/test_shift_budget.rs
@@ -1,5 +1,5 @@
-//! Tests of limits that several entry VMs hold together: caps on shifts, for requests
-//! and for look-ups, and link limits.
+//! Tests of limits that several entry VMs share: shift caps, for requests and for
+//! look-ups, and link limits.
 
 mod entry_model;
 
@@ -54,27 +54,28 @@
     max_per_second: 40,
 };
 
-/// Longest time between a decision and its count at the far end.
+/// Maximum time between a decision and its count at the destination.
 const TRAVEL_MS: u64 = 45;
 
-/// Steps before the first disturbance and after the last.
+/// Number of steps before the first disturbance and after the last.
 const SETTLE_STEPS: u64 = 500;
 
-/// A budget under test.
+/// Interface of the budgets under test.
 trait Budget {
     fn new(session: SessionId) -> Self;
     fn apply_view(&mut self, now: Instant, view: &Arc<ControlView>, step: ViewStep);
     fn settle(&mut self, now: Instant, revision: Revision);
-    /// Uses as much as it may as an entry VM of `region`; returns how much.
+    /// Uses the whole available budget as an entry VM in `region`; returns the amount
+    /// used.
     fn use_up(&mut self, now: Instant, region: &RegionName, manifest: &Manifest) -> u64;
-    /// The limit of all sessions together under a manifest.
+    /// Returns the limit of all sessions together under a manifest.
     fn limit(manifest: &Manifest) -> u64;
 }
 
-/// Requests of callers in region a that are served in region b.
+/// Requests from callers in region a that are served in region b.
 struct Requests(ShiftBudgets);
 
-/// Look-ups of callers in region a that are answered with an entry VM in region b.
+/// Look-ups from callers in region a that are answered with an entry VM in region b.
 struct LookUps(ShiftBudgets);
 
 /// Bytes from region a to region b.
@@ -167,7 +168,7 @@
     }
 }
 
-/// A budget under a lease.
+/// A budget that is used only under a lease.
 struct Leased<B> {
     budget: B,
     lease_until: Option<Instant>,
@@ -194,7 +195,7 @@
     }
 }
 
-/// What goes wrong at one moment.
+/// A fault or change that is injected at one time.
 #[derive(Clone, Copy, Debug)]
 enum Disturbance {
     Freeze {
@@ -211,7 +212,7 @@
     Leave {
         entry: usize,
     },
-    /// Views travel for up to this long from now on.
+    /// Views take up to this long from now on.
     Slow {
         entry: usize,
         ms: u64,
@@ -238,7 +239,7 @@
     ]
 }
 
-/// Each disturbance comes so many steps of 5 ms after the one before.
+/// Generates disturbances, each with its distance from the previous one in steps of 5 ms.
 fn disturbances() -> impl Strategy<Value = Vec<(u64, Disturbance)>> {
     prop::collection::vec((0..300_u64, disturbance()), 1..10)
 }
@@ -263,12 +264,13 @@
 
 struct Arrivals {
     seen: BTreeMap<Instant, u64>,
-    /// The limits that held at some time, by the time at which they were in force.
+    /// All limits so far, each with the time it was submitted, the time its revision was
+    /// settled, its revision and its value.
     limits: Vec<(Instant, Option<Instant>, Revision, u64)>,
 }
 
 impl Arrivals {
-    /// Returns the largest limit in force, or about to be, in the window from `start`.
+    /// Returns the largest limit that may apply in the window from `start`.
     fn allowed(&self, start: Instant) -> u64 {
         let travel = Duration::from_millis(TRAVEL_MS);
         let before = start.checked_sub(travel).unwrap_or(start);
@@ -290,14 +292,14 @@
             let sum: u64 = window.map(|(_, amount)| *amount).sum();
             let allowed = self.allowed(*start);
             if sum > allowed {
-                return Err(format!("{sum} within a window, {allowed} are allowed"));
+                return Err(format!("{sum} used within a window, {allowed} allowed"));
             }
         }
         Ok(())
     }
 }
 
-/// Ten entry VMs that all use as much as they may, at every step.
+/// Runs ten entry VMs that use their whole available budget at every step.
 fn run<B: Budget>(seed: u64, disturbances: &[(u64, Disturbance)]) -> Arrivals {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let begin = Instant::now();
@@ -407,11 +409,11 @@
         proptest! {
             #![proptest_config(config())]
             $(
-                /// Symptom: more passes within a window than the limit in force, old or
-                /// new, allows. Sequence: ten entry VMs use all they may while sessions
-                /// open, freeze, lapse and leave, views lag and the limit changes,
-                /// several times at once. Cause: a session that takes its new share
-                /// while another still takes the old one.
+                /// Guards against more usage within a window than the limit in force, old
+                /// or new, allows. Ten entry VMs use all they may while sessions open,
+                /// freeze, lapse and leave, views lag and the limit changes, several
+                /// times at once. It would happen if a session used its new share while
+                /// another still used the old one.
                 #[test]
                 fn $name(seed in any::<u64>(), disturbances in disturbances()) {
                     let arrivals = run::<$budget>(seed, &disturbances);
@@ -428,14 +430,14 @@
     test_shift_budget_holds_for_links: Bytes;
 }
 
-/// What isn't disturbed uses the whole cap, not a part of it.
+/// Without disturbances the whole cap is used, not just a part of it.
 #[test]
 fn test_shift_budget_uses_whole_cap() {
     let arrivals = run::<Requests>(1, &[]);
     let sum: u64 = arrivals.seen.values().sum();
-    // 50% of 80 requests a second, over steps of 5 ms.
+    // 50% of 80 requests per second, over steps of 5 ms.
     let possible = 40 * 2 * SETTLE_STEPS * 5 / 1_000;
-    assert!(sum * 100 > possible * 60, "{sum} of {possible}");
+    assert!(sum * 100 > possible * 60, "{sum} of {possible} used");
 }
 
 macro_rules! scope_cases {
@@ -478,7 +480,7 @@
     test_shift_budget_home: Scope::Any, Scope::Any, "a1" => "a1", false;
 }
 
-/// Others are told which origins' callers find the cap used up, and no others.
+/// Digests list the origins for which the cap is used up, and no others.
 #[test]
 fn test_shift_budget_reports_full_origins() {
     let now = Instant::now() + Duration::from_secs(2);
@@ -495,7 +497,7 @@
     assert_eq!(full(&mut budgets), [place("a1"), place("a2")]);
 }
 
-/// What an answer weighs beyond the share is paid back before anything else is sent.
+/// Bytes of an answer beyond the share are repaid before anything else is sent.
 #[test]
 fn test_shift_budget_link_repays_excess() {
     let now = Instant::now();
@@ -509,8 +511,8 @@
     let free = (0..100)
         .map(|tenths| usable + Duration::from_millis(tenths * 100))
         .find(|at| links.try_send(*at, &to, 1_000).is_ok())
-        .expect("it is paid back");
-    // 25 kB at 10 kB a window take until the third window.
+        .expect("the debt is repaid");
+    // 25 kB at 10 kB per window take until the third window.
     assert!(free >= usable + 2 * WINDOW, "{:?}", free - usable);
     assert!(free <= usable + 4 * WINDOW, "{:?}", free - usable);
 }
@@ -544,7 +546,7 @@
             }
             let within = used.iter().filter(|(at, _)| *at + WINDOW > now);
             let sum: u64 = within.map(|(_, amount)| *amount).sum();
-            prop_assert!(sum <= limit, "{} of {}", sum, limit);
+            prop_assert!(sum <= limit, "{} used of {}", sum, limit);
         }
     }
 }
--- a/lib/tests/test_steering.rs
+++ b/lib/tests/test_steering.rs
@@ -1,4 +1,4 @@
-//! Tests of where entry VMs send requests, alone and many together.
+//! Tests of steering, for a single entry VM and for many together.
 
 mod entry_model;
 
@@ -40,7 +40,7 @@
     (3, "entry-3", "b1", "b"),
     (4, "entry-4", "b2", "b"),
 ];
-/// The same places, all in one region, so that digests divert to each of them.
+/// The same places in a single region, so that digests divert requests to each of them.
 const ONE_REGION: [(&str, &str); 4] = [("a1", "a"), ("a2", "a"), ("b1", "a"), ("b2", "a")];
 
 const MS: Duration = Duration::from_millis(1);
@@ -161,7 +161,7 @@
     } => "b1", "b2";
 }
 
-/// A place that is too far for the deadline isn't tried.
+/// A place that is too far away for the deadline is not tried.
 #[test]
 fn test_steering_keeps_to_the_deadline() {
     let mut entry = Entry::new(Instant::now(), 1);
@@ -169,7 +169,7 @@
     assert_eq!(near.len(), 2, "{near:?}");
 }
 
-/// Symptom: a digest that was overtaken on its way replaces a newer one.
+/// Guards against a delayed digest that replaces a newer one.
 #[test]
 fn test_steering_ignores_overtaken_digest() {
     let mut entry = Entry::new(Instant::now(), 1);
@@ -179,7 +179,7 @@
     assert_eq!(entry.places()[0], "a1");
 }
 
-/// A group that refuses gets less, as far as another refuses less.
+/// A group that refuses gets fewer requests, as far as other groups refuse less.
 #[test]
 fn test_steering_diverts_by_refusals() {
     let mut entry = Entry::new(Instant::now(), 1);
@@ -190,20 +190,20 @@
     let diverting = at_home(&mut entry);
     assert!(
         diverting < 80,
-        "{diverting} of 200 go on to the group that refuses"
+        "{diverting} of 200 still go to the group that refuses"
     );
     for place_name in ["a2", "b1", "b2"] {
         for _ in 0..30 {
             note_refusal_by(&mut entry, place_name, NotRunReason::Overloaded);
         }
     }
-    // When all refuse alike, nothing is gained by going far.
+    // If all groups refuse alike, diverting requests gains nothing.
     assert_eq!(at_home(&mut entry), 200);
 }
 
-/// Ten entry VMs send `demand` requests' worth of work that home can't take all of, and
-/// see digests that are `lag` old. Returns the share of the slots of home that is
-/// asked for, at each tenth of a second.
+/// Simulates ten entry VMs that together send `demand` times what their own place can
+/// serve, and see digests that are `lag` old. Returns the utilization of that place in
+/// steps of 100 ms.
 fn home_use(lag: Duration, demand: f64) -> Vec<f64> {
     const SLOTS: u32 = 90;
     const STEP: Duration = Duration::from_millis(100);
@@ -213,7 +213,7 @@
         .collect();
     let mut history: VecDeque<BTreeMap<&str, u32>> = VecDeque::new();
     let mut home = Vec::new();
-    // Each step stands for a tenth of a second's requests, drawn by each entry VM.
+    // Each step represents the requests of 100 ms, steered by each entry VM.
     let draws = 40_u32;
     for _ in 0..800 {
         let mut asked: BTreeMap<&str, u32> = BTreeMap::new();
@@ -256,9 +256,9 @@
 macro_rules! lag_cases {
     ($($name:ident: $lag_ms:literal, $demand:literal;)*) => {
         $(
-            /// Symptom: traffic swings to and fro between places. Sequence: all entry
-            /// VMs see the same digests, seconds old, and move to what was free then.
-            /// Cause: they follow it faster than it can show what they did.
+            /// Guards against traffic that oscillates between places: all entry VMs see
+            /// the same digests, seconds old, and move to the places that were free then,
+            /// faster than the digests show the effect.
             #[test]
             fn $name() {
                 let home = home_use(Duration::from_millis($lag_ms), $demand);
@@ -269,11 +269,12 @@
                 };
                 let (early, late) = (swing(&home[..400]), swing(&home[400..]));
                 let mean = home[400..].iter().sum::<f64>() / 400.0;
-                println!("swing {early:.2}, then {late:.2}, around {mean:.2}");
-                // What is left is what drawing 400 requests a step leaves.
+                println!("swing {early:.2}, then {late:.2}, mean {mean:.2}");
+                // The remaining swing is the noise of steering 400 requests per step at
+                // random.
                 assert!(late <= 0.35, "swing {late}");
                 assert!(late <= early, "swing {early}, then {late}");
-                assert!((0.75..=1.05).contains(&mean), "around {mean}");
+                assert!((0.75..=1.05).contains(&mean), "mean {mean}");
             }
         )*
     };
@@ -286,7 +287,8 @@
     test_steering_settles_with_digests_three_seconds_old: 3_000, 1.3;
 }
 
-/// Symptom: refusals under overload double the load. Cause: each is tried elsewhere.
+/// Guards against a doubled load under overload, if every refused request were retried
+/// elsewhere.
 #[test]
 fn test_steering_retry_budget_is_a_tenth() {
     let begin = Instant::now();
@@ -297,8 +299,11 @@
         budget.note_request(now);
         retries += u32::from(budget.try_take(now));
     }
-    // A tenth, and two a second.
-    assert!((1_000..=1_030).contains(&retries), "{retries} of 10,000");
+    // A tenth of the requests, and two per second.
+    assert!(
+        (1_000..=1_030).contains(&retries),
+        "{retries} retries of 10,000 requests"
+    );
 }
 
 fn look_up(
@@ -313,8 +318,8 @@
         .map_err(|not_run| not_run.reason())
 }
 
-/// Callers are told the nearest entry VM, none that leaves or is drained, and the same
-/// one each time.
+/// A look-up returns the nearest entry VM that is neither leaving nor drained, and the
+/// same one each time.
 #[test]
 fn test_steering_look_up_names_the_nearest() {
     let now = Instant::now();
@@ -344,8 +349,8 @@
     assert_eq!(look_up(&mut lookups, now, "b2", 1), Ok("entry-3".into()));
 }
 
-/// Symptom: a region is lost, and look-ups move all its callers at once. Cause: only
-/// requests count against the cap.
+/// Guards against moving all callers of a lost region at once by look-ups, if only
+/// requests counted against the cap.
 #[test]
 fn test_steering_look_ups_count_as_shifts() {
     let now = Instant::now();
@@ -371,5 +376,5 @@
         let at = now + Duration::from_secs(2) + MS * step;
         given += u32::from(look_up(&mut lookups, at, "a1", rng.random()).is_ok());
     }
-    assert_eq!(given, 10, "20% of 50 a second");
+    assert_eq!(given, 10, "20% of 50 per second");
 }
