--- a/lib/tests/entry_model/mod.rs
+++ b/lib/tests/entry_model/mod.rs
@@ -328,14 +328,14 @@
             self.take_replies(now);
             self.send_sync(now, rng);
         }
-        let (arrived, in_transit) = std::mem::take(&mut self.syncs)
+        let (received, in_transit) = std::mem::take(&mut self.syncs)
             .into_iter()
             .partition(|sync| sync.arrives <= now);
         self.syncs = in_transit;
         if now < self.cut_until {
             return;
         }
-        for sync in arrived {
+        for sync in received {
             let kind = answer(now, control, &self.info, &sync);
             let arrives = now + self.delay(rng);
             let sent = sync.sent;
