--- a/lib/src/raft.rs
+++ b/lib/src/raft.rs
@@ -40,10 +40,10 @@
 use crate::raft_message::MessageKind;
 use crate::raft_pending::PendingProposals;
 use crate::raft_progress::LeaderCx;
-use crate::raft_sent_replies::SentAnswers;
+use crate::raft_sent_replies::SentReplies;
 
 /// Time after which a replica that doesn't campaign asks for its next tick.
-const IDLE_WAKE: Duration = Duration::from_mins(1);
+const IDLE_TICK_INTERVAL: Duration = Duration::from_mins(1);
 
 /// Holds one replica of the agreement.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
     pub(crate) election_deadline: Instant,
     pub(crate) pending: PendingProposals,
     pub(crate) incoming: Option<IncomingSnapshot>,
-    pub(crate) answers: SentAnswers,
+    pub(crate) sent_replies: SentReplies,
     pub(crate) regions: BTreeMap<ReplicaId, RegionName>,
     pub(crate) now: Instant,
     rng: ChaCha8Rng,
@@ -76,27 +76,28 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FollowerState {
     pub leader: Option<ReplicaId>,
-    pub heard_at: Option<Instant>,
+    pub last_leader_contact: Option<Instant>,
     /// The highest revision that the leader said to be committed.
     pub leader_commit: Revision,
     /// The first such revision that isn't known to be committed here yet, and the moment for
     /// which it was told.
-    pub awaited: Option<(Revision, Instant)>,
+    pub pending_proof: Option<(Revision, Instant)>,
     /// The latest moment at which the leader surely led and hadn't said more yet than it has by
     /// now.
-    pub said_at: Option<Instant>,
+    pub commit_as_of: Option<Instant>,
     /// The latest moment up to which all that was committed is known to be committed here.
-    pub proved_at: Option<Instant>,
+    pub proven_current_at: Option<Instant>,
 }
 
 impl FollowerState {
     /// Takes in what the leader says to be committed, and the moment at which it surely led and
     /// nothing more was. An append that comes late or twice tells of the past.
-    pub fn note_leader_commit(&mut self, told: Revision, said_at: Option<Instant>) {
-        self.leader_commit = self.leader_commit.max(told);
-        self.said_at = self.said_at.max(said_at);
-        if let Some(said_at) = said_at {
-            self.awaited.get_or_insert((self.leader_commit, said_at));
+    pub fn note_leader_commit(&mut self, advertised: Revision, commit_as_of: Option<Instant>) {
+        self.leader_commit = self.leader_commit.max(advertised);
+        self.commit_as_of = self.commit_as_of.max(commit_as_of);
+        if let Some(commit_as_of) = commit_as_of {
+            self.pending_proof
+                .get_or_insert((self.leader_commit, commit_as_of));
         }
     }
 
@@ -109,10 +110,13 @@
     /// an entry VM in 24 s of a heavy day.
     pub fn note_commit(&mut self, commit: Revision) {
         if self.leader_commit <= commit {
-            self.proved_at = self.proved_at.max(self.said_at);
-            self.awaited = None;
-        } else if let Some((_, said_at)) = self.awaited.take_if(|(told, _)| *told <= commit) {
-            self.proved_at = self.proved_at.max(Some(said_at));
+            self.proven_current_at = self.proven_current_at.max(self.commit_as_of);
+            self.pending_proof = None;
+        } else if let Some((_, commit_as_of)) = self
+            .pending_proof
+            .take_if(|(advertised, _)| *advertised <= commit)
+        {
+            self.proven_current_at = self.proven_current_at.max(Some(commit_as_of));
         }
     }
 }
@@ -137,7 +141,7 @@
         let hard_state = durable.hard_state;
         let log = RaftLog::new(durable)?;
         let mut rng = ChaCha8Rng::seed_from_u64(cfg.seed);
-        let first_answer = u64::from(rng.random::<u32>()) + 1;
+        let first_reply_number = u64::from(rng.random::<u32>()) + 1;
         let mut raft = Self {
             commit: log.snapshot_index(),
             cfg,
@@ -147,7 +151,7 @@
             election_deadline: now,
             pending: PendingProposals::default(),
             incoming: None,
-            answers: SentAnswers::new(first_answer),
+            sent_replies: SentReplies::new(first_reply_number),
             regions: BTreeMap::new(),
             now,
             rng,
@@ -165,7 +169,7 @@
         let mut fx = Effects::default();
         let before = self.role_change();
         self.now = self.now.max(now);
-        self.check_lost_time(&mut fx);
+        self.expire_role(&mut fx);
         match input {
             Input::Tick => self.on_tick(&mut fx),
             Input::Message { from, message } => self.on_message(from, message, &mut fx),
@@ -192,7 +196,7 @@
         let own = match &self.role {
             RoleState::Leader(leader) => leader.next_heartbeat,
             _ if self.is_voter() => self.election_deadline,
-            _ => self.now + IDLE_WAKE,
+            _ => self.now + IDLE_TICK_INTERVAL,
         };
         match self.pending.expires() {
             Some(expires) => own.min(expires),
@@ -306,7 +310,7 @@
         }
         match &self.role {
             RoleState::Leader(leader) => Some(leader.quorum_contact(self.membership(), self.now)),
-            RoleState::Follower(follower) => follower.leader.and(follower.proved_at),
+            RoleState::Follower(follower) => follower.leader.and(follower.proven_current_at),
             RoleState::PreCandidate(_) | RoleState::Candidate(_) => None,
         }
     }
@@ -328,12 +332,12 @@
     /// A process that was frozen wakes up with its old role and with messages that
     /// waited in its buffers. Without this it would go on as leader on the strength of
     /// answers from before the freeze, although another leader may have taken over.
-    fn check_lost_time(&mut self, fx: &mut Effects) {
+    fn expire_role(&mut self, fx: &mut Effects) {
         match &self.role {
             RoleState::Leader(leader) => {
                 let contact = leader.quorum_contact(self.membership(), self.now);
                 if self.now >= contact + self.cfg.election_max {
-                    self.follow(None, &Refusal::NoQuorum, fx);
+                    self.become_follower(None, &Refusal::NoQuorum, fx);
                 }
             }
             RoleState::PreCandidate(_) | RoleState::Candidate(_) => {
@@ -384,7 +388,7 @@
         fx: &mut Effects,
     ) {
         if term < self.term() {
-            self.on_old_term(from, &kind, fx);
+            self.on_stale_term(from, &kind, fx);
             return;
         }
         if term > self.term() {
@@ -397,8 +401,8 @@
                 matched,
                 index,
                 barrier,
-                answer,
-            } => self.on_append_reply(from, matched, index, barrier, answer, fx),
+                reply_number,
+            } => self.on_append_reply(from, matched, index, barrier, reply_number, fx),
             MessageKind::SnapshotReply {
                 index,
                 received,
@@ -409,7 +413,7 @@
     }
 
     /// Tells a leader of an earlier term that its time is over.
-    fn on_old_term(&mut self, from: ReplicaId, kind: &MessageKind, fx: &mut Effects) {
+    fn on_stale_term(&mut self, from: ReplicaId, kind: &MessageKind, fx: &mut Effects) {
         let barrier = match kind {
             MessageKind::Append { barrier, .. } => *barrier,
             MessageKind::SnapshotChunk { .. } => 0,
@@ -419,7 +423,7 @@
             matched: false,
             index: self.last_index().next(),
             barrier,
-            answer: self.answers.number(self.now),
+            reply_number: self.sent_replies.number(self.now),
         };
         self.send(from, kind, fx);
     }
@@ -432,11 +436,11 @@
     /// Enters a later term as a follower that knows no leader yet.
     pub(crate) fn enter_term(&mut self, term: Term, fx: &mut Effects) {
         self.set_hard_state(term, None, fx);
-        self.follow(None, &Refusal::NotLeader { leader: None }, fx);
+        self.become_follower(None, &Refusal::NotLeader { leader: None }, fx);
     }
 
     /// Becomes a follower in the present term; reads that wait are refused.
-    pub(crate) fn follow(
+    pub(crate) fn become_follower(
         &mut self,
         leader: Option<ReplicaId>,
         read_refusal: &Refusal,
@@ -444,7 +448,7 @@
     ) {
         let follower = FollowerState {
             leader,
-            heard_at: leader.map(|_| self.now),
+            last_leader_contact: leader.map(|_| self.now),
             ..FollowerState::default()
         };
         let former = std::mem::replace(&mut self.role, RoleState::Follower(follower));
@@ -492,10 +496,10 @@
         let voters = &self.membership().voters;
         let count = u32::try_from(voters.len()).unwrap_or(u32::MAX).max(1);
         let rank = voters.keys().position(|id| *id == own).unwrap_or(0);
-        let turn = (rank as u64).wrapping_add(self.term().0) % u64::from(count);
-        let part = longest.saturating_sub(shortest) / count;
-        let begin = shortest + part * u32::try_from(turn).unwrap_or(0);
-        self.rng.random_range(begin..=begin + part / 4)
+        let slot = (rank as u64).wrapping_add(self.term().0) % u64::from(count);
+        let slot_width = longest.saturating_sub(shortest) / count;
+        let begin = shortest + slot_width * u32::try_from(slot).unwrap_or(0);
+        self.rng.random_range(begin..=begin + slot_width / 4)
     }
 
     /// Hands out the entries up to `index` as committed and answers who waits for them.
@@ -522,7 +526,7 @@
     }
 
     /// Runs `act` on the leader's state; does nothing in another role.
-    pub(crate) fn lead<T>(
+    pub(crate) fn with_leader<T>(
         &mut self,
         act: impl FnOnce(&mut LeaderState, &LeaderCx) -> T,
     ) -> Option<T> {
--- a/lib/src/raft_effects.rs
+++ b/lib/src/raft_effects.rs
@@ -287,7 +287,7 @@
         self.writes.extend(later.writes);
         self.sends.extend(later.sends);
         if later.restored.is_some() {
-            self.give_up_committed();
+            self.discard_committed();
             self.restored = later.restored;
         }
         self.committed.extend(later.committed);
@@ -297,7 +297,7 @@
 
     /// Drops what was to be applied, since a snapshot includes it. Its results can't be
     /// told any more, so whoever waits for one learns that the outcome is unknown.
-    fn give_up_committed(&mut self) {
+    fn discard_committed(&mut self) {
         self.committed.clear();
         for answer in &mut self.answers {
             if let Answer::Committed { token, .. } = *answer {
--- a/lib/src/raft_election.rs
+++ b/lib/src/raft_election.rs
@@ -40,7 +40,7 @@
     }
 
     /// Stands for election in the next term.
-    fn start_vote(&mut self, handover: bool, fx: &mut Effects) {
+    fn start_election(&mut self, handover: bool, fx: &mut Effects) {
         self.restart_election_timer();
         let term = Term(self.term().0 + 1);
         self.set_hard_state(term, Some(self.cfg.id), fx);
@@ -84,7 +84,7 @@
         if let RoleState::PreCandidate(ballot) = &self.role
             && self.has_majority(ballot)
         {
-            self.start_vote(false, fx);
+            self.start_election(false, fx);
         }
     }
 
@@ -93,18 +93,18 @@
             && self.has_majority(ballot)
         {
             let contact = ballot.began_at;
-            self.start_leading(contact, fx);
+            self.become_leader(contact, fx);
         }
     }
 
-    fn start_leading(&mut self, contact: std::time::Instant, fx: &mut Effects) {
+    fn become_leader(&mut self, contact: std::time::Instant, fx: &mut Effects) {
         let last = self.last_index();
         let leader = LeaderState::new(self.cfg.id, self.membership(), last, contact, self.now);
         self.role = RoleState::Leader(leader);
         self.pending.leadership_won();
         self.incoming = None;
         self.append_as_leader(LogPayload::Noop, fx);
-        self.lead(|leader, cx| leader.begin_round(cx, fx));
+        self.with_leader(|leader, cx| leader.begin_heartbeat_round(cx, fx));
         self.after_append(fx);
     }
 
@@ -117,8 +117,8 @@
     ) {
         let granted = term > self.term()
             && self.would_vote(log_end)
-            && !self.hears_leader()
-            && !self.goes_before(from, log_end);
+            && !self.has_recent_leader_contact()
+            && !self.takes_precedence_over(from, log_end);
         let kind = MessageKind::PreVoteReply { granted };
         let term = if granted { term } else { self.term() };
         fx.sends.push((from, Message { term, kind }));
@@ -130,12 +130,12 @@
     /// If each granted the other's request, both would stand in the same term, vote for
     /// themselves and wait for another timeout. This holds for a while only: the other
     /// one may be the only one of the two that its voters can hear.
-    fn goes_before(&self, other: ReplicaId, log_end: LogEnd) -> bool {
+    fn takes_precedence_over(&self, other: ReplicaId, log_end: LogEnd) -> bool {
         let RoleState::PreCandidate(ballot) = &self.role else {
             return false;
         };
-        let lately = self.now < ballot.began_at + self.cfg.election_min;
-        lately && log_end == self.log_end() && self.cfg.id > other
+        let recent = self.now < ballot.began_at + self.cfg.election_min;
+        recent && log_end == self.log_end() && self.cfg.id > other
     }
 
     /// Returns whether this replica may vote for a log that ends at `log_end`.
@@ -147,13 +147,13 @@
     }
 
     /// Returns whether a leader was heard so lately that no election is due.
-    fn hears_leader(&self) -> bool {
-        let heard_at = match &self.role {
-            RoleState::Follower(follower) => follower.heard_at,
+    fn has_recent_leader_contact(&self) -> bool {
+        let last_leader_contact = match &self.role {
+            RoleState::Follower(follower) => follower.last_leader_contact,
             RoleState::Leader(leader) => Some(leader.quorum_contact(self.membership(), self.now)),
             RoleState::PreCandidate(_) | RoleState::Candidate(_) => None,
         };
-        heard_at.is_some_and(|at| self.now < at + self.cfg.election_min)
+        last_leader_contact.is_some_and(|at| self.now < at + self.cfg.election_min)
     }
 
     pub(crate) fn on_pre_vote_reply(
@@ -169,9 +169,9 @@
             }
             return;
         }
-        let stood_for = Term(self.term().0 + 1);
+        let campaign_term = Term(self.term().0 + 1);
         if let RoleState::PreCandidate(ballot) = &mut self.role
-            && term == stood_for
+            && term == campaign_term
         {
             ballot.granted.insert(from);
             self.count_pre_votes(fx);
@@ -186,7 +186,7 @@
         handover: bool,
         fx: &mut Effects,
     ) {
-        if !handover && self.hears_leader() {
+        if !handover && self.has_recent_leader_contact() {
             return;
         }
         if term > self.term() {
@@ -220,7 +220,7 @@
     /// Takes leadership over, as the leader asks.
     pub(crate) fn on_timeout_now(&mut self, fx: &mut Effects) {
         if self.is_voter() && matches!(self.role, RoleState::Follower(_)) {
-            self.start_vote(true, fx);
+            self.start_election(true, fx);
         }
     }
 }
--- a/lib/src/raft_follower.rs
+++ b/lib/src/raft_follower.rs
@@ -43,7 +43,7 @@
 
 /// Holds one part of a snapshot.
 #[derive(Debug)]
-struct SnapshotPart {
+struct IncomingChunk {
     at: Position,
     membership: Membership,
     offset: u64,
@@ -72,7 +72,7 @@
             // There is one leader a term, so this message is forged or damaged.
             return;
         }
-        self.hear_leader(from, fx);
+        self.record_leader_contact(from, fx);
         match kind {
             MessageKind::Append {
                 previous_index: index,
@@ -80,11 +80,11 @@
                 entries,
                 commit,
                 barrier,
-                answer,
+                reply_number,
                 contact_ms,
             } => {
-                let said_at = self.said_at(answer, contact_ms);
-                self.note_leader_commit(commit, said_at);
+                let commit_as_of = self.commit_as_of(reply_number, contact_ms);
+                self.note_leader_commit(commit, commit_as_of);
                 let append = Append {
                     previous: Position { index, term },
                     entries,
@@ -102,14 +102,14 @@
                 last,
             } => {
                 self.note_leader_commit(index, None);
-                let part = SnapshotPart {
+                let chunk = IncomingChunk {
                     at: Position { index, term },
                     membership,
                     offset,
                     data,
                     last,
                 };
-                self.on_snapshot_part(from, part, fx);
+                self.on_snapshot_chunk(from, chunk, fx);
             }
             _ => {}
         }
@@ -118,31 +118,31 @@
         }
     }
 
-    fn note_leader_commit(&mut self, commit: Revision, said_at: Option<Instant>) {
+    fn note_leader_commit(&mut self, commit: Revision, commit_as_of: Option<Instant>) {
         if let RoleState::Follower(follower) = &mut self.role {
-            follower.note_leader_commit(commit, said_at);
+            follower.note_leader_commit(commit, commit_as_of);
         }
     }
 
     /// Returns a moment at which the leader surely led, and before which it hadn't spoken. It had
-    /// this replica's `answer` when it spoke, and had been proved to lead `contact_ms` before.
-    fn said_at(&self, answer: u64, contact_ms: u32) -> Option<Instant> {
-        let sent_at = self.answers.sent_at(answer)?;
+    /// this replica's `reply_number` when it spoke, and had been proved to lead `contact_ms` before.
+    fn commit_as_of(&self, reply_number: u64, contact_ms: u32) -> Option<Instant> {
+        let sent_at = self.sent_replies.sent_at(reply_number)?;
         sent_at.checked_sub(Duration::from_millis(contact_ms.into()))
     }
 
-    fn hear_leader(&mut self, leader: ReplicaId, fx: &mut Effects) {
+    fn record_leader_contact(&mut self, leader: ReplicaId, fx: &mut Effects) {
         match &mut self.role {
             RoleState::Follower(FollowerState {
                 leader: Some(known),
-                heard_at,
+                last_leader_contact,
                 ..
-            }) if *known == leader => *heard_at = Some(self.now),
+            }) if *known == leader => *last_leader_contact = Some(self.now),
             _ => {
                 let reason = Refusal::NotLeader {
                     leader: Some(leader),
                 };
-                self.follow(Some(leader), &reason, fx);
+                self.become_follower(Some(leader), &reason, fx);
             }
         }
         self.restart_election_timer();
@@ -162,14 +162,14 @@
                 matched,
                 index,
                 barrier,
-                answer: self.answers.number(self.now),
+                reply_number: self.sent_replies.number(self.now),
             };
             self.send(from, kind, fx);
             return;
         }
         let last = Revision(previous.index.0 + append.entries.len() as u64);
         for entry in append.entries {
-            self.take_entry(entry, fx);
+            self.store_entry(entry, fx);
         }
         self.commit_through(append.commit.min(last), fx);
         let matched = true;
@@ -177,7 +177,7 @@
             matched,
             index: last,
             barrier,
-            answer: self.answers.number(self.now),
+            reply_number: self.sent_replies.number(self.now),
         };
         self.send(from, kind, fx);
     }
@@ -207,12 +207,12 @@
         self.log.first_of_term(index, self.commit.next())
     }
 
-    fn take_entry(&mut self, entry: LogEntry, fx: &mut Effects) {
-        let here = self.log.term_at(entry.index);
-        if here == Some(entry.term) {
+    fn store_entry(&mut self, entry: LogEntry, fx: &mut Effects) {
+        let local_term = self.log.term_at(entry.index);
+        if local_term == Some(entry.term) {
             return;
         }
-        if here.is_some() {
+        if local_term.is_some() {
             self.truncate(entry.index, fx);
         }
         fx.writes.push(LogWrite::Append(entry.clone()));
@@ -224,9 +224,9 @@
         fx.writes.push(LogWrite::Truncate(from));
     }
 
-    fn on_snapshot_part(&mut self, from: ReplicaId, part: SnapshotPart, fx: &mut Effects) {
-        let index = part.at.index;
-        if self.log.term_at(index) == Some(part.at.term) {
+    fn on_snapshot_chunk(&mut self, from: ReplicaId, chunk: IncomingChunk, fx: &mut Effects) {
+        let index = chunk.at.index;
+        if self.log.term_at(index) == Some(chunk.at.term) {
             // The log holds the position, so everything before it equals the leader's.
             self.commit_through(index, fx);
         }
@@ -235,8 +235,8 @@
             self.send_snapshot_reply(from, index, 0, true, fx);
             return;
         }
-        let last = part.last;
-        let complete = self.collect(part) && last;
+        let last = chunk.last;
+        let complete = self.add_chunk(chunk) && last;
         let received = self.received();
         if complete && let Some(incoming) = self.incoming.take() {
             self.install(incoming.into_snapshot(), fx);
@@ -245,23 +245,23 @@
     }
 
     /// Adds a part to what arrived so far; returns whether it was the next one.
-    fn collect(&mut self, part: SnapshotPart) -> bool {
+    fn add_chunk(&mut self, chunk: IncomingChunk) -> bool {
         let leader_term = self.term();
         let same = self
             .incoming
             .as_ref()
-            .is_some_and(|incoming| incoming.leader_term == leader_term && incoming.at == part.at);
+            .is_some_and(|incoming| incoming.leader_term == leader_term && incoming.at == chunk.at);
         if !same {
             self.incoming = Some(IncomingSnapshot {
                 leader_term,
-                at: part.at,
-                membership: part.membership,
+                at: chunk.at,
+                membership: chunk.membership,
                 data: Vec::new(),
             });
         }
-        let is_next = part.offset == self.received();
+        let is_next = chunk.offset == self.received();
         if is_next && let Some(incoming) = &mut self.incoming {
-            incoming.data.extend(part.data);
+            incoming.data.extend(chunk.data);
         }
         is_next
     }
@@ -278,7 +278,8 @@
             // What follows the committed part conflicts with the snapshot.
             fx.writes.push(LogWrite::Truncate(first_after_commit));
         }
-        self.pending.cover(snapshot.index, &mut fx.answers);
+        self.pending
+            .resolve_covered(snapshot.index, &mut fx.answers);
         fx.writes.push(LogWrite::Snapshot(snapshot.clone()));
         self.commit = snapshot.index;
         self.log.restore(Arc::new(snapshot.clone()));
--- a/lib/src/raft_leader.rs
+++ b/lib/src/raft_leader.rs
@@ -34,18 +34,18 @@
     pub next_heartbeat: Instant,
     pub handover: Option<Handover>,
     /// No hand-over begins by itself before this time.
-    pub handover_pause: Instant,
+    pub handover_paused_until: Instant,
     /// Since when there have been fewer voters than there should be.
-    pub voter_lacks_since: Option<Instant>,
+    pub below_max_voters_since: Option<Instant>,
     own_id: ReplicaId,
     round: u64,
-    rounds: VecDeque<Round>,
+    rounds: VecDeque<HeartbeatRound>,
     reads: Vec<PendingRead>,
 }
 
 /// Holds a round of heartbeats that replicas may still answer.
 #[derive(Clone, Copy, Debug)]
-struct Round {
+struct HeartbeatRound {
     number: u64,
     began_at: Instant,
 }
@@ -55,11 +55,11 @@
 struct PendingRead {
     token: Token,
     /// What is needed; nothing until the first entry of the term is committed.
-    proof: Option<ReadProof>,
+    read_index: Option<ReadIndex>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct ReadProof {
+struct ReadIndex {
     index: Revision,
     round: u64,
 }
@@ -86,8 +86,8 @@
             term_start: last.next(),
             next_heartbeat: now,
             handover: None,
-            handover_pause: now,
-            voter_lacks_since: None,
+            handover_paused_until: now,
+            below_max_voters_since: None,
             own_id,
             round: 0,
             rounds: VecDeque::new(),
@@ -105,33 +105,33 @@
                     .peers
                     .entry(id)
                     .or_insert_with(|| Progress::new(last.next(), contact));
-                progress.departs_at = None;
+                progress.served_until = None;
             }
         }
     }
 
     /// Ends serving replicas that were removed some time ago.
-    pub fn drop_departed(&mut self, membership: &Membership, cx: &LeaderCx) {
-        let stay = cx.cfg.election_max * 4;
+    pub fn drop_removed(&mut self, membership: &Membership, cx: &LeaderCx) {
+        let grace_period = cx.cfg.election_max * 4;
         self.peers.retain(|id, progress| {
             if membership.contains(*id) {
                 return true;
             }
-            let departs_at = *progress.departs_at.get_or_insert(cx.now + stay);
-            cx.now < departs_at
+            let served_until = *progress.served_until.get_or_insert(cx.now + grace_period);
+            cx.now < served_until
         });
     }
 
     /// Begins a round of heartbeats.
-    pub fn begin_round(&mut self, cx: &LeaderCx, fx: &mut Effects) {
+    pub fn begin_heartbeat_round(&mut self, cx: &LeaderCx, fx: &mut Effects) {
         self.round += 1;
-        self.rounds.push_back(Round {
+        self.rounds.push_back(HeartbeatRound {
             number: self.round,
             began_at: cx.now,
         });
-        let oldest_useful = cx.cfg.election_max * 2;
+        let max_age = cx.cfg.election_max * 2;
         while let Some(first) = self.rounds.front() {
-            if cx.now < first.began_at + oldest_useful {
+            if cx.now < first.began_at + max_age {
                 break;
             }
             self.rounds.pop_front();
@@ -162,7 +162,7 @@
     /// The contact counts from when the round began, not from when the answer came: an
     /// answer that lay in a buffer while this process was frozen proves nothing about
     /// the time since.
-    pub fn on_round_answer(&mut self, from: ReplicaId, number: u64) {
+    pub fn on_round_reply(&mut self, from: ReplicaId, number: u64) {
         let began_at = self.began_at(number);
         let Some(progress) = self.peers.get_mut(&from) else {
             return;
@@ -213,7 +213,10 @@
             fx.answers.push(Answer::Refused { token, reason });
             return;
         }
-        self.reads.push(PendingRead { token, proof: None });
+        self.reads.push(PendingRead {
+            token,
+            read_index: None,
+        });
     }
 
     /// Starts rounds that reads need, and answers the reads that are proved.
@@ -222,26 +225,29 @@
             return;
         }
         for read in &mut self.reads {
-            read.proof.get_or_insert(ReadProof {
+            read.read_index.get_or_insert(ReadIndex {
                 index: cx.commit,
                 round: self.round + 1,
             });
         }
-        let wanted = self.reads.iter().any(|read| read.needs_after(self.round));
-        let open = self.round - self.quorum_round(membership).min(self.round);
-        if wanted && open < MAX_OPEN_ROUNDS {
-            self.begin_round(cx, fx);
+        let round_needed = self
+            .reads
+            .iter()
+            .any(|read| read.needs_round_after(self.round));
+        let unanswered = self.round - self.quorum_round(membership).min(self.round);
+        if round_needed && unanswered < MAX_OPEN_ROUNDS {
+            self.begin_heartbeat_round(cx, fx);
         }
         self.answer_reads(membership, fx);
     }
 
     fn answer_reads(&mut self, membership: &Membership, fx: &mut Effects) {
-        let proved = self.quorum_round(membership);
-        self.reads.retain(|read| match read.proof {
-            Some(proof) if proof.round <= proved => {
+        let answered_round = self.quorum_round(membership);
+        self.reads.retain(|read| match read.read_index {
+            Some(read_index) if read_index.round <= answered_round => {
                 fx.answers.push(Answer::ReadReady {
                     token: read.token,
-                    index: proof.index,
+                    index: read_index.index,
                 });
                 false
             }
@@ -294,7 +300,8 @@
 }
 
 impl PendingRead {
-    fn needs_after(&self, round: u64) -> bool {
-        self.proof.is_some_and(|proof| proof.round > round)
+    fn needs_round_after(&self, round: u64) -> bool {
+        self.read_index
+            .is_some_and(|read_index| read_index.round > round)
     }
 }
--- a/lib/src/raft_membership.rs
+++ b/lib/src/raft_membership.rs
@@ -87,12 +87,12 @@
 
     /// Returns the membership without a replica, if enough voters that answer remain.
     fn without(&mut self, id: ReplicaId) -> Result<Membership, ChangeProblem> {
-        let present = self.membership();
-        if !present.contains(id) {
+        let current = self.membership();
+        if !current.contains(id) {
             return Err(ChangeProblem::NotMember { id });
         }
-        let was_voter = present.voters.contains_key(&id);
-        let membership = without(present, id);
+        let was_voter = current.voters.contains_key(&id);
+        let membership = without(current, id);
         if !was_voter {
             return Ok(membership);
         }
@@ -107,7 +107,7 @@
     }
 
     fn check_live_majority(&mut self, membership: &Membership) -> Result<(), ChangeProblem> {
-        let live = self.lead(|leader, cx| leader.live_voters(membership, cx));
+        let live = self.with_leader(|leader, cx| leader.live_voters(membership, cx));
         let live = live.unwrap_or(0);
         let needed = membership.majority();
         if live < needed {
@@ -122,7 +122,7 @@
         if !self.may_change_membership() || self.proposal_refusal().is_some() {
             return;
         }
-        let due = self.lead(due_change).flatten();
+        let due = self.with_leader(due_change).flatten();
         let membership = match due {
             None => return,
             Some(DueChange::Promote(id)) => self.promoted(id),
@@ -133,7 +133,7 @@
                 self.append_as_leader(LogPayload::Membership(membership), fx);
                 self.after_append(fx);
             }
-            Err(ChangeProblem::LeaderHandsOver) => self.hand_over_by_itself(fx),
+            Err(ChangeProblem::LeaderHandsOver) => self.start_automatic_handover(fx),
             // Tried again when the next answer arrives.
             Err(_) => {}
         }
@@ -148,8 +148,8 @@
         Ok(membership)
     }
 
-    fn hand_over_by_itself(&mut self, fx: &mut Effects) {
-        let paused = self.lead(|leader, cx| cx.now < leader.handover_pause);
+    fn start_automatic_handover(&mut self, fx: &mut Effects) {
+        let paused = self.with_leader(|leader, cx| cx.now < leader.handover_paused_until);
         if paused == Some(false) {
             self.start_handover(fx);
         }
@@ -157,21 +157,21 @@
 }
 
 fn with_learner(
-    present: &Membership,
+    current: &Membership,
     id: ReplicaId,
     info: ReplicaInfo,
     replaces: Option<ReplicaId>,
 ) -> Result<Membership, ChangeProblem> {
-    if present.contains(id) {
+    if current.contains(id) {
         return Err(ChangeProblem::AlreadyMember { id });
     }
-    let mut membership = present.clone();
+    let mut membership = current.clone();
     membership.learners.insert(id, info);
     if let Some(replaced) = replaces {
-        if !present.contains(replaced) {
+        if !current.contains(replaced) {
             return Err(ChangeProblem::NotMember { id: replaced });
         }
-        if present.replacements.values().any(|old| *old == replaced) {
+        if current.replacements.values().any(|old| *old == replaced) {
             return Err(ChangeProblem::AlreadyReplaced { id: replaced });
         }
         membership.replacements.insert(id, replaced);
@@ -179,8 +179,8 @@
     Ok(membership)
 }
 
-fn without(present: &Membership, id: ReplicaId) -> Membership {
-    let mut membership = present.clone();
+fn without(current: &Membership, id: ReplicaId) -> Membership {
+    let mut membership = current.clone();
     membership.voters.remove(&id);
     membership.learners.remove(&id);
     membership
@@ -197,16 +197,16 @@
         return Some(DueChange::RemoveReplaced(*old));
     }
     let full = membership.voters.len() >= cx.cfg.max_voters;
-    let lacks_since = *leader.voter_lacks_since.get_or_insert(cx.now);
+    let below_max_since = *leader.below_max_voters_since.get_or_insert(cx.now);
     if full {
-        leader.voter_lacks_since = None;
+        leader.below_max_voters_since = None;
     }
     let mut has_caught_up = |id: &&ReplicaId| {
         let progress = leader.peers.get_mut(id);
         progress.is_some_and(|progress| progress.has_caught_up(cx))
     };
-    let mut stand_ins = membership.replacements.keys();
-    if let Some(id) = stand_ins.find(&mut has_caught_up) {
+    let mut replacing = membership.replacements.keys();
+    if let Some(id) = replacing.find(&mut has_caught_up) {
         return Some(DueChange::Promote(*id));
     }
     if full {
@@ -215,7 +215,7 @@
     let caught_up = membership.learners.keys().filter(&mut has_caught_up);
     let caught_up: Vec<ReplicaId> = caught_up.copied().collect();
     let next = if cx.cfg.spread_voters {
-        let free_for = cx.now.saturating_duration_since(lacks_since);
+        let free_for = cx.now.saturating_duration_since(below_max_since);
         replica_plan::next_voter(
             membership,
             cx.regions,
@@ -227,7 +227,7 @@
         caught_up.first().copied()
     };
     if next.is_some() {
-        leader.voter_lacks_since = None;
+        leader.below_max_voters_since = None;
     }
     next.map(DueChange::Promote)
 }
--- a/lib/src/raft_message.rs
+++ b/lib/src/raft_message.rs
@@ -194,7 +194,7 @@
         /// Number of the latest read barrier; echoed in the answer.
         barrier: u64,
         /// Number of the last answer of the receiver that the leader has; 0 without any.
-        answer: u64,
+        reply_number: u64,
         /// Time in milliseconds, rounded up, since the leader was last proved to lead.
         contact_ms: u32,
     },
@@ -208,7 +208,7 @@
         /// The barrier number of the append.
         barrier: u64,
         /// Number of this answer; echoed in appends.
-        answer: u64,
+        reply_number: u64,
     },
     /// Carries a part of a snapshot.
     SnapshotChunk {
--- a/lib/src/raft_pending.rs
+++ b/lib/src/raft_pending.rs
@@ -18,7 +18,7 @@
 
 /// Holds one request.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct PendingRequest {
     token: Token,
     bytes: usize,
 }
@@ -34,7 +34,7 @@
 /// term at the position, or before it, proves that the entry is gone.
 #[derive(Debug, Default)]
 pub(crate) struct PendingProposals {
-    tokens: BTreeMap<(Revision, Term), Waiting>,
+    requests: BTreeMap<(Revision, Term), PendingRequest>,
     /// Bytes of all that waits.
     bytes: usize,
     /// Term of the last committed entry.
@@ -45,20 +45,21 @@
 impl PendingProposals {
     pub fn insert(&mut self, index: Revision, term: Term, token: Token, bytes: usize) {
         self.bytes += bytes;
-        self.tokens.insert((index, term), Waiting { token, bytes });
+        self.requests
+            .insert((index, term), PendingRequest { token, bytes });
     }
 
     /// Returns whether so much waits that no more should be taken.
     pub fn is_full(&self) -> bool {
-        self.tokens.len() >= MAX_PROPOSALS || self.bytes >= MAX_BYTES
+        self.requests.len() >= MAX_PROPOSALS || self.bytes >= MAX_BYTES
     }
 
     /// Answers the requests whose outcome a newly committed entry proves.
     pub fn commit(&mut self, entry: &LogEntry, answers: &mut Vec<Answer>) {
         let index = entry.index;
-        if let Some(waiting) = self.tokens.remove(&(index, entry.term)) {
-            self.bytes -= waiting.bytes;
-            let token = waiting.token;
+        if let Some(request) = self.requests.remove(&(index, entry.term)) {
+            self.bytes -= request.bytes;
+            let token = request.token;
             answers.push(Answer::Committed { token, index });
         }
         if entry.term == self.committed_term {
@@ -69,10 +70,10 @@
         self.committed_term = entry.term;
         let current = entry.term;
         let bytes = &mut self.bytes;
-        self.tokens.retain(|(_, term), waiting| {
+        self.requests.retain(|(_, term), request| {
             if *term < current {
-                *bytes -= waiting.bytes;
-                answers.push(refused(waiting.token, Refusal::Overwritten));
+                *bytes -= request.bytes;
+                answers.push(refused(request.token, Refusal::Overwritten));
             }
             *term >= current
         });
@@ -80,15 +81,15 @@
 
     /// Answers the requests whose positions are covered by a snapshot from elsewhere,
     /// which doesn't tell what the positions held.
-    pub fn cover(&mut self, through: Revision, answers: &mut Vec<Answer>) {
-        let kept = self.tokens.split_off(&(through.next(), Term(0)));
-        let covered = std::mem::replace(&mut self.tokens, kept);
+    pub fn resolve_covered(&mut self, through: Revision, answers: &mut Vec<Answer>) {
+        let kept = self.requests.split_off(&(through.next(), Term(0)));
+        let covered = std::mem::replace(&mut self.requests, kept);
         self.refuse_unknown(covered, answers);
     }
 
     /// Lets the requests wait until `deadline` for a later leader.
     pub fn leadership_lost(&mut self, deadline: Instant) {
-        if !self.tokens.is_empty() {
+        if !self.requests.is_empty() {
             self.expires = Some(deadline);
         }
     }
@@ -104,18 +105,18 @@
             return;
         }
         self.expires = None;
-        let expired = std::mem::take(&mut self.tokens);
+        let expired = std::mem::take(&mut self.requests);
         self.refuse_unknown(expired, answers);
     }
 
     fn refuse_unknown(
         &mut self,
-        gone: BTreeMap<(Revision, Term), Waiting>,
+        unresolved: BTreeMap<(Revision, Term), PendingRequest>,
         answers: &mut Vec<Answer>,
     ) {
-        for waiting in gone.into_values() {
-            self.bytes -= waiting.bytes;
-            answers.push(refused(waiting.token, Refusal::LeadershipLost));
+        for request in unresolved.into_values() {
+            self.bytes -= request.bytes;
+            answers.push(refused(request.token, Refusal::LeadershipLost));
         }
     }
 
--- a/lib/src/raft_progress.rs
+++ b/lib/src/raft_progress.rs
@@ -54,7 +54,7 @@
     /// aren't answered.
     Replicate { in_flight: VecDeque<InFlight> },
     /// The entries that the replica needs are compacted: a snapshot goes first.
-    Snapshot(Transfer),
+    Snapshot(SnapshotTransfer),
 }
 
 /// Holds an append on its way.
@@ -66,7 +66,7 @@
 
 /// Holds a snapshot on its way.
 #[derive(Debug)]
-struct Transfer {
+struct SnapshotTransfer {
     snapshot: Arc<Snapshot>,
     received: usize,
     /// When the part at `received` was sent.
@@ -79,7 +79,7 @@
     /// Last position that the replica acknowledged as durable and equal.
     pub matched: Revision,
     /// Number of its last answer to an append; 0 without any.
-    pub answer: u64,
+    pub reply_number: u64,
     /// Latest round of heartbeats that the replica answered.
     pub acked_round: u64,
     /// When that round began, or when the leader stood for election.
@@ -88,16 +88,16 @@
     pub last_heard: Option<Instant>,
     /// Set once the replica is no member: until then it is still served, so that it
     /// learns of its removal and stops campaigning.
-    pub departs_at: Option<Instant>,
+    pub served_until: Option<Instant>,
     next: Revision,
     mode: Mode,
     sent_commit: Revision,
-    goal: Option<Goal>,
+    catch_up_target: Option<CatchUpTarget>,
 }
 
 /// Holds what a learner has to reach before it votes.
 #[derive(Clone, Copy, Debug)]
-struct Goal {
+struct CatchUpTarget {
     index: Revision,
     set_at: Instant,
 }
@@ -107,15 +107,15 @@
     pub fn new(next: Revision, contact: Instant) -> Self {
         Self {
             matched: Revision(0),
-            answer: 0,
+            reply_number: 0,
             acked_round: 0,
             contact,
             last_heard: None,
-            departs_at: None,
+            served_until: None,
             next,
             mode: Mode::Probe { waiting: false },
             sent_commit: Revision(0),
-            goal: None,
+            catch_up_target: None,
         }
     }
 
@@ -135,19 +135,19 @@
         if !self.is_live(cx.now, cx.cfg) {
             return false;
         }
-        let present = Goal {
+        let current = CatchUpTarget {
             index: cx.commit,
             set_at: cx.now,
         };
-        let goal = *self.goal.get_or_insert(present);
-        if self.matched < goal.index {
+        let catch_up_target = *self.catch_up_target.get_or_insert(current);
+        if self.matched < catch_up_target.index {
             return false;
         }
-        if cx.now <= goal.set_at + cx.cfg.election_min {
+        if cx.now <= catch_up_target.set_at + cx.cfg.election_min {
             return true;
         }
-        self.goal = Some(present);
-        self.matched >= present.index
+        self.catch_up_target = Some(current);
+        self.matched >= current.index
     }
 
     /// Takes in that the log matched up to `index`.
@@ -218,7 +218,7 @@
     /// Sends whatever the replica lacks and may be sent now.
     pub fn replicate(&mut self, to: ReplicaId, round: u64, cx: &LeaderCx, fx: &mut Effects) {
         self.fall_back_to_snapshot(cx);
-        let answers = self.is_live(cx.now, cx.cfg);
+        let live = self.is_live(cx.now, cx.cfg);
         match &mut self.mode {
             Mode::Probe { waiting: true } => {}
             Mode::Probe { waiting } => {
@@ -229,8 +229,8 @@
             }
             Mode::Replicate { .. } => self.send_pipelined(to, round, cx, fx),
             // Heartbeats find out when a silent replica is back, and cost less.
-            Mode::Snapshot(_) if !answers => {}
-            Mode::Snapshot(transfer) => transfer.send_part(to, cx, fx),
+            Mode::Snapshot(_) if !live => {}
+            Mode::Snapshot(transfer) => transfer.send_chunk(to, cx, fx),
         }
     }
 
@@ -242,7 +242,7 @@
             return;
         }
         if let Some(snapshot) = cx.log.snapshot() {
-            self.mode = Mode::Snapshot(Transfer {
+            self.mode = Mode::Snapshot(SnapshotTransfer {
                 snapshot: snapshot.clone(),
                 received: 0,
                 sent_at: None,
@@ -305,7 +305,7 @@
             entries,
             commit: cx.commit,
             barrier: round,
-            answer: self.answer,
+            reply_number: self.reply_number,
             contact_ms: cx.contact_ms(),
         };
         let term = cx.term;
@@ -325,9 +325,9 @@
     }
 }
 
-impl Transfer {
+impl SnapshotTransfer {
     /// Sends the part that the replica lacks next, unless it is on its way.
-    fn send_part(&mut self, to: ReplicaId, cx: &LeaderCx, fx: &mut Effects) {
+    fn send_chunk(&mut self, to: ReplicaId, cx: &LeaderCx, fx: &mut Effects) {
         let retry_after = cx.cfg.election_min;
         if self.sent_at.is_some_and(|at| cx.now < at + retry_after) {
             return;
--- a/lib/src/raft_replication.rs
+++ b/lib/src/raft_replication.rs
@@ -30,7 +30,7 @@
 
     /// Sends what was appended, and commits it where no other voter is needed.
     pub(crate) fn after_append(&mut self, fx: &mut Effects) {
-        self.lead(|leader, cx| {
+        self.with_leader(|leader, cx| {
             leader.add_peers(cx.log.membership(), cx.log.last().index, cx.now);
             leader.replicate_all(cx, fx);
         });
@@ -46,19 +46,19 @@
         let RoleState::Leader(leader) = &self.role else {
             return;
         };
-        let held = leader.quorum_match(self.membership(), self.last_index());
-        let countable = self.log.term_at(held) == Some(self.term());
-        if held <= self.commit || !countable {
+        let majority_match = leader.quorum_match(self.membership(), self.last_index());
+        let countable = self.log.term_at(majority_match) == Some(self.term());
+        if majority_match <= self.commit || !countable {
             return;
         }
-        self.commit_through(held, fx);
+        self.commit_through(majority_match, fx);
         self.drive_membership(fx);
-        self.lead(|leader, cx| leader.replicate_all(cx, fx));
+        self.with_leader(|leader, cx| leader.replicate_all(cx, fx));
         self.drive_reads(fx);
     }
 
     fn drive_reads(&mut self, fx: &mut Effects) {
-        self.lead(|leader, cx| leader.drive_reads(cx.log.membership(), cx, fx));
+        self.with_leader(|leader, cx| leader.drive_reads(cx.log.membership(), cx, fx));
     }
 
     pub(crate) fn on_append_reply(
@@ -67,16 +67,16 @@
         matched: bool,
         index: Revision,
         barrier: u64,
-        answer: u64,
+        reply_number: u64,
         fx: &mut Effects,
     ) {
-        self.lead(|leader, cx| {
-            leader.on_round_answer(from, barrier);
+        self.with_leader(|leader, cx| {
+            leader.on_round_reply(from, barrier);
             let Some(progress) = leader.peers.get_mut(&from) else {
                 return;
             };
             progress.last_heard = Some(cx.now);
-            progress.answer = answer;
+            progress.reply_number = reply_number;
             if !matched {
                 progress.on_mismatch(index);
             } else if index <= cx.log.last().index {
@@ -94,7 +94,7 @@
         installed: bool,
         fx: &mut Effects,
     ) {
-        self.lead(|leader, cx| {
+        self.with_leader(|leader, cx| {
             if let Some(progress) = leader.peers.get_mut(&from)
                 && index <= cx.log.last().index
             {
@@ -107,7 +107,7 @@
 
     fn after_reply(&mut self, from: ReplicaId, fx: &mut Effects) {
         self.advance_commit(fx);
-        self.lead(|leader, cx| {
+        self.with_leader(|leader, cx| {
             leader.replicate(from, cx, fx);
             if leader.handover.is_some_and(|it| it.target == from) {
                 leader.send_timeout_now(cx, fx);
@@ -118,12 +118,12 @@
     }
 
     pub(crate) fn on_leader_tick(&mut self, fx: &mut Effects) {
-        self.end_late_handover();
-        self.lead(|leader, cx| {
+        self.cancel_expired_handover();
+        self.with_leader(|leader, cx| {
             if cx.now >= leader.next_heartbeat {
-                leader.begin_round(cx, fx);
+                leader.begin_heartbeat_round(cx, fx);
             }
-            leader.drop_departed(cx.log.membership(), cx);
+            leader.drop_removed(cx.log.membership(), cx);
             leader.replicate_all(cx, fx);
         });
         self.drive_reads(fx);
@@ -171,7 +171,7 @@
             refuse(token, Refusal::NotLeader { leader }, fx);
             return;
         }
-        self.lead(|leader, _| leader.read(token, fx));
+        self.with_leader(|leader, _| leader.read(token, fx));
         self.drive_reads(fx);
     }
 
@@ -181,7 +181,7 @@
 
     /// Begins to hand over to the most caught-up live voter, if there is one.
     pub(crate) fn start_handover(&mut self, fx: &mut Effects) {
-        self.lead(|leader, cx| {
+        self.with_leader(|leader, cx| {
             if leader.handover.is_some() {
                 return;
             }
@@ -194,11 +194,11 @@
     }
 
     /// Takes proposals again if the target didn't take over in time.
-    fn end_late_handover(&mut self) {
-        self.lead(|leader, cx| {
+    fn cancel_expired_handover(&mut self) {
+        self.with_leader(|leader, cx| {
             if leader.handover.is_some_and(|it| cx.now >= it.deadline) {
                 leader.handover = None;
-                leader.handover_pause = cx.now + cx.cfg.election_max * 4;
+                leader.handover_paused_until = cx.now + cx.cfg.election_max * 4;
             }
         });
     }
--- a/lib/src/raft_sent_replies.rs
+++ b/lib/src/raft_sent_replies.rs
@@ -7,16 +7,16 @@
 use std::time::Instant;
 
 /// Answers that are remembered: those of some heartbeats and of the appends between them.
-const REMEMBERED: usize = 128;
+const MAX_TRACKED_REPLIES: usize = 128;
 
 /// Remembers when answers were sent.
 #[derive(Debug)]
-pub(crate) struct SentAnswers {
+pub(crate) struct SentReplies {
     next: u64,
     sent: VecDeque<(u64, Instant)>,
 }
 
-impl SentAnswers {
+impl SentReplies {
     /// Starts without any. Numbers begin at `first`, which is drawn, so that those of an earlier
     /// life of the process mean nothing.
     pub const fn new(first: u64) -> Self {
@@ -30,7 +30,7 @@
     pub fn number(&mut self, now: Instant) -> u64 {
         let number = self.next;
         self.next = self.next.wrapping_add(1);
-        if self.sent.len() == REMEMBERED {
+        if self.sent.len() == MAX_TRACKED_REPLIES {
             self.sent.pop_front();
         }
         self.sent.push_back((number, now));
--- a/lib/tests/raft_network/checker.rs
+++ b/lib/tests/raft_network/checker.rs
@@ -16,7 +16,7 @@
 use heatherring_lib::raft_message::LogWrite;
 use heatherring_lib::raft_message::Membership;
 
-use super::Machine;
+use super::StateMachine;
 use super::token_of_command;
 
 /// Holds what was seen so far.
@@ -121,15 +121,15 @@
     }
 
     /// Checks that a restored state is the one that the log up to it gives.
-    pub fn on_restored(&self, machine: &Machine) {
-        let entries = self.committed.range(..=machine.applied);
+    pub fn on_restored(&self, state_machine: &StateMachine) {
+        let entries = self.committed.range(..=state_machine.applied);
         let mut tokens = Vec::new();
         for (_, entry) in entries {
             if let LogPayload::Command(command) = &entry.payload {
                 tokens.push(token_of_command(command));
             }
         }
-        assert_eq!(machine.tokens, tokens, "restored state differs");
+        assert_eq!(state_machine.tokens, tokens, "restored state differs");
     }
 
     /// Notes how much was committed anywhere when a read began.
--- a/lib/tests/raft_network/faults.rs
+++ b/lib/tests/raft_network/faults.rs
@@ -7,9 +7,9 @@
 use heatherring_lib::raft_config::DurableState;
 use rand::Rng;
 
-use super::Machine;
 use super::Network;
-use super::Weather;
+use super::NetworkConditions;
+use super::StateMachine;
 use super::config;
 
 impl Network {
@@ -49,11 +49,11 @@
         let Some(node) = self.nodes.get_mut(&replica) else {
             return;
         };
-        if node.raft.is_some() || node.lost {
+        if node.raft.is_some() || node.disk_lost {
             return;
         }
         node.written = node.disk.clone();
-        node.machine = Machine::of_snapshot(node.disk.snapshot.as_ref());
+        node.state_machine = StateMachine::from_snapshot(node.disk.snapshot.as_ref());
         let raft = Raft::new(config(replica.0, seed), node.disk.clone(), now);
         node.raft = Some(raft.unwrap());
     }
@@ -74,7 +74,7 @@
         self.crash(replica);
         if let Some(node) = self.nodes.get_mut(&replica) {
             node.disk = DurableState::default();
-            node.lost = true;
+            node.disk_lost = true;
         }
     }
 
@@ -100,6 +100,6 @@
 
     pub fn heal(&mut self) {
         self.cuts.clear();
-        self.weather = Weather::CALM;
+        self.conditions = NetworkConditions::GOOD;
     }
 }
--- a/lib/tests/raft_network/mod.rs
+++ b/lib/tests/raft_network/mod.rs
@@ -39,8 +39,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use self::checker::Checker;
-pub use self::node::Machine;
 pub use self::node::Node;
+pub use self::node::StateMachine;
 pub use self::node::token_of_command;
 
 /// Shortest election timeout of the replicas under test.
@@ -51,21 +51,21 @@
 
 /// Tells how the network treats messages.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// Messages lost, in percent.
     pub loss: u8,
     /// Messages doubled, in percent.
-    pub doubled: u8,
+    pub duplicated: u8,
     /// Longest delay of a message, in milliseconds.
     pub max_delay_ms: u64,
     /// Longest time until a sync is done, in milliseconds.
     pub max_sync_ms: u64,
 }
 
-impl Weather {
-    pub const CALM: Self = Self {
+impl NetworkConditions {
+    pub const GOOD: Self = Self {
         loss: 0,
-        doubled: 0,
+        duplicated: 0,
         max_delay_ms: 5,
         max_sync_ms: 2,
     };
@@ -83,7 +83,7 @@
 pub struct Network {
     pub nodes: BTreeMap<ReplicaId, Node>,
     pub checker: Checker,
-    pub weather: Weather,
+    pub conditions: NetworkConditions,
     pub answers: BTreeMap<Token, Answer>,
     pub messages: u64,
     pub steps: u64,
@@ -129,7 +129,7 @@
         let mut network = Self {
             nodes: BTreeMap::new(),
             checker: Checker::default(),
-            weather: Weather::CALM,
+            conditions: NetworkConditions::GOOD,
             answers: BTreeMap::new(),
             messages: 0,
             steps: 0,
@@ -191,11 +191,11 @@
             raft: None,
             written: disk.clone(),
             disk,
-            machine: Machine::default(),
+            state_machine: StateMachine::default(),
             buffered: Effects::default(),
             sync_at: None,
             frozen_until: Duration::ZERO,
-            lost: false,
+            disk_lost: false,
         };
         self.nodes.insert(id(number), node);
         self.restart(id(number));
@@ -254,10 +254,10 @@
         self.checker.on_role(raft, &node.written);
         node.buffered.append(fx);
         let raft = self.raft(replica);
-        self.check_proof(raft);
+        self.check_proven_current(raft);
         let node = self.nodes.get_mut(&replica).unwrap();
         if !node.buffered.is_empty() && node.sync_at.is_none() {
-            let delay = self.rng.random_range(0..=self.weather.max_sync_ms);
+            let delay = self.rng.random_range(0..=self.conditions.max_sync_ms);
             node.sync_at = Some(self.now + Duration::from_millis(delay));
         }
     }
@@ -270,16 +270,16 @@
             node.disk.apply(write).unwrap();
         }
         if let Some(snapshot) = &fx.restored {
-            node.machine = Machine::of_snapshot(Some(snapshot));
-            self.checker.on_restored(&node.machine);
+            node.state_machine = StateMachine::from_snapshot(Some(snapshot));
+            self.checker.on_restored(&node.state_machine);
         }
         for entry in &fx.committed {
-            node.machine.apply(entry);
+            node.state_machine.apply(entry);
             self.checker.on_applied(entry);
         }
         for answer in fx.answers {
             self.checker.on_answer(&answer);
-            self.note_confirmed(&answer);
+            self.record_confirmed(&answer);
             let token = token_of(&answer);
             assert!(
                 self.answers.insert(token, answer).is_none(),
@@ -291,7 +291,7 @@
         }
     }
 
-    fn note_confirmed(&mut self, answer: &Answer) {
+    fn record_confirmed(&mut self, answer: &Answer) {
         if let Answer::Committed { index, .. } = answer {
             let before = self
                 .confirmed
@@ -303,7 +303,7 @@
 
     /// Checks that a replica knows everything that was confirmed before the moment for which it
     /// says that it is current.
-    fn check_proof(&self, raft: &Raft) {
+    fn check_proven_current(&self, raft: &Raft) {
         let Some(proved_at) = raft.proven_current_at() else {
             return;
         };
@@ -322,10 +322,10 @@
 
     fn send(&mut self, from: ReplicaId, to: ReplicaId, message: Message) {
         self.messages += 1;
-        if self.cuts.contains(&(from, to)) || self.percent(self.weather.loss) {
+        if self.cuts.contains(&(from, to)) || self.percent(self.conditions.loss) {
             return;
         }
-        if self.percent(self.weather.doubled) {
+        if self.percent(self.conditions.duplicated) {
             self.enqueue(from, to, message.clone());
         }
         self.enqueue(from, to, message);
@@ -336,7 +336,9 @@
     }
 
     fn enqueue(&mut self, from: ReplicaId, to: ReplicaId, message: Message) {
-        let delay = self.rng.random_range(1..=self.weather.max_delay_ms.max(1));
+        let delay = self
+            .rng
+            .random_range(1..=self.conditions.max_delay_ms.max(1));
         self.sequence += 1;
         let key = (self.now + Duration::from_millis(delay), self.sequence);
         self.queue.insert(key, Delivery { from, to, message });
@@ -482,8 +484,8 @@
     /// Compacts the log of a replica up to what it has applied.
     pub fn compact(&mut self, replica: ReplicaId) {
         let node = &self.nodes[&replica];
-        let index = node.machine.applied;
-        let data = postcard::to_stdvec(&node.machine.tokens).unwrap();
+        let index = node.state_machine.applied;
+        let data = postcard::to_stdvec(&node.state_machine.tokens).unwrap();
         self.step(replica, Input::Compact { index, data });
     }
 
--- a/lib/tests/raft_network/node.rs
+++ b/lib/tests/raft_network/node.rs
@@ -12,13 +12,13 @@
 
 /// Holds the replicated state of one replica: the tokens of the commands, in order.
 #[derive(Clone, Debug, Default)]
-pub struct Machine {
+pub struct StateMachine {
     pub applied: Revision,
     pub tokens: Vec<u64>,
 }
 
-impl Machine {
-    pub fn of_snapshot(snapshot: Option<&Snapshot>) -> Self {
+impl StateMachine {
+    pub fn from_snapshot(snapshot: Option<&Snapshot>) -> Self {
         snapshot.map_or_else(Self::default, |snapshot| Self {
             applied: snapshot.index,
             tokens: postcard::from_bytes(&snapshot.data).unwrap(),
@@ -42,12 +42,12 @@
     pub disk: DurableState,
     /// What the disk holds once everything written so far is synced.
     pub written: DurableState,
-    pub machine: Machine,
+    pub state_machine: StateMachine,
     pub(super) buffered: Effects,
     pub(super) sync_at: Option<Duration>,
     pub(super) frozen_until: Duration,
     /// Set once the data folder is gone.
-    pub lost: bool,
+    pub disk_lost: bool,
 }
 
 pub fn token_of_command(command: &[u8]) -> u64 {
--- a/lib/tests/test_raft.rs
+++ b/lib/tests/test_raft.rs
@@ -177,7 +177,7 @@
     // So that no other leader shows up, which would end the freeze's effect at once.
     network.cut(one, other);
     network.cut(other, one);
-    network.weather.max_sync_ms = 0;
+    network.conditions.max_sync_ms = 0;
     network.read(leader);
     network.run(Duration::from_millis(1));
     let freeze = ELECTION_MIN + Duration::from_millis(50);
@@ -312,7 +312,7 @@
     // sync, and the former leader stays away.
     // Cause: an acknowledgement that left its replica before the entry was synced.
     let mut network = Network::with_voters(12, 3);
-    network.weather.max_sync_ms = 100;
+    network.conditions.max_sync_ms = 100;
     for _ in 0..10 {
         network.commit_one();
         let leader = network.leader().unwrap();
@@ -370,7 +370,7 @@
     network.run(ELECTION_MAX * 12);
     let last = network.commit_one();
     network.run(ELECTION_MAX);
-    assert!(network.nodes[&slow].machine.applied >= last);
+    assert!(network.nodes[&slow].state_machine.applied >= last);
 }
 
 #[test]
--- a/lib/tests/test_raft_damaged_messages.rs
+++ b/lib/tests/test_raft_damaged_messages.rs
@@ -53,23 +53,25 @@
             any::<u32>()
         )
             .prop_map(
-                |(index, term, entries, commit, barrier, answer, contact_ms)| MessageKind::Append {
-                    previous_index: Revision(index),
-                    previous_term: Term(term),
-                    entries,
-                    commit: Revision(commit),
-                    barrier,
-                    answer,
-                    contact_ms,
+                |(index, term, entries, commit, barrier, reply_number, contact_ms)| {
+                    MessageKind::Append {
+                        previous_index: Revision(index),
+                        previous_term: Term(term),
+                        entries,
+                        commit: Revision(commit),
+                        barrier,
+                        reply_number,
+                        contact_ms,
+                    }
                 }
             ),
         (any::<bool>(), number(), number(), number()).prop_map(
-            |(matched, index, barrier, answer)| {
+            |(matched, index, barrier, reply_number)| {
                 MessageKind::AppendReply {
                     matched,
                     index: Revision(index),
                     barrier,
-                    answer,
+                    reply_number,
                 }
             }
         ),
--- a/lib/tests/test_raft_membership.rs
+++ b/lib/tests/test_raft_membership.rs
@@ -199,14 +199,14 @@
             network.compact(id(number));
         }
     }
-    network.weather.loss = 20;
+    network.conditions.loss = 20;
     network.restart(down);
     network.run(Duration::from_millis(400));
     network.crash(down);
     network.restart(down);
     let last = network.commit_one();
     network.run_until("the replica has caught up", |network| {
-        network.nodes[&down].machine.applied >= last
+        network.nodes[&down].state_machine.applied >= last
     });
     assert!(network.nodes[&down].disk.snapshot.is_some());
 }
@@ -238,7 +238,7 @@
     network.heal();
     let last = network.commit_one();
     network.run_until("the replica has caught up", |network| {
-        network.nodes[&old].machine.applied >= last
+        network.nodes[&old].state_machine.applied >= last
     });
     assert!(network.nodes[&old].disk.snapshot.is_some());
 }
@@ -254,7 +254,7 @@
     network.restart(behind);
     let last = network.commit_one();
     network.run(ELECTION_MAX * 2);
-    assert!(network.nodes[&behind].machine.applied >= last);
+    assert!(network.nodes[&behind].state_machine.applied >= last);
     assert!(network.nodes[&behind].disk.snapshot.is_none());
 }
 
@@ -276,7 +276,7 @@
     network.restart(behind);
     let last = network.commit_one();
     network.run_until("the replica has caught up", |network| {
-        network.nodes[&behind].machine.applied >= last
+        network.nodes[&behind].state_machine.applied >= last
     });
     assert!(network.nodes[&behind].disk.snapshot.is_some());
 }
--- a/lib/tests/test_raft_proof.rs
+++ b/lib/tests/test_raft_proof.rs
@@ -6,7 +6,7 @@
 
 use crate::raft_network::ELECTION_MAX;
 use crate::raft_network::Network;
-use crate::raft_network::Weather;
+use crate::raft_network::NetworkConditions;
 use crate::raft_network::id;
 
 /// Age of a proof up to which a replica counts as current.
@@ -28,9 +28,9 @@
 fn test_followers_stay_current_while_much_is_committed() {
     for seed in 0..10 {
         let mut network = Network::with_voters(seed, 3);
-        network.weather = Weather {
+        network.conditions = NetworkConditions {
             max_delay_ms: 60,
-            ..Weather::CALM
+            ..NetworkConditions::GOOD
         };
         let leader = network.leader().unwrap();
         let followers: Vec<_> = (1..=3).map(id).filter(|id| *id != leader).collect();
@@ -73,13 +73,13 @@
         let mut network = Network::with_voters(seed, 5);
         let leader = network.leader().unwrap();
         let others: Vec<_> = (1..=5).map(id).filter(|id| *id != leader).collect();
-        let (frozen, heirs) = others.split_first().unwrap();
+        let (frozen, majority) = others.split_first().unwrap();
         network.freeze(*frozen, ELECTION_MAX * 8);
         network.run(ELECTION_MAX / 2);
-        for heir in heirs {
-            network.cut(leader, *heir);
-            network.cut(*heir, leader);
-            network.cut(*heir, *frozen);
+        for member in majority {
+            network.cut(leader, *member);
+            network.cut(*member, leader);
+            network.cut(*member, *frozen);
         }
         network.run(ELECTION_MAX * 3);
         network.commit_one();
--- a/lib/tests/test_raft_simulation.rs
+++ b/lib/tests/test_raft_simulation.rs
@@ -24,7 +24,7 @@
 
 use self::raft_network::ELECTION_MAX;
 use self::raft_network::Network;
-use self::raft_network::Weather;
+use self::raft_network::NetworkConditions;
 use self::raft_network::id;
 
 const DEFAULT_SEED: u64 = 20_260;
@@ -38,12 +38,12 @@
     Read(u8),
     Crash(u8),
     Restart(u8),
-    Bounce(u8),
+    CrashAndRestart(u8),
     PowerLoss,
     CutOneWay(u8, u8),
     Isolate(u8),
     Heal,
-    Storm(Weather),
+    Degrade(NetworkConditions),
     Freeze(u8, u16),
     Compact(u8),
     StepDown,
@@ -87,12 +87,12 @@
         6 => pick().prop_map(Event::Read),
         3 => pick().prop_map(Event::Crash),
         4 => pick().prop_map(Event::Restart),
-        2 => pick().prop_map(Event::Bounce),
+        2 => pick().prop_map(Event::CrashAndRestart),
         2 => prop::strategy::Just(Event::PowerLoss),
         3 => (pick(), pick()).prop_map(|(from, to)| Event::CutOneWay(from, to)),
         2 => pick().prop_map(Event::Isolate),
         2 => prop::strategy::Just(Event::Heal),
-        2 => storm().prop_map(Event::Storm),
+        2 => degraded_network().prop_map(Event::Degrade),
         2 => (pick(), 0..1_500_u16).prop_map(|(node, ms)| Event::Freeze(node, ms)),
         2 => pick().prop_map(Event::Compact),
         1 => prop::strategy::Just(Event::StepDown),
@@ -102,12 +102,14 @@
     ]
 }
 
-fn storm() -> impl Strategy<Value = Weather> {
-    (0..30_u8, 0..20_u8, 1..100_u64, 0..100_u64).prop_map(|(loss, doubled, delay, sync)| Weather {
-        loss,
-        doubled,
-        max_delay_ms: delay,
-        max_sync_ms: sync,
+fn degraded_network() -> impl Strategy<Value = NetworkConditions> {
+    (0..30_u8, 0..20_u8, 1..100_u64, 0..100_u64).prop_map(|(loss, duplicated, delay, sync)| {
+        NetworkConditions {
+            loss,
+            duplicated,
+            max_delay_ms: delay,
+            max_sync_ms: sync,
+        }
     })
 }
 
@@ -142,7 +144,7 @@
             }
             Event::Crash(node) => self.network.crash(self.pick(*node)),
             Event::Restart(node) => self.network.restart(self.pick(*node)),
-            Event::Bounce(node) => {
+            Event::CrashAndRestart(node) => {
                 let node = self.pick(*node);
                 self.network.crash(node);
                 self.network.restart(node);
@@ -151,7 +153,7 @@
             Event::CutOneWay(from, to) => self.network.cut(self.pick(*from), self.pick(*to)),
             Event::Isolate(node) => self.network.isolate(self.pick(*node)),
             Event::Heal => self.network.heal(),
-            Event::Storm(weather) => self.network.weather = *weather,
+            Event::Degrade(conditions) => self.network.conditions = *conditions,
             Event::Freeze(node, ms) => {
                 let span = Duration::from_millis(u64::from(*ms));
                 self.network.freeze(self.pick(*node), span);
@@ -172,13 +174,13 @@
     /// Loses a voter's disk, unless an earlier loss isn't repaired everywhere yet: a
     /// second loss before the repair is done takes committed entries with it.
     fn lose_disk(&mut self, victim: ReplicaId) {
-        let lost = |replica: &ReplicaId| self.network.nodes[replica].lost;
-        let disks = self.network.nodes.values().filter(|node| !node.lost);
+        let disk_lost = |replica: &ReplicaId| self.network.nodes[replica].disk_lost;
+        let disks = self.network.nodes.values().filter(|node| !node.disk_lost);
         let repaired = disks.map(|node| node.disk.membership()).all(|membership| {
-            membership.voters.len() >= 3 && !membership.voters.keys().any(lost)
+            membership.voters.len() >= 3 && !membership.voters.keys().any(disk_lost)
                 || membership.voters.is_empty()
         });
-        if repaired && !lost(&victim) && self.has_room() {
+        if repaired && !disk_lost(&victim) && self.has_room() {
             self.network.lose_disk(victim);
             self.add(Some(victim));
         }
@@ -216,7 +218,7 @@
         };
         let membership = self.network.raft(leader).membership().clone();
         for (joining, replaces) in self.joining.clone() {
-            if membership.contains(joining) || self.network.nodes[&joining].lost {
+            if membership.contains(joining) || self.network.nodes[&joining].disk_lost {
                 continue;
             }
             let change = MembershipChange::AddLearner {
@@ -245,8 +247,8 @@
                     return false;
                 };
                 let membership = network.raft(leader).membership().clone();
-                let mut members = membership.ids().filter(|id| !network.nodes[id].lost);
-                members.all(|id| network.nodes[&id].machine.applied >= last)
+                let mut members = membership.ids().filter(|id| !network.nodes[id].disk_lost);
+                members.all(|id| network.nodes[&id].state_machine.applied >= last)
             });
     }
 }
@@ -291,15 +293,15 @@
 
 /// Tells how a leader goes.
 #[derive(Clone, Copy, Debug)]
-enum Farewell {
-    Death,
+enum LeaderExit {
+    Crash,
     PlannedStop,
 }
 
-impl Farewell {
-    fn say(self, network: &mut Network, leader: ReplicaId) {
+impl LeaderExit {
+    fn apply_to(self, network: &mut Network, leader: ReplicaId) {
         match self {
-            Self::Death => network.crash(leader),
+            Self::Crash => network.crash(leader),
             Self::PlannedStop => network.step(leader, Input::StepDown),
         }
     }
@@ -307,44 +309,44 @@
 
 /// Returns how long nothing can be committed when the leader goes, and how many
 /// elections were won until then.
-fn outage(seed: u64, farewell: Farewell, weather: Weather) -> (Duration, u64) {
+fn outage(seed: u64, exit: LeaderExit, conditions: NetworkConditions) -> (Duration, u64) {
     let mut network = Network::with_voters(seed, 3);
-    network.weather = weather;
+    network.conditions = conditions;
     network.run(ELECTION_MAX * (2 + u32::try_from(seed % 3).unwrap()));
     network.commit_one();
     let leader = network.leader().unwrap();
     let elections = network.checker.elections;
-    let left_at = network.elapsed();
-    let mut ask_at = left_at;
+    let exit_at = network.elapsed();
+    let mut next_request_at = exit_at;
     network.run_until("another replica leads", |network| {
-        if network.elapsed() >= ask_at {
+        if network.elapsed() >= next_request_at {
             // A hand-over whose messages are lost is given up; the shell asks again.
-            ask_at = network.elapsed() + ELECTION_MAX;
-            farewell.say(network, leader);
+            next_request_at = network.elapsed() + ELECTION_MAX;
+            exit.apply_to(network, leader);
         }
         network.leader().is_some_and(|other| other != leader)
     });
     network.commit_one();
     let won = network.checker.elections - elections;
-    (network.elapsed().saturating_sub(left_at), won)
+    (network.elapsed().saturating_sub(exit_at), won)
 }
 
-fn check_outages(farewell: Farewell, longest: Duration) {
+fn check_outages(exit: LeaderExit, longest: Duration) {
     let seeds = u64::from(from_env("HEATHERRING_CASES", DEFAULT_CASES));
-    let rough = Weather {
+    let degraded = NetworkConditions {
         loss: 5,
-        doubled: 5,
+        duplicated: 5,
         max_delay_ms: 60,
         max_sync_ms: 10,
     };
-    for weather in [Weather::CALM, rough] {
-        let outages = (0..seeds).map(|seed| outage(seed, farewell, weather));
+    for conditions in [NetworkConditions::GOOD, degraded] {
+        let outages = (0..seeds).map(|seed| outage(seed, exit, conditions));
         let mut outages: Vec<_> = outages.collect();
         let won: u64 = outages.iter().map(|(_, won)| won).sum();
         outages.sort_unstable();
         let at = |percent: usize| outages[(outages.len() - 1) * percent / 100].0;
         println!(
-            "{farewell:?}, {weather:?}: p50 {:?}, p99 {:?}, max {:?}, {won} elections in {seeds}",
+            "{exit:?}, {conditions:?}: p50 {:?}, p99 {:?}, max {:?}, {won} elections in {seeds}",
             at(50),
             at(99),
             at(100)
@@ -359,12 +361,12 @@
     // Sequence: the leader dies; the others stand for election at the same time again
     // and again, or a won election is lost at once.
     // Cause: election timeouts that are too alike or too short for the delays.
-    check_outages(Farewell::Death, ELECTION_MAX * 6);
+    check_outages(LeaderExit::Crash, ELECTION_MAX * 6);
 }
 
 #[test]
 fn test_raft_simulation_planned_stop_is_short() {
     // Symptom: a planned stop of the leader takes as long as its death.
     // Cause: leaving the others to find out by themselves.
-    check_outages(Farewell::PlannedStop, ELECTION_MAX * 6);
+    check_outages(LeaderExit::PlannedStop, ELECTION_MAX * 6);
 }
--- a/lib/tests/test_raft_timeouts.rs
+++ b/lib/tests/test_raft_timeouts.rs
@@ -17,7 +17,7 @@
 const VOTERS: u64 = 5;
 
 /// The way to another region.
-const WAY: Duration = Duration::from_millis(55);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(55);
 
 fn voter(id: u64, seed: u64, now: Instant) -> Raft {
     let info = |id: u64| ReplicaInfo {
@@ -47,8 +47,8 @@
 fn assert_apart(mut wakes: Vec<Instant>, seed: u64) {
     wakes.sort();
     for pair in wakes.windows(2) {
-        let apart = pair[1].saturating_duration_since(pair[0]);
-        assert!(apart >= WAY, "seed {seed}: {apart:?}");
+        let gap = pair[1].saturating_duration_since(pair[0]);
+        assert!(gap >= ONE_WAY_DELAY, "seed {seed}: {gap:?}");
     }
 }
 
