--- a/lib/src/raft.rs
+++ b/lib/src/raft.rs
@@ -1,10 +1,13 @@
-//! One replica of the agreement: a state machine without input or output.
+//! A Raft replica as a deterministic state machine that performs no I/O.
 //!
 //! The protocol is Raft (Ongaro and Ousterhout, "In Search of an Understandable
-//! Consensus Algorithm", 2014; Ongaro's dissertation, 2014). The modules beside this
-//! one each hold a part: `raft_election` the votes, `raft_follower` what a leader
-//! sends, `raft_replication` what a leader does, `raft_membership` the changes of
-//! the set of replicas.
+//! Consensus Algorithm", 2014; Ongaro's dissertation, 2014). Its parts are in sibling
+//! modules: `raft_election` handles elections, `raft_follower` appends and snapshots
+//! received from a leader, `raft_replication` the leader's duties, and
+//! `raft_membership` changes of the membership.
+//!
+//! The code that owns a [`Raft`], feeds it inputs and carries out its effects is
+//! called the driver.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -42,10 +45,10 @@
 use crate::raft_progress::LeaderCx;
 use crate::raft_sent_replies::SentReplies;
 
-/// Time after which a replica that doesn't campaign asks for its next tick.
+/// Time between ticks of a learner, which has no election timer.
 const IDLE_TICK_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Holds one replica of the agreement.
+/// Implements one Raft replica.
 #[derive(Debug)]
 pub struct Raft {
     pub(crate) cfg: RaftConfig,
@@ -53,7 +56,7 @@
     pub(crate) log: RaftLog,
     pub(crate) commit: Revision,
     pub(crate) role: RoleState,
-    /// When a voter that isn't the leader campaigns.
+    /// When a voter that is not the leader starts a pre-vote.
     pub(crate) election_deadline: Instant,
     pub(crate) pending: PendingProposals,
     pub(crate) incoming: Option<IncomingSnapshot>,
@@ -63,7 +66,7 @@
     rng: ChaCha8Rng,
 }
 
-/// Holds what belongs to one role only.
+/// Contains the state that is specific to the current role.
 #[derive(Debug)]
 pub(crate) enum RoleState {
     Follower(FollowerState),
@@ -72,26 +75,28 @@
     Leader(LeaderState),
 }
 
-/// Holds the leader that a follower knows.
+/// Tracks what a follower knows about its leader.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FollowerState {
     pub leader: Option<ReplicaId>,
     pub last_leader_contact: Option<Instant>,
-    /// The highest revision that the leader said to be committed.
+    /// The highest commit index that the leader has advertised.
     pub leader_commit: Revision,
-    /// The first such revision that isn't known to be committed here yet, and the moment for
-    /// which it was told.
+    /// The first advertised commit index that this replica has not reached yet, with the
+    /// time for which the leader advertised it.
     pub pending_proof: Option<(Revision, Instant)>,
-    /// The latest moment at which the leader surely led and hadn't said more yet than it has by
-    /// now.
+    /// The latest time at which the sender was certainly the leader and had committed no
+    /// more than `leader_commit`.
     pub commit_as_of: Option<Instant>,
-    /// The latest moment up to which all that was committed is known to be committed here.
+    /// The latest time such that everything committed before it is known to be committed
+    /// here.
     pub proven_current_at: Option<Instant>,
 }
 
 impl FollowerState {
-    /// Takes in what the leader says to be committed, and the moment at which it surely led and
-    /// nothing more was. An append that comes late or twice tells of the past.
+    /// Records a commit index advertised by the leader, with the time at which the sender
+    /// certainly led and had committed no more. Delayed or duplicated appends, which carry
+    /// older values, lower neither.
     pub fn note_leader_commit(&mut self, advertised: Revision, commit_as_of: Option<Instant>) {
         self.leader_commit = self.leader_commit.max(advertised);
         self.commit_as_of = self.commit_as_of.max(commit_as_of);
@@ -101,13 +106,13 @@
         }
     }
 
-    /// Notes that everything up to `commit` is known to be committed here.
+    /// Records that everything up to `commit` is known to be committed here.
     ///
-    /// While the leader commits one entry after the other, it always knows of some that a
-    /// replica in another region lacks. What counts is how long ago it told of no more than
-    /// this replica has by now: without that, replicas said of themselves that they weren't
-    /// current whenever much was committed, and were left by all who followed them, 12 times
-    /// an entry VM in 24 s of a heavy day.
+    /// Under a steady stream of commits, the leader's commit index is always ahead of what
+    /// a replica in another region has received. The proof therefore dates from when the
+    /// leader advertised an index that this replica has reached since. Requiring the latest
+    /// advertised index made replicas report themselves as not current under load, and
+    /// entry VMs left them: 12 times per entry VM within 24 s of heavy load.
     pub fn note_commit(&mut self, commit: Revision) {
         if self.leader_commit <= commit {
             self.proven_current_at = self.proven_current_at.max(self.commit_as_of);
@@ -121,7 +126,7 @@
     }
 }
 
-/// Holds the votes of a candidacy.
+/// Collects the votes, or pre-votes, granted to this replica.
 #[derive(Debug)]
 pub(crate) struct Ballot {
     pub granted: BTreeSet<ReplicaId>,
@@ -129,13 +134,13 @@
 }
 
 impl Raft {
-    /// Starts a replica from what its disk held. The shell restores the replicated
-    /// state from `durable.snapshot` itself; entries after it come out of the steps as
-    /// committed once they are known to be.
+    /// Creates a replica from its durable state. The driver itself restores the
+    /// replicated state from `durable.snapshot`; later entries are returned in
+    /// [`Effects::committed`] once they are known to be committed.
     ///
     /// # Errors
     ///
-    /// Returns an error if the settings or the durable records contradict themselves.
+    /// Returns an error if the settings or the durable records are inconsistent.
     pub fn new(cfg: RaftConfig, durable: DurableState, now: Instant) -> Result<Self, RaftError> {
         cfg.check()?;
         let hard_state = durable.hard_state;
@@ -158,13 +163,13 @@
         };
         raft.start_first_timer();
         if raft.is_voter() && raft.membership().voters.len() == 1 {
-            // There is nobody to wait for.
+            // A sole voter needs no other votes and can campaign at once.
             raft.election_deadline = now;
         }
         Ok(raft)
     }
 
-    /// Takes one input and returns what is to be done.
+    /// Processes one input and returns the effects that the driver must carry out.
     pub fn step(&mut self, now: Instant, input: Input) -> Effects {
         let mut fx = Effects::default();
         let before = self.role_change();
@@ -190,7 +195,7 @@
         fx
     }
 
-    /// Returns when the next [`Input::Tick`] is due.
+    /// Returns when the next [`Input::Tick`] is due. May be in the past.
     #[must_use]
     pub fn next_wake(&self) -> Instant {
         let own = match &self.role {
@@ -204,13 +209,13 @@
         }
     }
 
-    /// Returns the replica's identity.
+    /// Returns the identity from [`RaftConfig::id`].
     #[must_use]
     pub fn id(&self) -> ReplicaId {
         self.cfg.id
     }
 
-    /// Returns what the replica does at present.
+    /// Returns the current role; a follower that is not a voter is a learner.
     #[must_use]
     pub fn role(&self) -> Role {
         match &self.role {
@@ -222,7 +227,7 @@
         }
     }
 
-    /// Returns the leader of the present term, as far as it is known.
+    /// Returns the leader of the current term; `None` if it is unknown.
     #[must_use]
     pub fn leader(&self) -> Option<ReplicaId> {
         match &self.role {
@@ -232,50 +237,51 @@
         }
     }
 
-    /// Returns the present term.
+    /// Returns the current term, the highest that this replica has seen.
     #[must_use]
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// Returns the replicas in force: the latest in the log, committed or not.
+    /// Returns the membership in force: the latest in the log, committed or not.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         self.log.membership()
     }
 
-    /// Returns whether the replicas in force are committed.
+    /// Returns whether the membership in force is committed.
     #[must_use]
     pub fn membership_is_committed(&self) -> bool {
         self.log.membership_index() <= self.commit
     }
 
-    /// Returns the last position of the log.
+    /// Returns the index of the last log entry, committed or not.
     #[must_use]
     pub fn last_index(&self) -> Revision {
         self.log.last().index
     }
 
-    /// Returns the last position known to be committed.
+    /// Returns the highest index known to be committed.
     #[must_use]
     pub fn commit(&self) -> Revision {
         self.commit
     }
 
-    /// Returns the position of the latest snapshot; 0 without one.
+    /// Returns the index of the latest snapshot; 0 if there is none.
     #[must_use]
     pub fn snapshot_index(&self) -> Revision {
         self.log.snapshot_index()
     }
 
-    /// Returns about how many bytes of entries follow the latest snapshot, all of them in
-    /// memory. [`Input::Compact`] lets go of them.
+    /// Returns the approximate size in bytes of the entries after the latest snapshot. They
+    /// are held in memory until [`Input::Compact`] releases them.
     #[must_use]
     pub fn bytes_since_snapshot(&self) -> usize {
         self.log.bytes_since_snapshot()
     }
 
-    /// Returns how far each other replica has got; empty unless this one leads.
+    /// Returns the replication progress of the other members; empty unless this replica is
+    /// the leader.
     #[must_use]
     pub fn progress(&self) -> Vec<ReplicaProgress> {
         let RoleState::Leader(leader) = &self.role else {
@@ -296,13 +302,14 @@
             .collect()
     }
 
-    /// Returns the latest moment for which this replica is proved to know all that was committed
-    /// before: as the leader, by the answers of a majority; otherwise by word of the leader,
-    /// dated by an answer of this replica that the leader had before it spoke.
+    /// Returns the latest time such that this replica is proven to know everything committed
+    /// before it. For the leader, replies from a majority prove it; for a follower, a commit
+    /// index advertised by the leader, dated by the last reply of this replica that the
+    /// leader had received when it sent the message.
     ///
-    /// Nothing is returned until an entry of the present term is known to be committed. A
-    /// new leader doesn't know what its predecessors committed until then, and what it says
-    /// of it may lie far behind.
+    /// Returns `None` until an entry of the current term is known to be committed: until
+    /// then a new leader does not know what its predecessors committed, and the commit index
+    /// that it advertises may be far behind.
     #[must_use]
     pub fn proven_current_at(&self) -> Option<Instant> {
         if self.log.term_at(self.commit) != Some(self.term()) {
@@ -327,11 +334,11 @@
         }
     }
 
-    /// Ends roles whose time is over before anything else of a step happens.
+    /// Gives up a role that has timed out, before the step's input is processed.
     ///
-    /// A process that was frozen wakes up with its old role and with messages that
-    /// waited in its buffers. Without this it would go on as leader on the strength of
-    /// answers from before the freeze, although another leader may have taken over.
+    /// A process that was suspended resumes with its old role and with buffered messages.
+    /// Without this check it would continue as leader because of replies from before the
+    /// suspension, although another leader may have been elected.
     fn expire_role(&mut self, fx: &mut Effects) {
         match &self.role {
             RoleState::Leader(leader) => {
@@ -379,7 +386,8 @@
         }
     }
 
-    /// Handles the messages of a term that was voted on.
+    /// Handles the messages that follow the usual rule for terms: a lower term is stale, a
+    /// higher one is adopted.
     fn on_message_of_term(
         &mut self,
         from: ReplicaId,
@@ -412,7 +420,8 @@
         }
     }
 
-    /// Tells a leader of an earlier term that its time is over.
+    /// Replies to a leader of an earlier term, so that it learns of the current term and
+    /// steps down.
     fn on_stale_term(&mut self, from: ReplicaId, kind: &MessageKind, fx: &mut Effects) {
         let barrier = match kind {
             MessageKind::Append { barrier, .. } => *barrier,
@@ -433,13 +442,14 @@
         fx.sends.push((to, Message { term, kind }));
     }
 
-    /// Enters a later term as a follower that knows no leader yet.
+    /// Enters a later term as a follower without a known leader.
     pub(crate) fn enter_term(&mut self, term: Term, fx: &mut Effects) {
         self.set_hard_state(term, None, fx);
         self.become_follower(None, &Refusal::NotLeader { leader: None }, fx);
     }
 
-    /// Becomes a follower in the present term; reads that wait are refused.
+    /// Becomes a follower in the current term; a former leader refuses its pending reads
+    /// with `read_refusal`.
     pub(crate) fn become_follower(
         &mut self,
         leader: Option<ReplicaId>,
@@ -470,10 +480,9 @@
         fx.writes.push(LogWrite::HardState(self.hard_state));
     }
 
-    /// Has a replica that has just started campaign after a shorter time than later on. It
-    /// has heard no leader; if there is one, the others hear it and refuse the pre-vote, so
-    /// that an early campaign disturbs nobody. When all replicas start anew it spares half
-    /// a second without a leader.
+    /// Starts the first election timer, which is shorter than later ones. If there is a
+    /// leader, the other voters refuse the pre-vote, so an early campaign does no harm. When
+    /// all replicas start together, it saves half a second without a leader.
     fn start_first_timer(&mut self) {
         let shortest = (self.cfg.heartbeat * 2).min(self.cfg.election_min);
         self.election_deadline = self.now + self.timeout_between(shortest, self.cfg.election_min);
@@ -484,13 +493,15 @@
         self.election_deadline = self.now + self.timeout_between(shortest, longest);
     }
 
-    /// Returns a timeout within a range, apart from those of the other voters.
+    /// Returns a random timeout from this voter's slot of the range, clear of the other
+    /// voters' timeouts.
     ///
-    /// Each voter has a part of the range of its own, which moves on with the term. Drawn
-    /// from the whole range, the two shortest of four timeouts lie within the way to another
-    /// region (55 ms of 600) one time in three; both replicas then stand, and each gets the
-    /// votes of its own region. With the parts, they lie 0.75 of a part apart at least:
-    /// 90 ms with five voters and 600 ms.
+    /// The range is divided into one slot per voter, and the assignment rotates with the
+    /// term. With timeouts drawn from the whole range, the two shortest of four differ by
+    /// less than the one-way delay to another region (55 ms, with a range of 600 ms) one time
+    /// in three; both replicas then campaign and each wins only the votes of its own region.
+    /// With slots, timeouts differ by at least 0.75 of a slot: 90 ms with five voters and a
+    /// range of 600 ms.
     fn timeout_between(&mut self, shortest: Duration, longest: Duration) -> Duration {
         let own = self.cfg.id;
         let voters = &self.membership().voters;
@@ -502,7 +513,8 @@
         self.rng.random_range(begin..=begin + slot_width / 4)
     }
 
-    /// Hands out the entries up to `index` as committed and answers who waits for them.
+    /// Commits the entries up to `index` and answers the requests that wait for them. Stops
+    /// at the end of the log.
     pub(crate) fn commit_through(&mut self, index: Revision, fx: &mut Effects) {
         while self.commit < index {
             let next = self.commit.next();
@@ -525,7 +537,7 @@
         }
     }
 
-    /// Runs `act` on the leader's state; does nothing in another role.
+    /// Calls `act` with the leader's state; returns `None` in any other role.
     pub(crate) fn with_leader<T>(
         &mut self,
         act: impl FnOnce(&mut LeaderState, &LeaderCx) -> T,
--- a/lib/src/raft_config.rs
+++ b/lib/src/raft_config.rs
@@ -1,4 +1,4 @@
-//! What a replica of the agreement starts from: its settings and its disk's records.
+//! What a Raft replica starts from: its settings and its durable state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,29 +17,30 @@
 use crate::raft_message::ReplicaInfo;
 use crate::raft_message::Snapshot;
 
-/// Holds the settings of one replica.
+/// Configures one replica.
 #[derive(Clone, Debug)]
 pub struct RaftConfig {
-    /// Identity of the replica, as its data folder was formatted.
+    /// Identity of the replica, as recorded when its data folder was formatted.
     pub id: ReplicaId,
-    /// Time between two rounds of heartbeats of a leader.
+    /// Interval between a leader's heartbeats.
     pub heartbeat: Duration,
-    /// Shortest time without a leader after which a voter campaigns. For this long
-    /// after it heard a leader, a replica ignores requests for votes.
+    /// Shortest election timeout. A replica also ignores vote requests for this long
+    /// after its last message from a leader.
     pub election_min: Duration,
-    /// Longest time without a leader after which a voter campaigns. A leader that
-    /// proved no quorum for this long steps down.
+    /// Longest election timeout. A leader that has had no contact with a quorum for this
+    /// long steps down.
     pub election_max: Duration,
-    /// Bound on the commands of one append, in bytes; a larger entry travels alone.
+    /// Limit on the size of the entries in one append, in bytes; a larger entry is sent in
+    /// an append of its own.
     pub max_append_bytes: usize,
-    /// Size of the parts in which a snapshot travels, in bytes.
+    /// Size of the chunks in which a snapshot is sent, in bytes.
     pub snapshot_chunk_bytes: usize,
-    /// Seed of the election timeouts; each replica takes another one.
+    /// Seed for the randomized election timeouts; must differ between replicas.
     pub seed: u64,
-    /// Voters beyond which a learner that has caught up isn't promoted, unless it
-    /// replaces a voter. Each commit waits for a majority of the voters.
+    /// Number of voters at which learners are no longer promoted, except to replace a
+    /// voter. Each commit waits for a majority of the voters.
     pub max_voters: usize,
-    /// Whether voters are to be spread over regions, of which [`Input::Regions`] tells.
+    /// Whether voters are to be spread over regions, as given by [`Input::Regions`].
     ///
     /// [`Input::Regions`]: crate::raft_effects::Input::Regions
     pub spread_voters: bool,
@@ -64,11 +65,12 @@
     }
 }
 
-/// Tells why a replica can't start.
+/// Describes why a replica cannot start.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RaftError {
-    /// The timeouts don't leave room for a heartbeat to arrive.
+    /// The timeouts are not in the required order, `heartbeat` < `election_min` <
+    /// `election_max`, or `heartbeat` is zero.
     #[snafu(display(
         "heartbeat {heartbeat:?} must be shorter than election_min {election_min:?}, \
          which must be shorter than election_max {election_max:?}"
@@ -81,46 +83,46 @@
         /// The setting `election_max`.
         election_max: Duration,
     },
-    /// A size of the settings is zero.
+    /// `max_append_bytes` or `snapshot_chunk_bytes` is zero.
     #[snafu(display("max_append_bytes and snapshot_chunk_bytes must be above zero"))]
     ZeroSize,
-    /// The durable records don't continue each other.
-    #[snafu(display("the log holds position {found} where {expected} belongs"))]
+    /// A durable log entry does not follow the one before it.
+    #[snafu(display("gap in the log: found entry {found}, expected {expected}"))]
     Gap {
-        /// The position that belongs there.
+        /// The index that should follow.
         expected: Revision,
-        /// The position that is there.
+        /// The index that was found.
         found: Revision,
     },
-    /// The terms of the durable log don't rise.
-    #[snafu(display("the log holds {found} at position {index}, after {before}"))]
+    /// The terms of the durable log decrease, or exceed that of the hard state.
+    #[snafu(display("log entry {index} has {found}, which is inconsistent with {before}"))]
     TermOrder {
-        /// The position.
+        /// Index of the entry in question.
         index: Revision,
         /// Its term.
         found: Term,
-        /// The term of the position before it, or that of the hard state.
+        /// The term of the entry before it, or that of the hard state.
         before: Term,
     },
 }
 
-/// Holds what a replica's disk held when the process started.
+/// Contains the durable state of a replica, as read from its disk at start.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DurableState {
     /// Term and vote.
     pub hard_state: HardState,
     /// The latest snapshot, if any.
     pub snapshot: Option<Snapshot>,
-    /// Entries after the snapshot, without a gap.
+    /// Entries after the snapshot, in order and without a gap.
     pub entries: Vec<LogEntry>,
 }
 
 impl DurableState {
-    /// Takes one record in, in the order in which the records were written.
+    /// Applies one record; records must be applied in the order in which they were written.
     ///
     /// # Errors
     ///
-    /// Returns [`RaftError::Gap`] if an appended entry doesn't follow the last one.
+    /// Returns [`RaftError::Gap`] if an appended entry does not follow the last one.
     pub fn apply(&mut self, write: LogWrite) -> Result<(), RaftError> {
         match write {
             LogWrite::HardState(hard_state) => self.hard_state = hard_state,
@@ -156,7 +158,7 @@
         in_log.or(of_snapshot).cloned().unwrap_or_default()
     }
 
-    /// Returns the last position held; 0 when there is none.
+    /// Returns the index of the last entry, or else of the snapshot; 0 if there is neither.
     #[must_use]
     pub fn last_index(&self) -> Revision {
         let of_snapshot = self.snapshot.as_ref().map(|snapshot| snapshot.index);
@@ -165,20 +167,20 @@
     }
 }
 
-/// Returns the records that format the first replica of a new cluster: it is the sole
-/// voter, and its membership is the entry at position 1.
+/// Returns the initial records of the first replica of a new cluster: it is the sole
+/// voter, and the entry at index 1 contains this membership.
 ///
-/// Every other replica starts from an empty folder instead.
+/// All other replicas start from an empty folder.
 #[must_use]
 pub fn bootstrap_writes(id: ReplicaId, info: ReplicaInfo) -> Vec<LogWrite> {
     founding_writes(BTreeMap::from([(id, info)]), Some(id))
 }
 
-/// Returns the records that format one of several founders of a new cluster.
+/// Returns the initial records of one of several founding replicas of a new cluster.
 ///
-/// All founders begin with the same entry at position 1, which makes all of them voters.
-/// So none can act without a majority of them, whichever start and whenever. A founder
-/// that begins alone has its own vote already (`voted_for`).
+/// All founders start with the same entry at index 1, which makes all of them voters, so
+/// that none can act without a majority of them, whichever founders start and in whatever
+/// order. A sole founder has already voted for itself (`voted_for`).
 #[must_use]
 pub fn founding_writes(
     founders: BTreeMap<ReplicaId, ReplicaInfo>,
--- a/lib/src/raft_effects.rs
+++ b/lib/src/raft_effects.rs
@@ -1,4 +1,4 @@
-//! What goes into a step of the agreement and what comes out of it.
+//! Inputs and effects of a step of the Raft state machine.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -15,91 +15,92 @@
 use crate::raft_message::ReplicaInfo;
 use crate::raft_message::Snapshot;
 
-/// Identifies a request of the shell; echoed in its one [`Answer`].
+/// Identifies a request of the driver; repeated in the one [`Answer`] to it.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Token(pub u64);
 
-/// Tells what happened to a replica.
+/// Represents an event that a replica has to process.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed; due at `Raft::next_wake`, harmless at any other time.
+    /// Time has passed. Due at `Raft::next_wake`, harmless at any other time.
     Tick,
     /// A message arrived.
     Message {
-        /// The sender, as its envelope names it.
+        /// The sender, as named by the transport's envelope.
         from: ReplicaId,
         /// The message.
         message: Message,
     },
-    /// Asks for a command to be committed.
+    /// Proposes a command for the replicated log.
     Propose {
         /// Identifies the request.
         token: Token,
-        /// The command.
+        /// The encoded command, opaque to Raft.
         command: Vec<u8>,
     },
-    /// Asks for proof that everything committed before this moment is known here.
+    /// Requests a linearizable read: proof that everything committed before this moment
+    /// is known here.
     ReadBarrier {
         /// Identifies the request.
         token: Token,
     },
-    /// Asks for another set of replicas.
+    /// Requests a change of the membership.
     ChangeMembership {
         /// Identifies the request.
         token: Token,
-        /// What is to change.
+        /// The requested change.
         change: MembershipChange,
     },
-    /// Tells in which regions replicas are, as far as that is known.
+    /// Sets the regions of the replicas, as far as they are known.
     Regions(BTreeMap<ReplicaId, RegionName>),
-    /// Hands in the replicated state at a position that was applied, so that the log
-    /// up to it can go.
+    /// Provides a snapshot of the replicated state, so that the log up to it can be
+    /// compacted.
     Compact {
-        /// The position.
+        /// Index of the last entry applied to the state.
         index: Revision,
-        /// The state.
+        /// The encoded state.
         data: Vec<u8>,
     },
-    /// Announces a planned stop: a leader hands over to the most caught-up voter and
-    /// takes no proposals meanwhile. Repeat it if `Raft::role` is still the leader's
-    /// after an election timeout.
+    /// Announces a planned stop: a leader hands leadership over to the most up-to-date
+    /// voter and refuses proposals meanwhile. To be repeated if the replica is still the
+    /// leader after an election timeout.
     StepDown,
 }
 
-/// Changes the set of replicas by one.
+/// Represents a change of the membership by one replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MembershipChange {
-    /// Adds a replica that receives the log; it becomes a voter by itself once it has
+    /// Adds a replica as a learner, which is promoted to voter automatically once it has
     /// caught up.
     AddLearner {
         /// The new replica.
         id: ReplicaId,
-        /// Where it is.
+        /// The VM and address of the new replica.
         info: ReplicaInfo,
-        /// The replica to remove as soon as the new one votes.
+        /// The replica to remove as soon as the new one is a voter.
         replaces: Option<ReplicaId>,
     },
     /// Removes a voter or a learner.
     Remove(ReplicaId),
 }
 
-/// Tells what a replica does at present.
+/// Represents the role of a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
-    /// Receives the log and doesn't campaign, since it is no voter.
+    /// Receives the log but neither votes nor campaigns.
     Learner,
-    /// Follows a leader, or waits for one.
+    /// Is a voter that follows a leader or waits for one.
     Follower,
-    /// Asks whether a candidacy would find a majority.
+    /// Asks the other voters whether they would vote for it.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes in a new term.
     Candidate,
-    /// Leads its term.
+    /// Was elected leader of its term.
     Leader,
 }
 
 impl Role {
-    /// Returns the role as logs and metrics name it.
+    /// Returns the name of the role in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -112,177 +113,180 @@
     }
 }
 
-/// Tells of a change of role, term or leader.
+/// Describes role, term and leader after a change of any of them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RoleChange {
-    /// The role from now on.
+    /// The new role.
     pub role: Role,
-    /// The term from now on.
+    /// The new term.
     pub term: Term,
-    /// The leader of that term, as far as it is known.
+    /// The leader of that term; `None` if unknown.
     pub leader: Option<ReplicaId>,
 }
 
-/// Answers a request; each request gets exactly one answer.
+/// Represents the outcome of a request; each request gets exactly one answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// The proposal or change is committed. Its entry is among `Effects::committed` of
-    /// the same step.
+    /// The proposal or membership change is committed. Its entry is in
+    /// `Effects::committed` of the same step.
     Committed {
         /// Identifies the request.
         token: Token,
-        /// The entry's position.
+        /// Index of the entry.
         index: Revision,
     },
     /// The read may be served once everything up to `index` is applied.
     ReadReady {
         /// Identifies the request.
         token: Token,
-        /// The position.
+        /// The index up to which the state must be applied.
         index: Revision,
     },
-    /// The request came to nothing here.
+    /// The request failed at this replica.
     Refused {
         /// Identifies the request.
         token: Token,
-        /// Why, and whether it may still be committed.
+        /// The reason, from which follows whether the proposal may still be committed.
         reason: Refusal,
     },
 }
 
-/// Tells why a request was refused.
+/// Describes why a request was refused.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Refusal {
-    /// Another replica leads, or none.
-    #[snafu(display("this replica does not lead"))]
+    /// This replica is not the leader.
+    #[snafu(display("this replica is not the leader"))]
     NotLeader {
-        /// The leader, as far as it is known.
+        /// The current leader; `None` if unknown.
         leader: Option<ReplicaId>,
     },
-    /// The leader can't prove at present that a majority still follows it.
-    #[snafu(display("no quorum answers"))]
+    /// The leader has no proof that a majority still follows it.
+    #[snafu(display("the leader has no contact with a quorum"))]
     NoQuorum,
-    /// The leader is handing over.
+    /// The leader is handing leadership over to another replica.
     #[snafu(display("leadership is being handed over"))]
     HandingOver,
-    /// Too many proposals wait for their commitment.
-    #[snafu(display("too many proposals wait"))]
+    /// A limit on pending proposals or reads is reached.
+    #[snafu(display("too many proposals or reads are pending"))]
     Busy,
-    /// An earlier membership change isn't committed yet, or the leader was elected just
-    /// now and can't know.
+    /// An earlier membership change is not committed yet, or the leader has not yet
+    /// committed an entry of its term and cannot know.
     #[snafu(display("an earlier membership change is not committed yet"))]
     ChangePending,
-    /// The membership change isn't possible.
+    /// The membership change is not possible.
     #[snafu(display("{problem}"))]
     InvalidChange {
-        /// What is wrong with it.
+        /// What is wrong with the change.
         problem: ChangeProblem,
     },
-    /// A later leader's entry is committed in its place: it never will be.
-    #[snafu(display("a later leader replaced the entry"))]
+    /// A later leader's entry was committed in place of the proposal, which can no
+    /// longer be committed.
+    #[snafu(display("the entry was replaced by that of a later leader"))]
     Overwritten,
-    /// Leadership was lost while the entry was in the log: it may be committed or not.
+    /// Leadership was lost while the entry was in the log; the entry may or may not be
+    /// committed.
     #[snafu(display("leadership was lost before the outcome was known"))]
     LeadershipLost,
 }
 
 impl Refusal {
-    /// Returns whether it is proved that the proposal is not in the log and never
-    /// will be. Otherwise its outcome is unknown.
+    /// Returns whether the proposal is proven never to be committed. Otherwise its
+    /// outcome is unknown.
     #[must_use]
     pub fn is_proved_absent(&self) -> bool {
         !matches!(self, Self::LeadershipLost)
     }
 }
 
-/// Tells what is wrong with a membership change.
+/// Describes why a membership change is not possible.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum ChangeProblem {
-    /// The replica to add is a member already.
-    #[snafu(display("replica {id} is a member already"))]
+    /// The replica to add is already a voter or learner.
+    #[snafu(display("replica {id} is already a member"))]
     AlreadyMember {
         /// The replica.
         id: ReplicaId,
     },
-    /// The replica to remove or replace is no member.
+    /// The replica to remove or replace is neither a voter nor a learner.
     #[snafu(display("replica {id} is not a member"))]
     NotMember {
         /// The replica.
         id: ReplicaId,
     },
-    /// Another new replica is to replace the same one.
-    #[snafu(display("replica {id} is being replaced already"))]
+    /// Another new replica is already to replace the same one.
+    #[snafu(display("replica {id} is already being replaced"))]
     AlreadyReplaced {
         /// The replica to be replaced.
         id: ReplicaId,
     },
-    /// The remaining voters that answer would be no majority.
-    #[snafu(display("only {live} of the remaining voters answer, and {needed} are needed"))]
+    /// Too few of the resulting voters respond to form a majority.
+    #[snafu(display("only {live} of the resulting voters respond, and {needed} are needed"))]
     WouldLoseQuorum {
-        /// Remaining voters that answer.
+        /// Number of resulting voters that respond, the leader included.
         live: usize,
-        /// The majority of the remaining voters.
+        /// The majority of the resulting voters.
         needed: usize,
     },
-    /// No voter would remain.
+    /// The change would leave no voter.
     #[snafu(display("the last voter cannot be removed"))]
     LastVoter,
-    /// The leader is to be removed; it hands over first. Ask the next leader again.
-    #[snafu(display("the replica leads and is handing over first; ask again"))]
+    /// The leader is to be removed and hands leadership over first. The request is to
+    /// be repeated at the next leader.
+    #[snafu(display("the replica is the leader and is handing leadership over; try again"))]
     LeaderHandsOver,
 }
 
-/// Tells how far one replica has got, as its leader knows it.
+/// Describes the replication progress of one replica, as known to the leader.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReplicaProgress {
     /// The replica.
     pub id: ReplicaId,
-    /// Whether it votes.
+    /// Whether it is a voter; otherwise it is a learner.
     pub voter: bool,
-    /// The last position that it has durably and that equals the leader's.
+    /// The highest index up to which its durable log is known to equal the leader's.
     pub matched: Revision,
-    /// When it was last heard, if it was since this leader's election.
+    /// Time of its last reply; `None` if there was none since this leader's election.
     pub last_heard: Option<Instant>,
-    /// The snapshot on its way to it, if any.
+    /// Progress of the snapshot being sent to it, if any.
     pub snapshot: Option<SnapshotProgress>,
 }
 
-/// Tells how much of a snapshot a replica has received.
+/// Describes how much of a snapshot a replica has received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SnapshotProgress {
-    /// Position of the snapshot.
+    /// Index of the snapshot.
     pub index: Revision,
     /// Bytes received.
     pub received: u64,
-    /// Bytes altogether.
+    /// Size of the snapshot in bytes.
     pub total: u64,
 }
 
-/// Holds what is to be done after a step.
+/// Lists what the driver must do after a step.
 ///
-/// The shell makes `writes` durable, in order, with one sync, before anything else of
-/// the step leaves it. What would go wrong otherwise: a vote or an acknowledgement
-/// that a crash forgets is given a second time, to another leader, and a committed
-/// entry is lost. If the writing fails, the process stops without carrying out the rest.
+/// The driver makes `writes` durable, in order and with one sync, before it carries out any
+/// other effect of the step. Otherwise, a vote or an acknowledgement could be lost in a
+/// crash and given a second time to another leader, and a committed entry would be lost. If
+/// the write fails, the process stops without carrying out the other effects.
 #[derive(Clone, Debug, Default)]
 #[must_use]
 pub struct Effects {
-    /// Records to make durable.
+    /// Records to make durable first.
     pub writes: Vec<LogWrite>,
-    /// Messages to send. They may be lost, doubled, delayed and reordered.
+    /// Messages to send. They may be lost, duplicated, delayed and reordered.
     pub sends: Vec<(ReplicaId, Message)>,
-    /// A snapshot that replaces the replicated state, before `committed` is applied.
+    /// A snapshot that replaces the replicated state before `committed` is applied.
     pub restored: Option<Snapshot>,
-    /// Entries to apply, in order.
+    /// Entries to apply to the replicated state, in order.
     pub committed: Vec<LogEntry>,
-    /// Answers to requests.
+    /// Answers to requests of this and earlier steps.
     pub answers: Vec<Answer>,
-    /// Set when role, term or leader changed.
+    /// Set if the role, the term or the leader changed.
     pub role_changed: Option<RoleChange>,
 }
 
 impl Effects {
-    /// Adds the effects of a later step, so that one sync serves several steps.
+    /// Adds the effects of a later step, so that several steps share one sync.
     pub fn append(&mut self, later: Self) {
         self.writes.extend(later.writes);
         self.sends.extend(later.sends);
@@ -295,8 +299,9 @@
         self.role_changed = later.role_changed.or(self.role_changed);
     }
 
-    /// Drops what was to be applied, since a snapshot includes it. Its results can't be
-    /// told any more, so whoever waits for one learns that the outcome is unknown.
+    /// Drops the entries to apply, since a snapshot includes them. Their results are no
+    /// longer available, so requests that wait for them are answered with an unknown
+    /// outcome.
     fn discard_committed(&mut self) {
         self.committed.clear();
         for answer in &mut self.answers {
@@ -307,7 +312,7 @@
         }
     }
 
-    /// Returns whether there is nothing to do.
+    /// Returns whether the step has no effects, not even a change of role.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty()
--- a/lib/src/raft_election.rs
+++ b/lib/src/raft_election.rs
@@ -1,4 +1,4 @@
-//! Pre-votes, votes and the end of an election.
+//! Leader election: pre-votes, votes and the transition to leader.
 
 use crate::id::ReplicaId;
 use crate::id::Revision;
@@ -12,14 +12,14 @@
 use crate::raft_message::Message;
 use crate::raft_message::MessageKind;
 
-/// Term and index of the last position of a log, in the order in which logs compare.
+/// Term and index of the last log entry, in the order in which logs are compared.
 type LogEnd = (Term, Revision);
 
 impl Raft {
-    /// Asks whether a candidacy would find a majority.
+    /// Asks the other voters whether they would vote for this replica.
     ///
-    /// Without this, a replica that was cut off would come back with a term that it
-    /// raised many times, and depose a leader that everyone else follows.
+    /// Without pre-votes, an isolated replica would increment its term many times and, once
+    /// reconnected, depose a leader that all others follow.
     pub(crate) fn start_pre_vote(&mut self, fx: &mut Effects) {
         self.restart_election_timer();
         if !self.is_voter() {
@@ -39,7 +39,7 @@
         self.count_pre_votes(fx);
     }
 
-    /// Stands for election in the next term.
+    /// Becomes a candidate in the next term and requests votes.
     fn start_election(&mut self, handover: bool, fx: &mut Effects) {
         self.restart_election_timer();
         let term = Term(self.term().0 + 1);
@@ -124,12 +124,12 @@
         fx.sends.push((from, Message { term, kind }));
     }
 
-    /// Returns whether this replica asks for pre-votes as well, with a log as good, and
-    /// goes before the other one.
+    /// Returns whether this replica is also requesting pre-votes, with an equal log and the
+    /// higher identity, and therefore takes precedence.
     ///
-    /// If each granted the other's request, both would stand in the same term, vote for
-    /// themselves and wait for another timeout. This holds for a while only: the other
-    /// one may be the only one of the two that its voters can hear.
+    /// If each granted the other's request, both would campaign in the same term, vote for
+    /// themselves and wait for another timeout. Precedence lasts for `election_min` only,
+    /// since the other replica may be the only one of the two that can reach a majority.
     fn takes_precedence_over(&self, other: ReplicaId, log_end: LogEnd) -> bool {
         let RoleState::PreCandidate(ballot) = &self.role else {
             return false;
@@ -138,15 +138,16 @@
         recent && log_end == self.log_end() && self.cfg.id > other
     }
 
-    /// Returns whether this replica may vote for a log that ends at `log_end`.
+    /// Returns whether this replica may vote for a candidate whose log ends at `log_end`.
     ///
-    /// A replica with an empty log was never a voter; it doesn't vote.
+    /// A replica with an empty log has never been a voter and does not vote.
     fn would_vote(&self, log_end: LogEnd) -> bool {
         let own_end = self.log_end();
         own_end.1 > Revision(0) && log_end >= own_end
     }
 
-    /// Returns whether a leader was heard so lately that no election is due.
+    /// Returns whether there was contact with a leader, or as leader with a quorum, within
+    /// `election_min`, so that vote requests are to be ignored.
     fn has_recent_leader_contact(&self) -> bool {
         let last_leader_contact = match &self.role {
             RoleState::Follower(follower) => follower.last_leader_contact,
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Takes leadership over, as the leader asks.
+    /// Campaigns at once, without a pre-vote, as requested by the leader.
     pub(crate) fn on_timeout_now(&mut self, fx: &mut Effects) {
         if self.is_voter() && matches!(self.role, RoleState::Follower(_)) {
             self.start_election(true, fx);
--- a/lib/src/raft_follower.rs
+++ b/lib/src/raft_follower.rs
@@ -1,4 +1,4 @@
-//! What a follower or learner does with the appends and snapshots of its leader.
+//! Handling of the leader's appends and snapshots by a follower or learner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,9 +19,9 @@
 use crate::raft_message::MessageKind;
 use crate::raft_message::Snapshot;
 
-/// Holds the parts of a snapshot that arrived so far.
+/// Collects the chunks of a snapshot received so far.
 ///
-/// It belongs to one leader, since another leader may encode the same state otherwise.
+/// All come from one leader, since another leader may encode the same state differently.
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
     leader_term: Term,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Holds one part of a snapshot.
+/// Contains one received chunk of a snapshot.
 #[derive(Debug)]
 struct IncomingChunk {
     at: Position,
@@ -51,7 +51,7 @@
     last: bool,
 }
 
-/// Holds one append.
+/// Contains the fields of a received append that concern the log.
 #[derive(Debug)]
 struct Append {
     previous: Position,
@@ -61,7 +61,7 @@
 }
 
 impl Raft {
-    /// Handles what only the leader of the present term sends.
+    /// Handles messages that only the leader of the current term sends.
     pub(crate) fn on_leader_message(
         &mut self,
         from: ReplicaId,
@@ -69,7 +69,7 @@
         fx: &mut Effects,
     ) {
         if matches!(self.role, RoleState::Leader(_)) {
-            // There is one leader a term, so this message is forged or damaged.
+            // There is at most one leader per term, so this message is forged or corrupted.
             return;
         }
         self.record_leader_contact(from, fx);
@@ -124,8 +124,10 @@
         }
     }
 
-    /// Returns a moment at which the leader surely led, and before which it hadn't spoken. It had
-    /// this replica's `reply_number` when it spoke, and had been proved to lead `contact_ms` before.
+    /// Returns a time at which the sender of a message was certainly the leader and had not
+    /// sent the message yet; `None` if the reply is not known here. The sender had received
+    /// this replica's reply `reply_number` and was last proven to lead `contact_ms` before it
+    /// sent the message.
     fn commit_as_of(&self, reply_number: u64, contact_ms: u32) -> Option<Instant> {
         let sent_at = self.sent_replies.sent_at(reply_number)?;
         sent_at.checked_sub(Duration::from_millis(contact_ms.into()))
@@ -182,8 +184,8 @@
         self.send(from, kind, fx);
     }
 
-    /// Leaves out what is committed here. Any leader's log holds the same there, so it
-    /// matches, also where this replica has compacted it.
+    /// Removes the entries that are already committed here. Every leader's log contains the
+    /// same entries there, so they match even where this replica has compacted its log.
     fn skip_committed(&self, mut append: Append) -> Append {
         if append.previous.index >= self.commit {
             return append;
@@ -196,9 +198,9 @@
         append
     }
 
-    /// Returns the position from which the leader should try again: past the end of a
-    /// log that is too short, else the start of the conflicting term, so that a long
-    /// conflict costs one round trip a term and not one an entry.
+    /// Returns the index from which the leader should retry: just past the end of a log
+    /// that is too short, otherwise the start of the conflicting term, so that a conflict
+    /// costs one round trip per term instead of one per entry.
     fn retry_position(&self, index: Revision) -> Revision {
         let last = self.last_index();
         if index > last {
@@ -227,7 +229,7 @@
     fn on_snapshot_chunk(&mut self, from: ReplicaId, chunk: IncomingChunk, fx: &mut Effects) {
         let index = chunk.at.index;
         if self.log.term_at(index) == Some(chunk.at.term) {
-            // The log holds the position, so everything before it equals the leader's.
+            // The log contains this entry, so everything before it equals the leader's log.
             self.commit_through(index, fx);
         }
         if index <= self.commit {
@@ -244,7 +246,8 @@
         self.send_snapshot_reply(from, index, received, complete, fx);
     }
 
-    /// Adds a part to what arrived so far; returns whether it was the next one.
+    /// Adds a chunk to the incoming snapshot, or starts a new one; returns whether it was the
+    /// next chunk in order. Others are dropped.
     fn add_chunk(&mut self, chunk: IncomingChunk) -> bool {
         let leader_term = self.term();
         let same = self
@@ -275,7 +278,7 @@
     fn install(&mut self, snapshot: Snapshot, fx: &mut Effects) {
         let first_after_commit = self.commit.next();
         if self.last_index() >= first_after_commit {
-            // What follows the committed part conflicts with the snapshot.
+            // The uncommitted entries conflict with the snapshot.
             fx.writes.push(LogWrite::Truncate(first_after_commit));
         }
         self.pending
@@ -304,8 +307,8 @@
     }
 }
 
-/// Returns whether the entries follow each other and the position before them. A
-/// message that doesn't is damaged; taking it in would leave a gap in the log.
+/// Returns whether the entries are consecutive and follow the previous position. A message
+/// that violates this is corrupted, and accepting it would leave a gap in the log.
 fn is_continuous(append: &Append) -> bool {
     let mut before = append.previous;
     append.entries.iter().all(|entry| {
--- a/lib/src/raft_leader.rs
+++ b/lib/src/raft_leader.rs
@@ -1,5 +1,5 @@
-//! What a replica holds while it leads: the progress of the others, the rounds of
-//! heartbeats, the reads that wait for them, and a hand-over under way.
+//! State of a leader: the progress of the other replicas, heartbeat rounds, pending
+//! reads, and a handover in progress.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -17,25 +17,25 @@
 use crate::raft_progress::LeaderCx;
 use crate::raft_progress::Progress;
 
-/// Bound on the rounds that a majority hasn't answered before reads wait for the next
-/// heartbeat instead of beginning a round of their own.
+/// Number of rounds unanswered by a majority at which reads no longer start a round of
+/// their own and wait for the next heartbeat instead.
 const MAX_OPEN_ROUNDS: u64 = 16;
 
-/// Bound on the reads that wait.
+/// Limit on pending reads; further ones are refused.
 const MAX_WAITING_READS: usize = 16_384;
 
-/// Holds the state of a leader.
+/// Contains the state of a leader.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
     pub peers: BTreeMap<ReplicaId, Progress>,
-    /// Position of the entry that this leader appended first. Until it is committed,
-    /// the leader doesn't know all that is committed.
+    /// Index of the first entry that this leader appended. Until it is committed, the
+    /// leader does not know everything that is committed.
     pub term_start: Revision,
     pub next_heartbeat: Instant,
     pub handover: Option<Handover>,
-    /// No hand-over begins by itself before this time.
+    /// No handover starts automatically before this time.
     pub handover_paused_until: Instant,
-    /// Since when there have been fewer voters than there should be.
+    /// Since when there have been fewer than `max_voters` voters.
     pub below_max_voters_since: Option<Instant>,
     own_id: ReplicaId,
     round: u64,
@@ -43,28 +43,30 @@
     reads: Vec<PendingRead>,
 }
 
-/// Holds a round of heartbeats that replicas may still answer.
+/// Represents a round of heartbeats that replicas may still answer.
 #[derive(Clone, Copy, Debug)]
 struct HeartbeatRound {
     number: u64,
     began_at: Instant,
 }
 
-/// Holds a read that waits for proof that this replica still leads.
+/// Represents a read that waits for proof that this replica is still the leader.
 #[derive(Debug)]
 struct PendingRead {
     token: Token,
-    /// What is needed; nothing until the first entry of the term is committed.
+    /// `None` until the first entry of the term is committed.
     read_index: Option<ReadIndex>,
 }
 
+/// Contains the index at which a read may be served, and the round that must be
+/// answered by a majority first.
 #[derive(Clone, Copy, Debug)]
 struct ReadIndex {
     index: Revision,
     round: u64,
 }
 
-/// Holds a hand-over of leadership under way.
+/// Represents a handover of leadership in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Handover {
     pub target: ReplicaId,
@@ -72,8 +74,8 @@
 }
 
 impl LeaderState {
-    /// Begins to lead. `contact` is when the replica stood for election: what its
-    /// voters granted is not newer than that.
+    /// Creates the state of a new leader. `contact` is when it started its candidacy, since
+    /// its votes prove no later contact.
     pub fn new(
         own_id: ReplicaId,
         membership: &Membership,
@@ -97,7 +99,7 @@
         leader
     }
 
-    /// Begins to serve the members that aren't served yet.
+    /// Starts replication to members that it does not cover yet.
     pub fn add_peers(&mut self, membership: &Membership, last: Revision, contact: Instant) {
         for id in membership.ids() {
             if id != self.own_id {
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Ends serving replicas that were removed some time ago.
+    /// Stops replication to removed replicas, four times `election_max` after their removal.
     pub fn drop_removed(&mut self, membership: &Membership, cx: &LeaderCx) {
         let grace_period = cx.cfg.election_max * 4;
         self.peers.retain(|id, progress| {
@@ -122,7 +124,7 @@
         });
     }
 
-    /// Begins a round of heartbeats.
+    /// Starts a new round of heartbeats.
     pub fn begin_heartbeat_round(&mut self, cx: &LeaderCx, fx: &mut Effects) {
         self.round += 1;
         self.rounds.push_back(HeartbeatRound {
@@ -143,25 +145,25 @@
         self.send_timeout_now(cx, fx);
     }
 
-    /// Sends each replica what it lacks.
+    /// Sends entries or snapshot chunks to all replicas that need them.
     pub fn replicate_all(&mut self, cx: &LeaderCx, fx: &mut Effects) {
         for (id, progress) in &mut self.peers {
             progress.replicate(*id, self.round, cx, fx);
         }
     }
 
-    /// Sends one replica what it lacks.
+    /// Sends entries or a snapshot chunk to one replica if it needs them.
     pub fn replicate(&mut self, to: ReplicaId, cx: &LeaderCx, fx: &mut Effects) {
         if let Some(progress) = self.peers.get_mut(&to) {
             progress.replicate(to, self.round, cx, fx);
         }
     }
 
-    /// Takes in that a replica answered a round.
+    /// Records that a replica answered a round.
     ///
-    /// The contact counts from when the round began, not from when the answer came: an
-    /// answer that lay in a buffer while this process was frozen proves nothing about
-    /// the time since.
+    /// The contact is dated by the start of the round, not by the arrival of the reply: a
+    /// reply that was buffered while this process was suspended proves nothing about the
+    /// time since.
     pub fn on_round_reply(&mut self, from: ReplicaId, number: u64) {
         let began_at = self.began_at(number);
         let Some(progress) = self.peers.get_mut(&from) else {
@@ -179,15 +181,15 @@
         self.rounds.get(offset).map(|round| round.began_at)
     }
 
-    /// Returns the time at which a majority surely followed this leader.
+    /// Returns the latest time at which a majority certainly followed this leader.
     pub fn quorum_contact(&self, membership: &Membership, now: Instant) -> Instant {
         membership
             .quorum_value(|id| self.peers.get(&id).map_or(now, |peer| peer.contact))
             .unwrap_or(now)
     }
 
-    /// Returns the last position that a majority holds durably. The leader counts
-    /// itself: its records are synced before any effect of this step is carried out.
+    /// Returns the highest index that a majority holds durably. The leader counts itself,
+    /// since its records are synced before any other effect of this step is carried out.
     pub fn quorum_match(&self, membership: &Membership, last: Revision) -> Revision {
         membership
             .quorum_value(|id| self.peers.get(&id).map_or(last, |peer| peer.matched))
@@ -205,8 +207,8 @@
             .unwrap_or(0)
     }
 
-    /// Takes a read in. It is answered once a majority has answered a round that
-    /// begins after this moment.
+    /// Queues a read. It is answered once a majority has answered a round that starts after
+    /// this call.
     pub fn read(&mut self, token: Token, fx: &mut Effects) {
         if self.reads.len() >= MAX_WAITING_READS {
             let reason = Refusal::Busy;
@@ -219,7 +221,7 @@
         });
     }
 
-    /// Starts rounds that reads need, and answers the reads that are proved.
+    /// Starts a round if pending reads need one, and answers the reads that are proven.
     pub fn drive_reads(&mut self, membership: &Membership, cx: &LeaderCx, fx: &mut Effects) {
         if self.reads.is_empty() || cx.commit < self.term_start {
             return;
@@ -255,7 +257,7 @@
         });
     }
 
-    /// Refuses the reads that wait, since leadership ends.
+    /// Refuses all pending reads when leadership ends.
     pub fn refuse_reads(&mut self, reason: &Refusal, fx: &mut Effects) {
         fx.answers
             .extend(self.reads.drain(..).map(|read| Answer::Refused {
@@ -264,7 +266,7 @@
             }));
     }
 
-    /// Returns the live voter that has most of the log, other than this replica.
+    /// Returns the live voter with the highest matching index, other than this replica.
     pub fn handover_target(&self, membership: &Membership, cx: &LeaderCx) -> Option<ReplicaId> {
         let candidates = self.peers.iter().filter(|(id, progress)| {
             membership.voters.contains_key(id) && progress.is_live(cx.now, cx.cfg)
@@ -274,7 +276,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Asks the target of a hand-over to stand, once it has the whole log.
+    /// Asks the target of a handover to campaign, once it has the whole log.
     pub fn send_timeout_now(&self, cx: &LeaderCx, fx: &mut Effects) {
         let Some(handover) = self.handover else {
             return;
@@ -289,7 +291,7 @@
         }
     }
 
-    /// Returns how many voters of a membership answer, this replica included.
+    /// Returns how many voters of a membership are live, this replica included.
     pub fn live_voters(&self, membership: &Membership, cx: &LeaderCx) -> usize {
         let is_live = |id: &ReplicaId| match self.peers.get(id) {
             Some(progress) => progress.is_live(cx.now, cx.cfg),
--- a/lib/src/raft_log.rs
+++ b/lib/src/raft_log.rs
@@ -1,5 +1,5 @@
 //! The replicated log of one replica: a snapshot, the entries after it, and the
-//! memberships that they hold.
+//! memberships that they contain.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,27 +15,27 @@
 use crate::raft_message::Membership;
 use crate::raft_message::Snapshot;
 
-/// Entries before a snapshot that stay in memory, so that a replica which is only a
-/// little behind needs no snapshot.
+/// Number of entries before a snapshot that are kept in memory, so that a replica which
+/// is only slightly behind needs no snapshot.
 const TRAILING_ENTRIES: usize = 256;
 
-/// Bound on the bytes of these entries. By their number alone, a few hundred large
-/// manifests would stay in memory.
+/// Limit on the bytes of these entries. With a limit on their number only, several hundred
+/// large manifests would be kept in memory.
 const TRAILING_BYTES: usize = 4 << 20;
 
-/// Holds the log in memory, as it is on disk once the writes so far are synced.
+/// Contains the log in memory, as it will be on disk once all writes so far are synced.
 #[derive(Debug)]
 pub(crate) struct RaftLog {
     snapshot: Option<Arc<Snapshot>>,
-    /// The position before the first entry held.
+    /// The position before the first entry in `entries`.
     base: Position,
     entries: VecDeque<LogEntry>,
-    /// Memberships with the positions that hold them, in order. The first is that of
-    /// the snapshot, and is never dropped.
+    /// Memberships with the indexes of their entries, in order. The first is that of the
+    /// snapshot and is never removed.
     memberships: Vec<(Revision, Membership)>,
 }
 
-/// Names a position of the log.
+/// Identifies a log entry by its index and term.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Position {
     pub index: Revision,
@@ -43,7 +43,7 @@
 }
 
 impl RaftLog {
-    /// Takes the log over from the disk.
+    /// Loads the log from its durable state.
     pub fn new(durable: DurableState) -> Result<Self, RaftError> {
         let mut log = Self {
             snapshot: None,
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    /// Returns the last position.
+    /// Returns the position of the last entry, or `base` if there is none.
     pub fn last(&self) -> Position {
         self.entries.back().map_or(self.base, |entry| Position {
             index: entry.index,
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Returns the term of a position, unless it is compacted or not there yet.
+    /// Returns the term at an index; `None` if it is compacted or past the end of the log.
     pub fn term_at(&self, index: Revision) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -107,14 +107,14 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// Returns the entry at a position, unless it is compacted or not there yet.
+    /// Returns the entry at an index; `None` if it is compacted or past the end of the log.
     pub fn entry(&self, index: Revision) -> Option<&LogEntry> {
         let offset = index.0.checked_sub(self.base.index.0 + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Returns copies of entries from a position on, up to a number of bytes but at
-    /// least one, if there is one.
+    /// Returns copies of the entries from index `from` on, up to `max_bytes` in total, but
+    /// at least one if there is any.
     pub fn batch(&self, from: Revision, max_bytes: usize) -> Vec<LogEntry> {
         let mut batch = Vec::new();
         let mut bytes = 0;
@@ -130,8 +130,8 @@
         batch
     }
 
-    /// Returns the first position that has the same term as `index`, without going
-    /// below `floor`.
+    /// Returns the first index of the run of entries with the same term as `index`, but not
+    /// less than `floor`.
     pub fn first_of_term(&self, index: Revision, floor: Revision) -> Revision {
         let term = self.term_at(index);
         let mut first = index;
@@ -145,7 +145,7 @@
         first
     }
 
-    /// Appends an entry after the last one.
+    /// Appends an entry, which must follow the last one.
     pub fn append(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.index, self.last().index.next());
         if let LogPayload::Membership(membership) = &entry.payload {
@@ -154,8 +154,8 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops all entries from a position on, and with them the memberships that they
-    /// put in force.
+    /// Removes all entries from an index on, together with the memberships that they put in
+    /// force.
     pub fn truncate(&mut self, from: Revision) {
         let kept = from.0.saturating_sub(self.base.index.0 + 1);
         self.entries.truncate(usize::try_from(kept).unwrap_or(0));
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Replaces everything up to `index` by a snapshot and returns it. Returns nothing
-    /// if the position is compacted already or not in the log.
+    /// Replaces everything up to `index` with a snapshot and returns it; `None` if the index
+    /// is already compacted or not in the log.
     pub fn compact(&mut self, index: Revision, data: Vec<u8>) -> Option<Arc<Snapshot>> {
         if index <= self.snapshot_index() {
             return None;
@@ -198,7 +198,8 @@
         }
     }
 
-    /// Returns the first position that stays in memory, at or before the snapshot's.
+    /// Returns the index of the first entry to keep in memory: one covered by the snapshot,
+    /// within [`TRAILING_ENTRIES`] and [`TRAILING_BYTES`], or else the one after it.
     fn first_to_keep(&self) -> Revision {
         let covered = self.snapshot_index();
         let mut bytes = 0;
@@ -216,7 +217,7 @@
         first.map_or(covered.next(), |entry| entry.index)
     }
 
-    /// Returns the bytes of the entries after the snapshot.
+    /// Returns the approximate size in bytes of the entries after the snapshot.
     pub fn bytes_since_snapshot(&self) -> usize {
         let covered = self.snapshot_index();
         let since = self.entries.iter().rev();
@@ -224,7 +225,7 @@
         since.map(LogEntry::size).sum()
     }
 
-    /// Replaces the whole log by a snapshot.
+    /// Replaces the whole log with a snapshot.
     pub fn restore(&mut self, snapshot: Arc<Snapshot>) {
         self.entries.clear();
         self.base = Position {
@@ -240,19 +241,19 @@
         self.snapshot.as_ref()
     }
 
-    /// Returns the position of the latest snapshot; 0 without one.
+    /// Returns the index of the latest snapshot; 0 if there is none.
     pub fn snapshot_index(&self) -> Revision {
         self.snapshot
             .as_ref()
             .map_or(Revision(0), |snapshot| snapshot.index)
     }
 
-    /// Returns the membership in force.
+    /// Returns the membership in force, committed or not.
     pub fn membership(&self) -> &Membership {
         &self.memberships[self.memberships.len() - 1].1
     }
 
-    /// Returns the position that put the membership in force.
+    /// Returns the index of the entry or snapshot that contains the membership in force.
     pub fn membership_index(&self) -> Revision {
         self.memberships[self.memberships.len() - 1].0
     }
--- a/lib/src/raft_membership.rs
+++ b/lib/src/raft_membership.rs
@@ -1,8 +1,8 @@
-//! Changes of the set of replicas, one replica at a time.
+//! Membership changes, one replica at a time.
 //!
-//! A membership is in force from when it is appended, and is rolled back if the entry
-//! is replaced. Two memberships that follow each other differ by one voter, so any two
-//! of their majorities share a replica.
+//! A membership is in force as soon as it is appended, and is rolled back if its entry is
+//! replaced. Consecutive memberships differ by at most one voter, so any majority of one
+//! and any majority of the other have a replica in common.
 
 use crate::id::ReplicaId;
 use crate::raft::Raft;
@@ -20,7 +20,7 @@
 use crate::raft_progress::LeaderCx;
 use crate::replica_plan;
 
-/// Names a change that the leader makes by itself.
+/// Represents a change that the leader makes automatically.
 #[derive(Clone, Copy, Debug)]
 enum DueChange {
     RemoveReplaced(ReplicaId),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns why no membership change can be taken now.
+    /// Returns why no membership change can be accepted now; `None` if one can.
     fn change_refusal(&self) -> Option<Refusal> {
         if let Some(reason) = self.proposal_refusal() {
             return Some(reason);
@@ -63,9 +63,9 @@
     /// Returns whether the last membership change is committed and the leader has
     /// committed an entry of its own term.
     ///
-    /// Without the second condition, a leader could change the membership while an
-    /// earlier leader's change, which it doesn't know, is committed by others; the two
-    /// differ by more than one voter and their majorities need not meet.
+    /// Without the second condition, a leader could change the membership while others
+    /// commit a change of an earlier leader that it does not know of. The two memberships
+    /// would differ by more than one voter and could have disjoint majorities.
     fn may_change_membership(&self) -> bool {
         let RoleState::Leader(leader) = &self.role else {
             return false;
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Returns the membership without a replica, if enough voters that answer remain.
+    /// Returns the membership without a replica, provided that a majority of the remaining
+    /// voters is live.
     fn without(&mut self, id: ReplicaId) -> Result<Membership, ChangeProblem> {
         let current = self.membership();
         if !current.contains(id) {
@@ -116,8 +117,8 @@
         Ok(())
     }
 
-    /// Makes the change that is due by itself, if there is one: the removal of a
-    /// replaced replica, else the promotion of a learner that has caught up.
+    /// Makes the automatic change that is due, if any: the removal of a replaced replica, or
+    /// else the promotion of a learner that has caught up.
     pub(crate) fn drive_membership(&mut self, fx: &mut Effects) {
         if !self.may_change_membership() || self.proposal_refusal().is_some() {
             return;
@@ -134,7 +135,7 @@
                 self.after_append(fx);
             }
             Err(ChangeProblem::LeaderHandsOver) => self.start_automatic_handover(fx),
-            // Tried again when the next answer arrives.
+            // Retried when the next reply arrives.
             Err(_) => {}
         }
     }
--- a/lib/src/raft_message.rs
+++ b/lib/src/raft_message.rs
@@ -1,8 +1,8 @@
-//! Messages, log entries and durable records of the agreement among control replicas.
+//! Messages, log entries and durable records of the consensus among control replicas.
 //!
 //! The protocol is Raft (Ongaro and Ousterhout, 2014) with pre-vote, check-quorum,
-//! read barriers by a quorum round, learners, and membership changes of one replica
-//! at a time (Ongaro's dissertation, chapters 4, 6 and 9).
+//! read barriers confirmed by a quorum round, learners, and membership changes of one
+//! replica at a time (Ongaro's dissertation, chapters 4, 6 and 9).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,22 +16,22 @@
 use crate::id::Term;
 use crate::id::VmName;
 
-/// Holds one position of the replicated log.
+/// Represents one entry of the replicated log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LogEntry {
-    /// The position.
+    /// Position of the entry in the log; the first entry has 1.
     pub index: Revision,
     /// The term of the leader that appended it.
     pub term: Term,
-    /// What it holds.
+    /// Content of the entry.
     pub payload: LogPayload,
 }
 
 impl LogEntry {
-    /// Returns about how many bytes the entry takes in a message.
+    /// Returns the approximate size of the encoded entry in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
-        /// Stands for the encoding around a command, and for a small membership.
+        /// Estimate of the encoding around a command, and of a small membership.
         const OVERHEAD_BYTES: usize = 64;
         match &self.payload {
             LogPayload::Command(command) => command.len() + OVERHEAD_BYTES,
@@ -40,27 +40,27 @@
     }
 }
 
-/// Tells what a log entry holds.
+/// Represents the content of a log entry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum LogPayload {
-    /// Nothing: appended by a new leader to commit the entries before it.
+    /// No content; appended by a new leader to commit the entries before it.
     Noop,
-    /// A command for the replicated state, in the encoding of `command`.
-    /// Shared, since the log, the disk and every message to a replica hold it.
+    /// A command for the replicated state, in the encoding of the `command` module.
+    /// Reference-counted, since the log, the disk writer and every message share it.
     Command(Arc<[u8]>),
-    /// The replicas from here on. Takes effect when appended, not when committed.
+    /// The membership from this entry on. Takes effect when appended, not when committed.
     Membership(Membership),
 }
 
-/// Holds the replicas of a cluster.
+/// Describes the replicas of a cluster.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Membership {
     /// Replicas that vote and count towards a quorum.
     pub voters: BTreeMap<ReplicaId, ReplicaInfo>,
-    /// Replicas that receive the log and don't count.
+    /// Replicas that receive the log but do not count towards a quorum.
     pub learners: BTreeMap<ReplicaId, ReplicaInfo>,
-    /// New replicas with the ones that they replace. The old one is removed as soon as
-    /// the new one votes.
+    /// Maps new replicas to the ones that they replace. The old one is removed as soon as
+    /// the new one is a voter.
     pub replacements: BTreeMap<ReplicaId, ReplicaId>,
 }
 
@@ -71,25 +71,25 @@
         self.voters.contains_key(&id) || self.learners.contains_key(&id)
     }
 
-    /// Returns the identities of all voters and learners.
+    /// Returns the identities of all voters, then those of all learners.
     pub fn ids(&self) -> impl Iterator<Item = ReplicaId> {
         self.voters.keys().chain(self.learners.keys()).copied()
     }
 
-    /// Returns where a voter or learner is.
+    /// Returns the VM and address of a voter or learner.
     #[must_use]
     pub fn info(&self, id: ReplicaId) -> Option<&ReplicaInfo> {
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
 
-    /// Returns how many voters are a majority.
+    /// Returns the number of voters that form a majority.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Returns the highest value that a majority of the voters has reached; nothing
-    /// without voters.
+    /// Returns the highest value that a majority of the voters has reached; `None` if there
+    /// are no voters.
     pub fn quorum_value<T: Ord>(&self, value: impl Fn(ReplicaId) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters.keys().map(|id| value(*id)).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
@@ -97,143 +97,144 @@
     }
 }
 
-/// Tells where a replica is.
+/// Describes where a replica runs.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ReplicaInfo {
     /// The VM's name.
     pub vm: VmName,
-    /// Where other replicas, entries and operators reach it.
+    /// Address at which other replicas, entry VMs and operators reach it.
     pub address: SocketAddr,
 }
 
-/// Holds what a replica must not forget between terms.
+/// Contains the term and vote that a replica must keep across restarts.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HardState {
     /// The highest term seen.
     pub term: Term,
-    /// The replica voted for in that term.
+    /// The replica voted for in that term; `None` if there was no vote.
     pub voted_for: Option<ReplicaId>,
 }
 
-/// Holds the replicated state at one position.
+/// Contains the replicated state at one index of the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Snapshot {
-    /// The last position that the snapshot includes.
+    /// Index of the last entry that the snapshot includes.
     pub index: Revision,
-    /// The term of that position.
+    /// Term of that entry.
     pub term: Term,
-    /// The replicas at that position.
+    /// Membership at that index.
     pub membership: Membership,
-    /// The state, in the encoding of `control_state`.
+    /// The state, in the encoding of the `control_state` module.
     pub data: Arc<[u8]>,
 }
 
-/// Records that must be durable, in order, before any message, answer or application
-/// of the same step leaves the replica.
+/// Represents a record that must be durable, in order, before any message or answer of the
+/// same step is sent and before any of its entries is applied.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum LogWrite {
     /// Replaces the hard state.
     HardState(HardState),
-    /// Drops all entries from this position on; they conflict with the leader's log.
+    /// Removes all entries from this index on, since they conflict with the leader's log.
     Truncate(Revision),
     /// Appends an entry after the last one.
     Append(LogEntry),
-    /// Replaces everything up to the snapshot's position.
+    /// Replaces everything up to the index of the snapshot.
     Snapshot(Snapshot),
 }
 
-/// Carries one protocol message.
+/// Represents one protocol message.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Message {
-    /// The sender's term; for a pre-vote, the term it would stand for.
+    /// The sender's term; for a pre-vote, the term in which it would campaign.
     pub term: Term,
-    /// What the message says.
+    /// Type and content of the message.
     pub kind: MessageKind,
 }
 
-/// Tells what a message says.
+/// Represents the type and content of a message.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum MessageKind {
-    /// Asks whether a candidacy would find a majority, without disturbing anyone.
+    /// Asks whether the receiver would vote for the sender, without changing any term.
     PreVote {
-        /// Last position of the sender's log.
+        /// Index of the sender's last log entry.
         last_index: Revision,
-        /// Term of that position.
+        /// Term of that entry.
         last_term: Term,
     },
-    /// Answers a pre-vote.
+    /// Replies to a pre-vote.
     PreVoteReply {
         /// Whether the receiver would vote for the sender.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
-        /// Last position of the sender's log.
+        /// Index of the sender's last log entry.
         last_index: Revision,
-        /// Term of that position.
+        /// Term of that entry.
         last_term: Term,
-        /// Whether the leader itself asked the sender to stand. Such a request is
-        /// answered even by replicas that hear the leader.
+        /// Whether the leader asked the sender to campaign. Such a request is answered
+        /// even by replicas in contact with the leader.
         handover: bool,
     },
-    /// Answers a request for a vote.
+    /// Replies to a vote request.
     VoteReply {
-        /// Whether the vote was given.
+        /// Whether the receiver voted for the sender.
         granted: bool,
     },
-    /// Appends entries; without entries, a heartbeat.
+    /// Appends entries; without entries, serves as a heartbeat.
     Append {
-        /// Position before the first entry.
+        /// Index of the entry before the first one.
         previous_index: Revision,
-        /// Term of that position.
+        /// Term of that entry.
         previous_term: Term,
         /// Entries to append.
         entries: Vec<LogEntry>,
-        /// Last position that the leader knows to be committed.
+        /// The leader's commit index.
         commit: Revision,
-        /// Number of the latest read barrier; echoed in the answer.
+        /// Number of the leader's latest heartbeat round, which reads wait for; echoed in
+        /// the reply.
         barrier: u64,
-        /// Number of the last answer of the receiver that the leader has; 0 without any.
+        /// Number of the receiver's last reply that the leader has received; 0 if none.
         reply_number: u64,
-        /// Time in milliseconds, rounded up, since the leader was last proved to lead.
+        /// Time since the sender was last proven to lead, in milliseconds, rounded up.
         contact_ms: u32,
     },
-    /// Answers an append.
+    /// Replies to an append.
     AppendReply {
         /// Whether the log matched at `previous_index`.
         matched: bool,
-        /// If matched, the last position known to equal the leader's; otherwise the
-        /// position from which the leader should try again.
+        /// If matched, the highest index up to which the log is known to equal the
+        /// leader's; otherwise the index from which the leader should retry.
         index: Revision,
-        /// The barrier number of the append.
+        /// The `barrier` of the append.
         barrier: u64,
-        /// Number of this answer; echoed in appends.
+        /// Number of this reply; echoed in later appends.
         reply_number: u64,
     },
-    /// Carries a part of a snapshot.
+    /// Carries a chunk of a snapshot.
     SnapshotChunk {
-        /// Position of the snapshot.
+        /// Index of the snapshot.
         index: Revision,
-        /// Term of that position.
+        /// Term of the entry at that index.
         snapshot_term: Term,
-        /// Replicas at that position.
+        /// Membership at that index.
         membership: Membership,
-        /// Where the part starts, in bytes.
+        /// Offset of the chunk in the snapshot's data, in bytes.
         offset: u64,
-        /// The part.
+        /// Data of the chunk.
         data: Vec<u8>,
-        /// Whether it is the last part.
+        /// Whether this is the last chunk.
         last: bool,
     },
-    /// Acknowledges a part of a snapshot.
+    /// Acknowledges a chunk of a snapshot.
     SnapshotReply {
-        /// Position of the snapshot.
+        /// Index of the snapshot.
         index: Revision,
-        /// Bytes received so far, in order.
+        /// Number of contiguous bytes received so far.
         received: u64,
-        /// Whether the whole snapshot is durable.
+        /// Whether the receiver durably holds the snapshot or its own log up to `index`.
         installed: bool,
     },
-    /// Asks the receiver, which has the whole log, to take leadership over at once.
+    /// Asks the receiver, which has the whole log, to campaign at once.
     TimeoutNow,
 }
--- a/lib/src/raft_pending.rs
+++ b/lib/src/raft_pending.rs
@@ -1,4 +1,4 @@
-//! Proposals that are in the log and whose outcome isn't known yet.
+//! Proposals that are in the log and whose outcome is not known yet.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -10,32 +10,33 @@
 use crate::raft_effects::Token;
 use crate::raft_message::LogEntry;
 
-/// Bound on the proposals that wait for their commitment.
+/// Limit on the number of pending proposals.
 const MAX_PROPOSALS: usize = 4_096;
 
-/// Bound on their bytes. While a majority is slow, everything proposed stays in memory.
+/// Limit on the bytes of pending proposals. All of them stay in memory while a majority is
+/// slow.
 const MAX_BYTES: usize = 64 << 20;
 
-/// Holds one request.
+/// Represents the request that proposed an entry.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     token: Token,
     bytes: usize,
 }
 
-/// Holds the requests that wait for an entry, by its position and term.
+/// Tracks the requests whose entries are not known to be committed.
 ///
-/// They outlive leadership for a while: the next leader may commit an entry or another
-/// one in its place within that time, and then its outcome is known after all.
+/// They are kept for a while after leadership is lost, since the next leader may commit the
+/// entry, or another one in its place, and so settle the outcome.
 ///
-/// That a later leader's entry replaced it in this replica's log proves nothing: the
-/// later leader may fail before its entry is committed, and a replica that still holds
-/// the replaced entry may lead next and commit it. Only a committed entry of a higher
-/// term at the position, or before it, proves that the entry is gone.
+/// An entry that was replaced in this replica's log may still be committed: the later leader
+/// that replaced it may fail before it commits its own entry, and a replica that still has
+/// the replaced entry may be elected and commit it. Only a committed entry with a higher
+/// term, at the same or a lower index, proves that the entry will not be committed.
 #[derive(Debug, Default)]
 pub(crate) struct PendingProposals {
     requests: BTreeMap<(Revision, Term), PendingRequest>,
-    /// Bytes of all that waits.
+    /// Total size of the entries of `requests`.
     bytes: usize,
     /// Term of the last committed entry.
     committed_term: Term,
@@ -49,12 +50,12 @@
             .insert((index, term), PendingRequest { token, bytes });
     }
 
-    /// Returns whether so much waits that no more should be taken.
+    /// Returns whether a limit on pending proposals is reached.
     pub fn is_full(&self) -> bool {
         self.requests.len() >= MAX_PROPOSALS || self.bytes >= MAX_BYTES
     }
 
-    /// Answers the requests whose outcome a newly committed entry proves.
+    /// Answers the requests whose outcome is determined by a newly committed entry.
     pub fn commit(&mut self, entry: &LogEntry, answers: &mut Vec<Answer>) {
         let index = entry.index;
         if let Some(request) = self.requests.remove(&(index, entry.term)) {
@@ -65,8 +66,8 @@
         if entry.term == self.committed_term {
             return;
         }
-        // Terms rise along the log, so no entry of a lower term is committed from here
-        // on. Within one term nothing is replaced.
+        // Terms never decrease along the log, so no entry of a lower term will be committed.
+        // Entries of the same term are not replaced.
         self.committed_term = entry.term;
         let current = entry.term;
         let bytes = &mut self.bytes;
@@ -79,27 +80,27 @@
         });
     }
 
-    /// Answers the requests whose positions are covered by a snapshot from elsewhere,
-    /// which doesn't tell what the positions held.
+    /// Answers the requests whose entries are covered by a snapshot from the leader, from
+    /// which their outcome cannot be determined.
     pub fn resolve_covered(&mut self, through: Revision, answers: &mut Vec<Answer>) {
         let kept = self.requests.split_off(&(through.next(), Term(0)));
         let covered = std::mem::replace(&mut self.requests, kept);
         self.refuse_unknown(covered, answers);
     }
 
-    /// Lets the requests wait until `deadline` for a later leader.
+    /// Keeps the requests until `deadline`, in case a later leader settles their outcome.
     pub fn leadership_lost(&mut self, deadline: Instant) {
         if !self.requests.is_empty() {
             self.expires = Some(deadline);
         }
     }
 
-    /// Lets the requests wait without a bound, since the replica leads.
+    /// Keeps the requests without a deadline, since this replica is the leader again.
     pub fn leadership_won(&mut self) {
         self.expires = None;
     }
 
-    /// Answers the requests that waited long enough.
+    /// Answers all requests with an unknown outcome once the deadline has passed.
     pub fn expire(&mut self, now: Instant, answers: &mut Vec<Answer>) {
         if self.expires.is_none_or(|expires| now < expires) {
             return;
--- a/lib/src/raft_progress.rs
+++ b/lib/src/raft_progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one other replica, and what it sends it next.
+//! Replication progress of another replica, as tracked by the leader.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -18,23 +18,23 @@
 use crate::raft_message::MessageKind;
 use crate::raft_message::Snapshot;
 
-/// Bound on the appends with entries that are on their way to one replica.
+/// Limit on the unacknowledged appends with entries to one replica.
 const MAX_IN_FLIGHT: usize = 16;
 
-/// Bound on the bytes that are on their way to one replica, in full appends. Without
-/// it, large entries would fill the memory of a process whose peer is slow.
+/// Limit on the unacknowledged bytes to one replica, as a multiple of `max_append_bytes`.
+/// Without it, large entries for a slow replica would exhaust the leader's memory.
 const MAX_IN_FLIGHT_FULL: usize = 4;
 
-/// Holds what sending needs to know of the leader.
+/// Provides the leader's context to code that sends messages.
 pub(crate) struct LeaderCx<'a> {
     pub cfg: &'a RaftConfig,
     pub term: Term,
     pub log: &'a RaftLog,
     pub commit: Revision,
     pub now: Instant,
-    /// When the leader was last proved to lead.
+    /// When this replica was last proven to lead.
     pub contact: Instant,
-    /// Where replicas are, as far as that is known.
+    /// Regions of the replicas, as far as they are known.
     pub regions: &'a BTreeMap<ReplicaId, RegionName>,
 }
 
@@ -45,49 +45,50 @@
     }
 }
 
-/// Tells how entries are sent.
+/// Represents how entries are sent to a replica.
 #[derive(Debug)]
 enum Mode {
-    /// The last common position is unknown: one append at a time.
+    /// The last matching index is unknown; one append is sent at a time.
     Probe { waiting: bool },
-    /// Appends follow each other without waiting for their answers. Holds those that
-    /// aren't answered.
+    /// Appends are pipelined, without waiting for replies. `in_flight` are those without
+    /// a reply.
     Replicate { in_flight: VecDeque<InFlight> },
-    /// The entries that the replica needs are compacted: a snapshot goes first.
+    /// The entries that the replica needs are compacted; a snapshot is sent first.
     Snapshot(SnapshotTransfer),
 }
 
-/// Holds an append on its way.
+/// Represents an unacknowledged append.
 #[derive(Clone, Copy, Debug)]
 struct InFlight {
     last: Revision,
     bytes: usize,
 }
 
-/// Holds a snapshot on its way.
+/// Represents a snapshot being sent.
 #[derive(Debug)]
 struct SnapshotTransfer {
     snapshot: Arc<Snapshot>,
     received: usize,
-    /// When the part at `received` was sent.
+    /// When the chunk at offset `received` was sent; `None` if it was not.
     sent_at: Option<Instant>,
 }
 
-/// Holds what a leader knows of one other replica.
+/// Tracks the replication progress of another replica.
 #[derive(Debug)]
 pub(crate) struct Progress {
-    /// Last position that the replica acknowledged as durable and equal.
+    /// Highest index up to which the replica acknowledged a durable, matching log.
     pub matched: Revision,
-    /// Number of its last answer to an append; 0 without any.
+    /// Number of its last append reply; 0 if there was none.
     pub reply_number: u64,
-    /// Latest round of heartbeats that the replica answered.
+    /// Latest heartbeat round that the replica answered.
     pub acked_round: u64,
-    /// When that round began, or when the leader stood for election.
+    /// When that round began; before the first reply, when the leader's candidacy began or
+    /// the replica was added.
     pub contact: Instant,
-    /// When anything was last heard from the replica in this term.
+    /// When the last reply arrived from the replica in this term.
     pub last_heard: Option<Instant>,
-    /// Set once the replica is no member: until then it is still served, so that it
-    /// learns of its removal and stops campaigning.
+    /// Set once the replica is removed. Replication to it continues until then, so that it
+    /// learns of its removal and does not campaign.
     pub served_until: Option<Instant>,
     next: Revision,
     mode: Mode,
@@ -95,7 +96,7 @@
     catch_up_target: Option<CatchUpTarget>,
 }
 
-/// Holds what a learner has to reach before it votes.
+/// Represents the index that a learner has to reach before it is promoted.
 #[derive(Clone, Copy, Debug)]
 struct CatchUpTarget {
     index: Revision,
@@ -103,7 +104,8 @@
 }
 
 impl Progress {
-    /// Starts from nothing known but where to try first.
+    /// Creates the progress of a replica whose log is unknown; `next` is the first index to
+    /// try.
     pub fn new(next: Revision, contact: Instant) -> Self {
         Self {
             matched: Revision(0),
@@ -119,18 +121,18 @@
         }
     }
 
-    /// Returns whether the replica was heard lately.
+    /// Returns whether the replica replied within the last `election_max`.
     pub fn is_live(&self, now: Instant, cfg: &RaftConfig) -> bool {
         self.last_heard
             .is_some_and(|heard| now < heard + cfg.election_max)
     }
 
-    /// Returns whether a learner holds durably what was committed at most one election
-    /// timeout ago.
+    /// Returns whether a learner durably holds everything that was committed at some time
+    /// within the last `election_min`.
     ///
-    /// The present commit position would be too much to ask: a distant learner may
-    /// always be a few entries behind it. A learner that is further behind would hold
-    /// up commits as soon as it is needed for a majority.
+    /// The current commit index would be too strict, since a distant learner may always be a
+    /// few entries behind. A learner that is further behind would delay commits as soon as
+    /// it is needed for a majority.
     pub fn has_caught_up(&mut self, cx: &LeaderCx) -> bool {
         if !self.is_live(cx.now, cx.cfg) {
             return false;
@@ -150,7 +152,7 @@
         self.matched >= current.index
     }
 
-    /// Takes in that the log matched up to `index`.
+    /// Records that the replica's log matches up to `index`.
     pub fn on_match(&mut self, index: Revision) {
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched.next());
@@ -171,10 +173,11 @@
         };
     }
 
-    /// Takes in that the log didn't match, with the position to try next.
+    /// Records that the replica's log did not match, and that it asked for a retry from
+    /// index `hint`.
     ///
-    /// An answer may be old and point too far back. That costs a repeated append, but
-    /// never reaches behind what is known to match.
+    /// A delayed reply may name an index that is too low. This costs a repeated append, but
+    /// never goes below the known match.
     pub fn on_mismatch(&mut self, hint: Revision) {
         if matches!(self.mode, Mode::Snapshot(_)) {
             return;
@@ -183,7 +186,8 @@
         self.mode = Mode::Probe { waiting: false };
     }
 
-    /// Takes in how much of a snapshot arrived.
+    /// Records how many bytes of a snapshot the replica has received, or that it is
+    /// installed.
     pub fn on_snapshot_reply(&mut self, index: Revision, received: u64, installed: bool) {
         if installed {
             self.on_match(index);
@@ -198,16 +202,16 @@
         }
     }
 
-    /// Sends an append without entries, which the replica answers whatever its log.
+    /// Sends an append without entries, which the replica answers whatever its log contains.
     ///
-    /// It names the last position sent, so that a lost append is noticed here.
+    /// It refers to the last entry sent, so that the loss of an append is detected.
     pub fn send_heartbeat(&mut self, to: ReplicaId, round: u64, cx: &LeaderCx, fx: &mut Effects) {
         let previous = match &self.mode {
             Mode::Snapshot(transfer) => transfer.snapshot.index,
             _ => Revision(self.next.0 - 1),
         };
-        // A position that was compacted meanwhile has no term here. The snapshot's
-        // position serves as well: only the answer to the round matters.
+        // The term of an entry that was compacted meanwhile is no longer known. The
+        // snapshot's index does as well, since only the reply to the round matters.
         let previous = match cx.log.term_at(previous) {
             Some(_) => previous,
             None => cx.log.snapshot_index(),
@@ -215,7 +219,8 @@
         self.send_append(to, round, previous, Vec::new(), cx, fx);
     }
 
-    /// Sends whatever the replica lacks and may be sent now.
+    /// Sends the entries or snapshot chunk that the replica needs, within the limits on
+    /// unacknowledged data.
     pub fn replicate(&mut self, to: ReplicaId, round: u64, cx: &LeaderCx, fx: &mut Effects) {
         self.fall_back_to_snapshot(cx);
         let live = self.is_live(cx.now, cx.cfg);
@@ -228,7 +233,8 @@
                 self.send_append(to, round, previous, entries, cx, fx);
             }
             Mode::Replicate { .. } => self.send_pipelined(to, round, cx, fx),
-            // Heartbeats find out when a silent replica is back, and cost less.
+            // For a replica that does not respond, heartbeats detect its return and cost less
+            // than chunks.
             Mode::Snapshot(_) if !live => {}
             Mode::Snapshot(transfer) => transfer.send_chunk(to, cx, fx),
         }
@@ -264,8 +270,8 @@
             }
             self.send_append(to, round, previous, entries, cx, fx);
         }
-        // Without this, the last commit of a burst would reach the replica only with
-        // the next heartbeat.
+        // Otherwise, the replica would learn of the last commit of a burst only from the
+        // next regular heartbeat.
         if self.in_flight().is_empty() && self.sent_commit < cx.commit {
             self.send_heartbeat(to, round, cx, fx);
         }
@@ -312,7 +318,7 @@
         fx.sends.push((to, Message { term, kind }));
     }
 
-    /// Returns how much of a snapshot the replica has, if one is on its way.
+    /// Returns how much of a snapshot the replica has received; `None` if none is being sent.
     pub fn snapshot_progress(&self) -> Option<SnapshotProgress> {
         let Mode::Snapshot(transfer) = &self.mode else {
             return None;
@@ -326,7 +332,7 @@
 }
 
 impl SnapshotTransfer {
-    /// Sends the part that the replica lacks next, unless it is on its way.
+    /// Sends the next chunk, unless it was sent less than `election_min` ago.
     fn send_chunk(&mut self, to: ReplicaId, cx: &LeaderCx, fx: &mut Effects) {
         let retry_after = cx.cfg.election_min;
         if self.sent_at.is_some_and(|at| cx.now < at + retry_after) {
--- a/lib/src/raft_replication.rs
+++ b/lib/src/raft_replication.rs
@@ -1,5 +1,5 @@
-//! What a leader does: it appends, counts what a majority holds, proves reads and
-//! hands over.
+//! Duties of a leader: appending and committing entries, confirming reads, and handing
+//! leadership over.
 
 use crate::id::ReplicaId;
 use crate::id::Revision;
@@ -15,7 +15,7 @@
 use crate::raft_message::LogWrite;
 
 impl Raft {
-    /// Appends an entry to the leader's log and returns its position.
+    /// Appends an entry to the leader's log and returns its index.
     pub(crate) fn append_as_leader(&mut self, payload: LogPayload, fx: &mut Effects) -> Revision {
         let index = self.last_index().next();
         let entry = LogEntry {
@@ -28,7 +28,8 @@
         index
     }
 
-    /// Sends what was appended, and commits it where no other voter is needed.
+    /// Replicates newly appended entries; commits them at once if this replica is the sole
+    /// voter.
     pub(crate) fn after_append(&mut self, fx: &mut Effects) {
         self.with_leader(|leader, cx| {
             leader.add_peers(cx.log.membership(), cx.log.last().index, cx.now);
@@ -37,11 +38,11 @@
         self.advance_commit(fx);
     }
 
-    /// Commits what a majority holds.
+    /// Commits the entries that a majority holds.
     ///
-    /// Only an entry of the leader's own term is committed by counting; it commits the
-    /// ones before it. An older entry may be on a majority and still be replaced, by a
-    /// leader whose log ends with a term between the two.
+    /// Only entries of the leader's own term are committed by counting replicas; the entries
+    /// before them are committed with them. An older entry may be on a majority and still be
+    /// replaced by a leader whose last log term lies between the two.
     pub(crate) fn advance_commit(&mut self, fx: &mut Effects) {
         let RoleState::Leader(leader) = &self.role else {
             return;
@@ -146,7 +147,8 @@
         self.after_append(fx);
     }
 
-    /// Returns why no proposal can be taken now. The log doesn't hold it then.
+    /// Returns why no proposal can be accepted now; `None` if one can. A refused proposal is
+    /// not in the log.
     pub(crate) fn proposal_refusal(&self) -> Option<Refusal> {
         let RoleState::Leader(leader) = &self.role else {
             let leader = self.leader();
@@ -179,7 +181,7 @@
         self.start_handover(fx);
     }
 
-    /// Begins to hand over to the most caught-up live voter, if there is one.
+    /// Starts a handover to the live voter with the highest matching index, if there is one.
     pub(crate) fn start_handover(&mut self, fx: &mut Effects) {
         self.with_leader(|leader, cx| {
             if leader.handover.is_some() {
@@ -193,7 +195,8 @@
         });
     }
 
-    /// Takes proposals again if the target didn't take over in time.
+    /// Gives up a handover whose target did not become leader in time, so that proposals are
+    /// accepted again.
     fn cancel_expired_handover(&mut self) {
         self.with_leader(|leader, cx| {
             if leader.handover.is_some_and(|it| cx.now >= it.deadline) {
--- a/lib/src/raft_sent_replies.rs
+++ b/lib/src/raft_sent_replies.rs
@@ -1,15 +1,15 @@
-//! The answers that a follower sent lately, by which it dates what its leader says.
+//! Send times of a follower's recent append replies, used to date the leader's messages.
 //!
-//! A message may have waited for seconds before it is taken in. The leader names the last answer
-//! that it has of the follower, so that its word is surely younger than that answer.
+//! A message may be delayed by seconds before it is processed. The leader echoes the number of
+//! the follower's last reply that it received, so its message was sent after that reply.
 
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// Answers that are remembered: those of some heartbeats and of the appends between them.
+/// Number of replies kept: those to several heartbeats and to the appends between them.
 const MAX_TRACKED_REPLIES: usize = 128;
 
-/// Remembers when answers were sent.
+/// Records when the latest append replies were sent.
 #[derive(Debug)]
 pub(crate) struct SentReplies {
     next: u64,
@@ -17,8 +17,8 @@
 }
 
 impl SentReplies {
-    /// Starts without any. Numbers begin at `first`, which is drawn, so that those of an earlier
-    /// life of the process mean nothing.
+    /// Creates an empty record. Numbering starts at `first`, chosen at random so that numbers
+    /// from before a restart of the process do not match.
     pub const fn new(first: u64) -> Self {
         Self {
             next: first,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Returns the number of an answer that is sent now.
+    /// Allocates the number of a reply that is sent now.
     pub fn number(&mut self, now: Instant) -> u64 {
         let number = self.next;
         self.next = self.next.wrapping_add(1);
@@ -37,7 +37,7 @@
         number
     }
 
-    /// Returns when an answer was sent; nothing if it isn't remembered.
+    /// Returns when a reply was sent; `None` if it is unknown or no longer kept.
     pub fn sent_at(&self, number: u64) -> Option<Instant> {
         let mut sent = self.sent.iter().rev();
         sent.find(|(of, _)| *of == number).map(|(_, at)| *at)
--- a/lib/tests/raft_network/checker.rs
+++ b/lib/tests/raft_network/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step, whatever fails.
+//! Invariants that must hold after every step, under any faults.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,24 +19,25 @@
 use super::StateMachine;
 use super::token_of_command;
 
-/// Holds what was seen so far.
+/// Records what the replicas have done so far and checks new events against it.
 #[derive(Debug, Default)]
 pub struct Checker {
     leaders: BTreeMap<Term, ReplicaId>,
-    /// Entries by position and term, with the term before each.
+    /// Entries by index and term, each with the term of the entry before it.
     entries: BTreeMap<(Revision, Term), (Term, LogEntry)>,
-    /// What replicas applied.
+    /// Entries applied by any replica.
     pub committed: BTreeMap<Revision, LogEntry>,
     committed_tokens: BTreeSet<u64>,
     absent_tokens: BTreeSet<u64>,
-    /// Where each read must not fall behind.
+    /// Lowest index at which each read may be served.
     reads: BTreeMap<Token, Revision>,
-    /// Elections that were won.
+    /// Number of elections won.
     pub elections: u64,
 }
 
 impl Checker {
-    /// Checks one leader a term, and that a leader holds all that is committed.
+    /// Checks that there is at most one leader per term, and that a new leader has all
+    /// committed entries.
     pub fn on_role(&mut self, raft: &Raft, written: &DurableState) {
         if raft.role() != Role::Leader {
             return;
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Checks that logs which agree on a position agree on all before it, and that
-    /// memberships change by one voter at a time.
+    /// Checks the log matching property, that terms do not decrease, that a replica votes
+    /// once per term, and that memberships change by one voter at a time.
     pub fn on_write(&mut self, replica: ReplicaId, before: &DurableState, write: &LogWrite) {
         match write {
             LogWrite::Append(entry) => self.on_append(before, entry),
@@ -73,12 +74,12 @@
                 let last_committed = before.snapshot.as_ref().map(|snapshot| snapshot.index);
                 assert!(
                     *from > last_committed.unwrap_or_default(),
-                    "{replica} truncates its snapshot"
+                    "{replica} truncates entries that its snapshot covers"
                 );
             }
             LogWrite::HardState(hard_state) => {
                 let old = before.hard_state;
-                assert!(hard_state.term >= old.term, "{replica} steps back a term");
+                assert!(hard_state.term >= old.term, "{replica} decreases its term");
                 let changed = hard_state.term == old.term
                     && old.voted_for.is_some()
                     && old.voted_for != hard_state.voted_for;
@@ -102,14 +103,14 @@
         }
     }
 
-    /// Checks that no position is applied with two contents, and that nothing is
-    /// committed which was said to be absent.
+    /// Checks that all replicas apply the same entry at an index, and that no command is
+    /// committed that was refused as absent.
     pub fn on_applied(&mut self, entry: &LogEntry) {
         let known = self
             .committed
             .entry(entry.index)
             .or_insert_with(|| entry.clone());
-        assert_eq!(known, entry, "{} was applied otherwise", entry.index);
+        assert_eq!(known, entry, "another entry was applied at {}", entry.index);
         if let LogPayload::Command(command) = &entry.payload {
             let token = token_of_command(command);
             assert!(
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Checks that a restored state is the one that the log up to it gives.
+    /// Checks that a restored state equals that of the committed log up to the same index.
     pub fn on_restored(&self, state_machine: &StateMachine) {
         let entries = self.committed.range(..=state_machine.applied);
         let mut tokens = Vec::new();
@@ -132,7 +133,7 @@
         assert_eq!(state_machine.tokens, tokens, "restored state differs");
     }
 
-    /// Notes how much was committed anywhere when a read began.
+    /// Records the highest index committed on any replica when a read starts.
     pub fn on_read(&mut self, token: Token) {
         self.reads.insert(token, self.last_committed());
     }
@@ -142,18 +143,18 @@
         last.map_or(Revision(0), |(index, _)| *index)
     }
 
-    /// Checks what a requester is told.
+    /// Checks an answer against what was committed, refused and read so far.
     pub fn on_answer(&mut self, answer: &Answer) {
         match answer {
             Answer::Committed { index, .. } => {
                 assert!(
                     self.committed.contains_key(index),
-                    "{index} is answered before it is applied"
+                    "{index} is answered as committed before it is applied"
                 );
             }
             Answer::ReadReady { token, index } => {
                 let floor = self.reads[token];
-                assert!(*index >= floor, "read at {index} misses {floor}");
+                assert!(*index >= floor, "read at {index}, which is below {floor}");
             }
             Answer::Refused { token, reason } if reason.is_proved_absent() => {
                 assert!(
--- a/lib/tests/raft_network/faults.rs
+++ b/lib/tests/raft_network/faults.rs
@@ -1,4 +1,4 @@
-//! What fails: processes, disks and paths.
+//! Injected faults of processes, disks and links.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use super::config;
 
 impl Network {
-    /// Lets only these replicas exchange messages, with each other.
+    /// Cuts all links except those among these replicas.
     pub fn partition(&mut self, group: &[u64]) {
         self.cuts.clear();
         let all: Vec<_> = self.nodes.keys().copied().collect();
@@ -27,8 +27,7 @@
         }
     }
 
-    /// Ends a process without warning. Of what it wrote and didn't sync, any first part
-    /// may have reached the disk all the same.
+    /// Crashes a process. A random prefix of its unsynced writes reaches the disk.
     pub fn crash(&mut self, replica: ReplicaId) {
         let Some(node) = self.nodes.get_mut(&replica) else {
             return;
@@ -42,7 +41,7 @@
         }
     }
 
-    /// Starts a process from what its disk holds; does nothing if it runs.
+    /// Starts a process from its disk; does nothing if it is running or its disk is lost.
     pub fn restart(&mut self, replica: ReplicaId) {
         let now = self.time();
         let seed = self.rng.random();
@@ -58,7 +57,7 @@
         node.raft = Some(raft.unwrap());
     }
 
-    /// Ends all processes at the same moment and starts those again that ran.
+    /// Crashes all processes at the same time and restarts those that were running.
     pub fn lose_power(&mut self) {
         let running: Vec<_> = self.rafts().map(Raft::id).collect();
         for replica in &running {
@@ -69,7 +68,7 @@
         }
     }
 
-    /// Ends a process and loses its data folder, and with it the identity.
+    /// Crashes a process and deletes its data folder, and with it the replica's identity.
     pub fn lose_disk(&mut self, replica: ReplicaId) {
         self.crash(replica);
         if let Some(node) = self.nodes.get_mut(&replica) {
@@ -78,7 +77,7 @@
         }
     }
 
-    /// Stops a process for a while; its messages wait.
+    /// Suspends a process for a while; messages to it are buffered.
     pub fn freeze(&mut self, replica: ReplicaId, span: Duration) {
         if let Some(node) = self.nodes.get_mut(&replica) {
             node.frozen_until = self.now + span;
@@ -89,7 +88,7 @@
         self.cuts.insert((from, to));
     }
 
-    /// Cuts a replica off from all others, in both directions.
+    /// Cuts all links to and from a replica.
     pub fn isolate(&mut self, replica: ReplicaId) {
         let others: Vec<_> = self.nodes.keys().copied().collect();
         for other in others {
--- a/lib/tests/raft_network/mod.rs
+++ b/lib/tests/raft_network/mod.rs
@@ -1,9 +1,10 @@
-//! Replicas in one thread, joined by a network in memory that delays, loses, doubles
-//! and reorders messages, with disks in memory that forget what wasn't synced.
+//! A deterministic simulation of replicas in one thread, with an in-memory network that
+//! delays, loses, duplicates and reorders messages, and in-memory disks that lose unsynced
+//! writes in a crash.
 //!
-//! Every step is checked by [`checker::Checker`].
+//! [`checker::Checker`] checks every step.
 
-// Each test binary uses another part of this module.
+// Each test binary uses only a part of this module.
 #![allow(dead_code)]
 
 pub mod checker;
@@ -49,16 +50,16 @@
 pub const ELECTION_MAX: Duration = Duration::from_millis(300);
 const HEARTBEAT: Duration = Duration::from_millis(30);
 
-/// Tells how the network treats messages.
+/// Sets the faults and delays of the network and of disk syncs.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    /// Messages lost, in percent.
+    /// Percentage of messages that are lost.
     pub loss: u8,
-    /// Messages doubled, in percent.
+    /// Percentage of messages that are duplicated.
     pub duplicated: u8,
-    /// Longest delay of a message, in milliseconds.
+    /// Maximum delay of a message, in milliseconds.
     pub max_delay_ms: u64,
-    /// Longest time until a sync is done, in milliseconds.
+    /// Maximum duration of a disk sync, in milliseconds.
     pub max_sync_ms: u64,
 }
 
@@ -78,7 +79,7 @@
     message: Message,
 }
 
-/// Holds all replicas and the network among them.
+/// Simulates the replicas and the network between them.
 #[derive(Debug)]
 pub struct Network {
     pub nodes: BTreeMap<ReplicaId, Node>,
@@ -91,7 +92,7 @@
     now: Duration,
     cuts: BTreeSet<(ReplicaId, ReplicaId)>,
     queue: BTreeMap<(Duration, u64), Delivery>,
-    /// What was confirmed to whoever proposed it, and when.
+    /// When a commit was confirmed to its proposer, and the highest index confirmed by then.
     confirmed: Vec<(Instant, Revision)>,
     sequence: u64,
     next_token: u64,
@@ -124,7 +125,7 @@
 }
 
 impl Network {
-    /// Starts one bootstrapped replica, number 1.
+    /// Starts a cluster of one bootstrapped replica with number 1.
     pub fn new(seed: u64) -> Self {
         let mut network = Self {
             nodes: BTreeMap::new(),
@@ -151,12 +152,12 @@
         network
     }
 
-    /// Starts replica 1 and brings in others until there are `size` voters.
+    /// Starts replica 1 and adds others until there are `size` voters.
     pub fn with_voters(seed: u64, size: u64) -> Self {
         let mut network = Self::new(seed);
         for number in 2..=size {
             network.join(number, None);
-            network.run_until("the replica votes", |network| {
+            network.run_until("the replica is a voter", |network| {
                 network.voters().contains(&id(number))
             });
         }
@@ -164,7 +165,7 @@
         network
     }
 
-    /// Starts an empty replica and asks the leader to take it in, until it does.
+    /// Starts an empty replica and asks the leader to add it, until it is a member.
     pub fn join(&mut self, number: u64, replaces: Option<u64>) {
         self.add_node(number, DurableState::default());
         self.run_until("the replica is a learner", |network| {
@@ -185,7 +186,7 @@
         });
     }
 
-    /// Adds a replica's process with what its disk holds.
+    /// Adds a replica with the given disk and starts its process.
     pub fn add_node(&mut self, number: u64, disk: DurableState) {
         let node = Node {
             raft: None,
@@ -209,7 +210,7 @@
         self.now
     }
 
-    /// Returns the leader of the highest term, if its process runs.
+    /// Returns the leader with the highest term among the running processes.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.rafts()
             .filter(|raft| raft.role() == Role::Leader)
@@ -228,7 +229,7 @@
         self.nodes.values().filter_map(|node| node.raft.as_ref())
     }
 
-    /// Returns the voters as the leader knows them.
+    /// Returns the voters in the leader's membership; none without a leader.
     pub fn voters(&self) -> BTreeSet<ReplicaId> {
         self.leader().map_or_else(BTreeSet::new, |leader| {
             let membership = self.raft(leader).membership();
@@ -236,7 +237,7 @@
         })
     }
 
-    /// Hands one input to a running replica and keeps what it wants done for its sync.
+    /// Passes one input to a running replica and buffers the effects until its next sync.
     pub fn step(&mut self, replica: ReplicaId, input: Input) {
         let now = self.time();
         let Some(node) = self.nodes.get_mut(&replica) else {
@@ -301,8 +302,8 @@
         }
     }
 
-    /// Checks that a replica knows everything that was confirmed before the moment for which it
-    /// says that it is current.
+    /// Checks that a replica knows everything that was confirmed before the time for which it
+    /// claims to be current.
     fn check_proven_current(&self, raft: &Raft) {
         let Some(proved_at) = raft.proven_current_at() else {
             return;
@@ -313,7 +314,7 @@
             .map_or(Revision(0), |last| self.confirmed[last].1);
         assert!(
             raft.commit() >= known,
-            "{} says that it is current and lacks {known} of what was confirmed {:?} before; {}",
+            "{} claims to be current and lacks {known}, which was confirmed {:?} before; {}",
             raft.id(),
             proved_at.saturating_duration_since(self.confirmed[before.saturating_sub(1)].0),
             self.summary()
@@ -344,7 +345,7 @@
         self.queue.insert(key, Delivery { from, to, message });
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for a span of simulated time.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(due) = self.next_event().filter(|due| *due <= end) {
@@ -354,11 +355,15 @@
         self.now = end;
     }
 
-    /// Lets time pass until `done`; fails after a minute of the replicas' time.
+    /// Runs the simulation until `done`; fails after a minute of simulated time.
     pub fn run_until(&mut self, what: &str, mut done: impl FnMut(&mut Self) -> bool) {
         let deadline = self.now + Duration::from_mins(1);
         while !done(self) {
-            assert!(self.now < deadline, "in vain: {what}; {}", self.summary());
+            assert!(
+                self.now < deadline,
+                "not within 1 min: {what}; {}",
+                self.summary()
+            );
             self.run(Duration::from_millis(10));
         }
     }
@@ -373,7 +378,7 @@
         let raft = node.raft.as_ref()?;
         let wake = raft.next_wake().saturating_duration_since(self.base);
         let due = node.sync_at.map_or(wake, |sync_at| sync_at.min(wake));
-        // A step that is due at once happens a little later, as by a timer.
+        // A tick that is already due happens now, and after the freeze in a frozen process.
         Some(due.max(self.now).max(node.frozen_until))
     }
 
@@ -390,7 +395,7 @@
             if self.raft(replica).next_wake() <= self.time() {
                 self.step(replica, Input::Tick);
                 let woken = self.raft(replica).next_wake() > self.time();
-                assert!(woken, "{replica} wants a tick again at once");
+                assert!(woken, "{replica} still has a tick due after a tick");
             }
         }
         while let Some(next) = self.queue.first_entry() {
@@ -408,7 +413,7 @@
             return;
         };
         if node.frozen_until > self.now {
-            // The message waits in the buffer of the frozen process's socket.
+            // The message waits in the socket buffer of the frozen process.
             self.sequence += 1;
             let key = (node.frozen_until, self.sequence);
             self.queue.insert(key, Delivery { from, to, message });
@@ -419,7 +424,7 @@
         }
     }
 
-    /// Returns the bytes of the entries that are on their way to a replica.
+    /// Returns the total size of the entries in transit to a replica, in bytes.
     pub fn bytes_in_transit(&self, to: ReplicaId) -> usize {
         let to_replica = self.queue.values().filter(|delivery| delivery.to == to);
         let bytes = to_replica.map(|delivery| match &delivery.message.kind {
@@ -433,7 +438,7 @@
         self.propose_padded(replica, 0)
     }
 
-    /// Proposes a command that is followed by some bytes without meaning.
+    /// Proposes a command that is followed by `padding` zero bytes.
     pub fn propose_padded(&mut self, replica: ReplicaId, padding: usize) -> Token {
         let token = self.token();
         let mut command = postcard::to_stdvec(&token.0).unwrap();
@@ -461,7 +466,7 @@
         token
     }
 
-    /// Proposes at the leader, whoever that is, until a proposal is committed.
+    /// Proposes at the current leader until a proposal is committed; returns its index.
     pub fn commit_one(&mut self) -> Revision {
         let mut token = None;
         let mut committed = Revision(0);
@@ -481,7 +486,7 @@
         committed
     }
 
-    /// Compacts the log of a replica up to what it has applied.
+    /// Compacts the log of a replica up to its last applied entry.
     pub fn compact(&mut self, replica: ReplicaId) {
         let node = &self.nodes[&replica];
         let index = node.state_machine.applied;
@@ -489,8 +494,8 @@
         self.step(replica, Input::Compact { index, data });
     }
 
-    /// Lets time pass in small steps until one of these replicas leads, so that
-    /// nothing that the new leader sends has arrived yet.
+    /// Runs the simulation in steps of 1 ms until one of these replicas is the leader, so
+    /// that nothing from the new leader has arrived yet.
     pub fn run_until_elected(&mut self, group: &[u64]) -> u64 {
         for _ in 0..60_000 {
             self.run(Duration::from_millis(1));
@@ -502,7 +507,7 @@
                 return *leader;
             }
         }
-        panic!("nobody is elected; {}", self.summary());
+        panic!("no leader elected within 60 s; {}", self.summary());
     }
 
     pub fn summary(&self) -> String {
--- a/lib/tests/raft_network/node.rs
+++ b/lib/tests/raft_network/node.rs
@@ -1,4 +1,4 @@
-//! One replica under test: its process, its disk and its replicated state.
+//! A simulated replica: its process, its disk and its replicated state.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use heatherring_lib::raft_message::LogPayload;
 use heatherring_lib::raft_message::Snapshot;
 
-/// Holds the replicated state of one replica: the tokens of the commands, in order.
+/// The replicated state of one replica: the tokens of the applied commands, in order.
 #[derive(Clone, Debug, Default)]
 pub struct StateMachine {
     pub applied: Revision,
@@ -34,19 +34,19 @@
     }
 }
 
-/// Holds one replica, its disk and what its process has in memory.
+/// A simulated replica with its disk and the memory of its process.
 #[derive(Debug)]
 pub struct Node {
     pub raft: Option<Raft>,
-    /// What was synced.
+    /// Durable state, as of the last sync.
     pub disk: DurableState,
-    /// What the disk holds once everything written so far is synced.
+    /// State of the disk once all writes so far are synced.
     pub written: DurableState,
     pub state_machine: StateMachine,
     pub(super) buffered: Effects,
     pub(super) sync_at: Option<Duration>,
     pub(super) frozen_until: Duration,
-    /// Set once the data folder is gone.
+    /// Set once the data folder is lost; the replica never restarts.
     pub disk_lost: bool,
 }
 
--- a/lib/tests/test_raft.rs
+++ b/lib/tests/test_raft.rs
@@ -1,4 +1,4 @@
-//! Directed tests of the agreement: one for each trap that a simple version falls into.
+//! Directed tests of Raft, each for a mistake that a naive implementation makes.
 
 mod raft_network;
 
@@ -36,10 +36,10 @@
 
 #[test]
 fn test_raft_isolated_leader_answers_no_read() {
-    // Symptom: an operator reads an old manifest as the current one.
-    // Sequence: the leader is cut off; the others elect another one and commit; a read
-    // arrives at the old leader, which still believes that it leads.
-    // Cause: a leader that answers reads from its own state alone.
+    // Symptom: an operator reads a stale manifest as the current one.
+    // Sequence: the leader is isolated; the others elect another one and commit; a read
+    // arrives at the old leader, which has not stepped down yet.
+    // Cause: the leader answers reads from its own state, without contacting a quorum.
     let mut network = Network::with_voters(3, 3);
     let old = network.leader().unwrap();
     network.isolate(old);
@@ -55,9 +55,10 @@
 
 #[test]
 fn test_raft_isolated_leader_refuses_proposals_as_absent() {
-    // Symptom: an operator is told nothing, or that an unaccepted manifest is accepted.
-    // Sequence: the leader is cut off for longer than an election takes.
-    // Cause: a leader that takes proposals without knowing of a majority.
+    // Symptom: an operator gets no answer, or a manifest that is not committed is reported
+    // as accepted.
+    // Sequence: the leader is isolated for longer than an election takes.
+    // Cause: the leader accepts proposals without recent contact with a majority.
     let mut network = Network::with_voters(4, 3);
     let old = network.leader().unwrap();
     network.isolate(old);
@@ -72,9 +73,9 @@
 
 #[test]
 fn test_raft_returning_replica_deposes_nobody() {
-    // Symptom: a working leader is replaced whenever a cut heals.
-    // Sequence: a follower is cut off for many election timeouts and comes back.
-    // Cause: candidacies that raise the term without asking first.
+    // Symptom: a working leader is deposed whenever a partition heals.
+    // Sequence: a follower is isolated for many election timeouts and reconnects.
+    // Cause: candidates increment the term without a pre-vote.
     let mut network = Network::with_voters(5, 3);
     let leader = network.leader().unwrap();
     let term = network.raft(leader).term();
@@ -90,10 +91,10 @@
 
 #[test]
 fn test_raft_late_vote_request_deposes_nobody() {
-    // Symptom: a working leader is replaced although everyone hears it.
-    // Sequence: a candidate's request is held up in the network and arrives when
-    // another leader is at work.
-    // Cause: answering requests for votes while a leader is heard.
+    // Symptom: a working leader is deposed although all replicas are in contact with it.
+    // Sequence: a vote request is delayed in the network and arrives after another leader
+    // was elected.
+    // Cause: replicas answer vote requests while they are in contact with a leader.
     let mut network = Network::with_voters(14, 3);
     let leader = network.leader().unwrap();
     let term = network.raft(leader).term();
@@ -117,10 +118,10 @@
 
 #[test]
 fn test_raft_second_voter_lost_after_repair_loses_nothing() {
-    // Symptom: an accepted manifest is gone after a repair.
-    // Sequence: one replica's disk is lost, a new one takes its place, and as soon as
-    // the old one is out of the membership a second disk is lost.
-    // Cause: counting the new replica before it has the log durably.
+    // Symptom: an accepted manifest is lost after a repair.
+    // Sequence: one replica's disk is lost, a new replica replaces it, and as soon as the
+    // old one is removed from the membership a second disk is lost.
+    // Cause: the new replica is counted before it durably holds the log.
     let mut network = Network::with_voters(6, 3);
     let before = network.commit_one();
     network.lose_disk(id(3));
@@ -142,10 +143,10 @@
 
 #[test]
 fn test_raft_frozen_leader_wakes() {
-    // Symptom: a process that was stopped and continued answers with an old state.
-    // Sequence: the leader freezes, the others go on, it wakes with messages in its
-    // buffers and gets a read and a proposal before anything else.
-    // Cause: trusting answers that were given before the freeze.
+    // Symptom: a process that was suspended and resumed serves stale state.
+    // Sequence: the leader is frozen, the others elect another one; the old leader resumes
+    // with messages in its buffers and gets a read and a proposal first.
+    // Cause: the leader relies on replies sent before the freeze.
     let mut network = Network::with_voters(7, 3);
     let old = network.leader().unwrap();
     network.freeze(old, ELECTION_MAX * 5);
@@ -166,15 +167,15 @@
 
 #[test]
 fn test_raft_answers_from_before_a_freeze_prove_nothing() {
-    // Symptom: a leader takes a proposal that it can't commit, instead of refusing it.
-    // Sequence: a round of heartbeats leaves, the leader freezes, and the answers wait in
-    // its buffers until it wakes.
-    // Cause: dating a majority's answers by when they are read.
+    // Symptom: a leader accepts a proposal that it cannot commit, instead of refusing it.
+    // Sequence: the leader sends a round of heartbeats and is frozen, and the replies wait in
+    // its buffers until it resumes.
+    // Cause: replies are dated by when they are read.
     let mut network = Network::with_voters(15, 3);
     let leader = network.leader().unwrap();
     let mut others = (1..=3).map(id).filter(|it| *it != leader);
     let (one, other) = (others.next().unwrap(), others.next().unwrap());
-    // So that no other leader shows up, which would end the freeze's effect at once.
+    // Prevents the election of another leader, whose messages would depose this one first.
     network.cut(one, other);
     network.cut(other, one);
     network.conditions.max_sync_ms = 0;
@@ -192,18 +193,18 @@
 
 #[test]
 fn test_raft_old_term_entry_is_not_committed_by_counting() {
-    // Symptom: an entry that was applied is replaced by another one.
+    // Symptom: an applied entry is replaced by another one.
     // Sequence: an entry of an early term reaches two of five replicas; a leader of a
-    // later term appends its own entry there and fails; the first leader comes back,
-    // brings the old entry to a third replica and fails; the second leader comes back
-    // and wins, since its last entry has the higher term.
-    // Cause: committing the old entry because a majority holds it.
+    // later term appends its own entry at the same index and crashes; the first leader
+    // returns, replicates the old entry to a third replica and crashes; the second leader
+    // returns and is elected, since its last entry has the higher term.
+    // Cause: the old entry is committed because a majority holds it.
     let mut network = Network::with_voters(8, 5);
     let first = network.leader().unwrap().0;
     let others: Vec<u64> = (1..=5).filter(|number| *number != first).collect();
     let second = others[0];
     network.partition(&[first, second]);
-    // The entry fills an append of its own, so that it travels without what follows.
+    // Large enough to fill an append of its own, so that it is replicated separately.
     network.propose_padded(id(first), 1_000);
     network.run(Duration::from_millis(20));
     let disputed = network.raft(id(first)).last_index();
@@ -245,11 +246,12 @@
 
 #[test]
 fn test_raft_overwritten_proposal_may_come_back() {
-    // Symptom: an operator is told "not accepted", and the manifest takes force later.
-    // Sequence: a leader brings a proposal to one other replica and is cut off; a later
-    // leader replaces it in the first one's log and fails before it commits; the other
-    // replica leads next and commits the proposal.
-    // Cause: taking the replacement in one's own log for proof that the entry is gone.
+    // Symptom: an operator is told "not accepted", but the manifest takes effect later.
+    // Sequence: a leader replicates a proposal to one other replica and is partitioned; a
+    // later leader replaces it in the first leader's log and crashes before it commits;
+    // the other replica is elected next and commits the proposal.
+    // Cause: the replacement in the replica's own log is taken as proof that the entry
+    // will not be committed.
     let mut network = Network::with_voters(9, 5);
     let first = network.leader().unwrap().0;
     let others: Vec<u64> = (1..=5).filter(|number| *number != first).collect();
@@ -280,16 +282,17 @@
     match &network.answers[&token] {
         Answer::Committed { index, .. } => assert_eq!(*index, disputed),
         Answer::Refused { reason, .. } => assert!(!reason.is_proved_absent(), "{reason}"),
-        Answer::ReadReady { .. } => panic!("a proposal is no read"),
+        Answer::ReadReady { .. } => panic!("a proposal was answered as a read"),
     }
 }
 
 #[test]
 fn test_raft_new_leader_answers_no_read_before_it_commits() {
-    // Symptom: right after an election, a read misses what was accepted before it.
-    // Sequence: a leader commits and fails; the next one has the entries but doesn't
+    // Symptom: a read right after an election misses an entry committed before it.
+    // Sequence: a leader commits and crashes; the next one has the entries but does not
     // know yet that they are committed; a read arrives.
-    // Cause: reading at the commit position of a leader that committed nothing itself.
+    // Cause: the read is served at the commit index of a leader that has not yet committed
+    // an entry of its own term.
     let mut network = Network::with_voters(10, 3);
     let old = network.leader().unwrap();
     let token = network.propose(old);
@@ -307,10 +310,10 @@
 
 #[test]
 fn test_raft_committed_entries_outlast_a_power_loss() {
-    // Symptom: an accepted manifest is gone after all processes restarted at once.
-    // Sequence: a proposal is answered as committed, all replicas lose what they didn't
-    // sync, and the former leader stays away.
-    // Cause: an acknowledgement that left its replica before the entry was synced.
+    // Symptom: an accepted manifest is lost after a restart of all processes at once.
+    // Sequence: a proposal is answered as committed, all replicas lose their unsynced
+    // writes, and the former leader stays down.
+    // Cause: an acknowledgement is sent before the entry is synced.
     let mut network = Network::with_voters(12, 3);
     network.conditions.max_sync_ms = 100;
     for _ in 0..10 {
@@ -326,8 +329,8 @@
 #[test]
 fn test_raft_vote_outlasts_a_restart() {
     // Symptom: two leaders in one term.
-    // Sequence: a replica votes, restarts, and is asked by another candidate.
-    // Cause: a vote that wasn't written before it left.
+    // Sequence: a replica votes, restarts, and receives a vote request of another candidate.
+    // Cause: the vote is sent before it is durable.
     let mut network = Network::with_voters(13, 3);
     let leader = network.leader().unwrap();
     let term = Term(network.raft(leader).term().0 + 5);
@@ -354,9 +357,9 @@
 
 #[test]
 fn test_raft_slow_replica_is_sent_a_bounded_amount() {
-    // Symptom: a leader's process runs out of memory while one replica is slow.
-    // Sequence: a replica stops reading; large proposals go on.
-    // Cause: bounding what is on its way by the number of messages alone.
+    // Symptom: the leader runs out of memory while one replica is slow.
+    // Sequence: a replica stops reading while large proposals continue.
+    // Cause: unacknowledged appends are limited by their number only, not by their size.
     let mut network = Network::with_voters(17, 3);
     let leader = network.leader().unwrap();
     let slow = if leader == id(2) { id(3) } else { id(2) };
@@ -375,9 +378,9 @@
 
 #[test]
 fn test_raft_large_proposals_wait_in_bounded_memory() {
-    // Symptom: a leader's process runs out of memory while nothing can be committed.
-    // Sequence: the other replicas stop for a moment; large proposals go on.
-    // Cause: bounding what waits by its number alone.
+    // Symptom: the leader runs out of memory while nothing can be committed.
+    // Sequence: the other replicas are frozen briefly while large proposals continue.
+    // Cause: pending proposals are limited by their number only, not by their size.
     let mut network = Network::with_voters(18, 3);
     let leader = network.leader().unwrap();
     for number in (1..=3).filter(|number| id(*number) != leader) {
--- a/lib/tests/test_raft_damaged_messages.rs
+++ b/lib/tests/test_raft_damaged_messages.rs
@@ -1,4 +1,4 @@
-//! Messages that no correct replica sends.
+//! Fuzz test of Raft with messages that no correct replica sends.
 
 mod raft_network;
 
@@ -97,9 +97,9 @@
 
 #[test]
 fn test_raft_damaged_messages_end_no_process() {
-    // Symptom: one replica with a fault takes the others down.
-    // Sequence: messages of the right form arrive with contents that don't fit.
-    // Cause: trusting numbers in a message.
+    // Symptom: a faulty replica crashes the others.
+    // Sequence: well-formed messages arrive with inconsistent contents.
+    // Cause: using numbers from a message without validation.
     let config = Config {
         cases: CASES,
         failure_persistence: None,
--- a/lib/tests/test_raft_membership.rs
+++ b/lib/tests/test_raft_membership.rs
@@ -1,4 +1,4 @@
-//! Directed tests of membership changes, snapshots and lost disks.
+//! Directed tests of membership changes, snapshots and the loss of disks.
 
 mod raft_network;
 
@@ -36,8 +36,8 @@
 #[test]
 fn test_raft_membership_empty_replica_neither_votes_nor_campaigns() {
     // Symptom: a replica that lost its disk votes a second time in the same term.
-    // Sequence: a replica starts with nothing; a candidate asks it for its vote.
-    // Cause: taking an empty log for that of a voter.
+    // Sequence: a replica starts with an empty disk; a candidate requests its vote.
+    // Cause: a replica with an empty log acts as a voter.
     let mut network = Network::new(1);
     network.add_node(2, DurableState::default());
     let message = Message {
@@ -62,10 +62,10 @@
 
 #[test]
 fn test_raft_membership_learner_votes_only_with_the_log() {
-    // Symptom: after a repair and one more loss, accepted manifests are gone or nothing
-    // can be accepted.
-    // Sequence: a learner that can be reached only a little joins.
-    // Cause: making it a voter before it holds the log.
+    // Symptom: after a repair and the loss of another replica, accepted manifests are lost
+    // or none can be accepted.
+    // Sequence: a learner joins whose link to the leader works in one direction only.
+    // Cause: the learner is promoted before it holds the log.
     let mut network = Network::with_voters(2, 3);
     for _ in 0..40 {
         network.commit_one();
@@ -76,16 +76,18 @@
     network.run(ELECTION_MAX * 4);
     assert_eq!(network.voters().len(), 3);
     network.heal();
-    network.run_until("the learner votes", |network| network.voters().len() == 4);
+    network.run_until("the learner is promoted", |network| {
+        network.voters().len() == 4
+    });
     let raft = network.raft(id(4));
     assert!(raft.last_index() >= Revision(40));
 }
 
 #[test]
 fn test_raft_membership_removal_that_loses_the_quorum_is_refused() {
-    // Symptom: removing a healthy replica while another one is down stops everything.
+    // Symptom: nothing can be committed after the removal of a healthy replica.
     // Sequence: one of three voters is down; an operator removes another one.
-    // Cause: not counting the voters that answer.
+    // Cause: the removal does not check that a majority of the remaining voters is live.
     let mut network = Network::with_voters(3, 3);
     let leader = network.leader().unwrap();
     let mut others = [1, 2, 3].into_iter().filter(|it| id(*it) != leader);
@@ -101,9 +103,9 @@
 
 #[test]
 fn test_raft_membership_second_change_waits_for_the_first() {
-    // Symptom: two majorities that don't meet each elect a leader.
-    // Sequence: two changes arrive before the first is committed.
-    // Cause: having two uncommitted memberships in the log.
+    // Symptom: two disjoint majorities each elect a leader.
+    // Sequence: a second change arrives before the first is committed.
+    // Cause: the log contains two uncommitted memberships.
     let mut network = Network::with_voters(4, 3);
     let leader = network.leader().unwrap();
     let add = |number| MembershipChange::AddLearner {
@@ -120,10 +122,10 @@
 
 #[test]
 fn test_raft_membership_new_leader_changes_nothing_before_it_commits() {
-    // Symptom: two majorities that don't meet each elect a leader.
-    // Sequence: a leader appends a change that hardly anyone receives and fails; the
-    // next leader, which doesn't know it, appends another change at once.
-    // Cause: changing the membership before an entry of the leader's term is committed.
+    // Symptom: two disjoint majorities each elect a leader.
+    // Sequence: a leader appends a change that reaches only a minority and crashes; the next
+    // leader, which does not have the change, appends another one at once.
+    // Cause: a leader changes the membership before an entry of its term is committed.
     let mut network = Network::with_voters(5, 3);
     let old = network.leader().unwrap();
     network.crash(old);
@@ -141,9 +143,9 @@
 
 #[test]
 fn test_raft_membership_uncommitted_change_is_rolled_back() {
-    // Symptom: a replica counts majorities by a membership that never was in force.
-    // Sequence: a leader appends a change, is cut off, and its entry is replaced.
-    // Cause: keeping the membership of an entry that is gone.
+    // Symptom: a replica counts majorities by a membership that was never committed.
+    // Sequence: a leader appends a change, is isolated, and its entry is replaced.
+    // Cause: the membership of a replaced entry stays in force.
     let mut network = Network::with_voters(6, 3);
     let old = network.leader().unwrap();
     network.isolate(old);
@@ -164,8 +166,8 @@
 
 #[test]
 fn test_raft_membership_replaced_leader_hands_over_first() {
-    // Symptom: a leader that isn't a member goes on leading, or nobody does.
-    // Sequence: an operator replaces the replica that leads.
+    // Symptom: a leader that is no longer a member remains leader, or there is none.
+    // Sequence: an operator replaces the replica that is the leader.
     let mut network = Network::with_voters(7, 3);
     let old = network.leader().unwrap();
     network.join(4, Some(old.0));
@@ -181,10 +183,10 @@
 
 #[test]
 fn test_raft_membership_restart_hundreds_of_entries_later() {
-    // Symptom: a replica that was down for long never catches up.
-    // Sequence: one replica is down while hundreds of entries are committed and
-    // compacted everywhere else; it loses messages and restarts while it catches up.
-    // Cause: the entries that it lacks are gone.
+    // Symptom: a replica that was down for a long time never catches up.
+    // Sequence: one replica is down while hundreds of entries are committed and compacted
+    // on all others; messages are lost and it restarts while it catches up.
+    // Cause: the entries that it needs are compacted.
     let mut network = Network::with_voters(8, 3);
     let leader = network.leader().unwrap();
     let down = if leader == id(2) { id(3) } else { id(2) };
@@ -213,11 +215,11 @@
 
 #[test]
 fn test_raft_membership_snapshot_ends_a_longer_conflicting_log() {
-    // Symptom: after a restart, a replica holds entries behind a snapshot that don't
-    // belong there.
-    // Sequence: a leader that is cut off appends many entries; the others commit fewer,
-    // compact them and restart; the first one gets their snapshot.
-    // Cause: keeping the entries behind the snapshot's position without a look at them.
+    // Symptom: after a restart, the log of a replica contains entries after a snapshot that
+    // conflict with the leader's log.
+    // Sequence: an isolated leader appends many entries; the others commit fewer, compact
+    // them and restart; the first one installs their snapshot.
+    // Cause: entries after the snapshot's index are kept without a check for conflicts.
     let mut network = Network::with_voters(10, 3);
     let old = network.leader().unwrap();
     network.isolate(old);
@@ -260,8 +262,10 @@
 
 #[test]
 fn test_raft_membership_large_entries_go_with_a_snapshot() {
-    // Symptom: a process holds hundreds of large manifests that a snapshot includes.
-    // Cause: bounding the entries that stay for slow replicas by their number alone.
+    // Symptom: a process keeps hundreds of large manifests in memory that a snapshot
+    // includes.
+    // Cause: the entries kept for slow replicas are limited by their number only, not by
+    // their size.
     let mut network = Network::with_voters(11, 3);
     let leader = network.leader().unwrap();
     let behind = if leader == id(2) { id(3) } else { id(2) };
@@ -284,8 +288,8 @@
 #[test]
 fn test_raft_effects_snapshot_replaces_earlier_entries() {
     // Symptom: entries are applied on top of a snapshot that includes them.
-    // Sequence: one step commits entries, the next one installs a snapshot, and both
-    // are carried out under one sync.
+    // Sequence: one step commits entries, the next one installs a snapshot, and the effects
+    // of both are carried out with one sync.
     let entry = |index| LogEntry {
         index: Revision(index),
         term: Term(1),
--- a/lib/tests/test_raft_proof.rs
+++ b/lib/tests/test_raft_proof.rs
@@ -1,4 +1,4 @@
-//! When followers know that they are current.
+//! Proofs by which a replica knows that its state is current.
 
 mod raft_network;
 
@@ -9,21 +9,22 @@
 use crate::raft_network::NetworkConditions;
 use crate::raft_network::id;
 
-/// Age of a proof up to which a replica counts as current.
+/// Maximum age of a proof with which a replica counts as current.
 const PROOF_AGE: Duration = Duration::from_millis(600);
 
-/// Time between two commands: the leader commits more before a follower has what is committed.
+/// Time between commands, short enough that the leader commits further entries before a
+/// follower has received the previous ones.
 const PAUSE: Duration = Duration::from_millis(5);
 
-/// Symptom: entry VMs leave a control replica after the other, since each says that it can't
-/// prove that it is current, and heartbeats of backend servers are turned away, whenever much is
-/// committed.
+/// Symptom: under a high commit rate, every control replica reports that it cannot prove that
+/// it is current. Entry VMs move from one replica to the next, and heartbeats of backend
+/// servers are rejected.
 ///
-/// Sequence: the leader commits one command after the other. What it says of its commits is
-/// always ahead of what has reached the follower.
+/// Sequence: the leader commits commands continuously, so that the commit index that it
+/// advertises is always ahead of what the follower has received.
 ///
-/// Cause: a follower counted as current only while it had everything that the leader told of,
-/// rather than for a while after it had.
+/// Cause: a follower counts as current only while it has everything that the leader has
+/// advertised, and not for some time after it had.
 #[test]
 fn test_followers_stay_current_while_much_is_committed() {
     for seed in 0..10 {
@@ -42,7 +43,9 @@
             }
             for follower in &followers {
                 let raft = network.raft(*follower);
-                let proved = raft.proven_current_at().expect("it was current once");
+                let proved = raft
+                    .proven_current_at()
+                    .expect("the follower has been current");
                 let age = network.time().saturating_duration_since(proved);
                 assert!(age < PROOF_AGE, "seed {seed}, {follower:?}: {age:?}");
             }
@@ -50,9 +53,9 @@
     }
 }
 
-/// A follower that hears of commits and lacks them isn't current for longer than it was.
+/// Guards against a follower that extends its proof while no appends from the leader reach it.
 #[test]
-fn test_a_follower_that_lags_ceases_to_be_current() {
+fn test_follower_without_appends_stops_being_current() {
     let mut network = Network::with_voters(1, 3);
     let leader = network.leader().unwrap();
     let follower = (1..=3).map(id).find(|id| *id != leader).unwrap();
@@ -66,9 +69,10 @@
     assert_eq!(network.raft(follower).proven_current_at(), before);
 }
 
-/// Guards against a replica that says that it is current on the word of a replaced leader.
+/// Guards against a replica that claims to be current because of delayed appends from a leader
+/// that has been replaced. They wait in the replica's buffers while it is frozen.
 #[test]
-fn test_a_word_that_waited_proves_nothing_of_now() {
+fn test_delayed_append_of_a_replaced_leader_is_no_proof() {
     for seed in 0..20 {
         let mut network = Network::with_voters(seed, 5);
         let leader = network.leader().unwrap();
--- a/lib/tests/test_raft_simulation.rs
+++ b/lib/tests/test_raft_simulation.rs
@@ -1,7 +1,7 @@
-//! Random faults against the agreement, with its invariants checked after each step.
+//! Simulation of Raft under random faults, with its invariants checked after each step.
 //!
-//! The seed is fixed, so that every run gives the same verdict. `HEATHERRING_SEED`
-//! takes another one and `HEATHERRING_CASES` runs more cases.
+//! The seed is fixed, so that every run gives the same result. `HEATHERRING_SEED` sets
+//! another seed, `HEATHERRING_CASES` the number of cases.
 
 mod raft_network;
 
@@ -31,7 +31,7 @@
 const DEFAULT_CASES: u32 = 96;
 const MAX_REPLICAS: usize = 10;
 
-/// Names one fault or request. Numbers choose among the replicas that there are.
+/// A fault or request. A `u8` selects one of the existing replicas, modulo their number.
 #[derive(Clone, Debug)]
 enum Event {
     Propose(u8),
@@ -52,15 +52,15 @@
     Remove(u8),
 }
 
-/// Holds a run and the repairs that an operator still has to make.
+/// A simulation run with the membership changes that an operator still has to request.
 struct Simulation {
     network: Network,
-    /// New replicas that aren't members yet, with what they replace.
+    /// New replicas that may not be members yet, each with the replica that it replaces.
     joining: Vec<(ReplicaId, Option<ReplicaId>)>,
     next_number: u64,
 }
 
-/// Counts what the cases did, to show that they did something.
+/// Totals over all cases, printed to show how much they exercised.
 #[derive(Debug, Default)]
 struct Totals {
     steps: u64,
@@ -171,8 +171,8 @@
         self.request_joins();
     }
 
-    /// Loses a voter's disk, unless an earlier loss isn't repaired everywhere yet: a
-    /// second loss before the repair is done takes committed entries with it.
+    /// Loses a replica's disk, unless the repair of an earlier loss has not reached all
+    /// replicas: a second loss before that may lose committed entries.
     fn lose_disk(&mut self, victim: ReplicaId) {
         let disk_lost = |replica: &ReplicaId| self.network.nodes[replica].disk_lost;
         let disks = self.network.nodes.values().filter(|node| !node.disk_lost);
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Asks for a removal, unless it could leave two voters: if one of these loses its
-    /// disk at the same moment, there is no quorum any more, whatever the protocol.
+    /// Requests a removal, unless it could leave two voters: if one of them lost its disk at
+    /// the same time, there would be no quorum, whatever the protocol.
     fn remove(&mut self, replica: ReplicaId) {
         if self.network.voters().len() > 3
             && let Some(leader) = self.network.leader()
@@ -210,8 +210,8 @@
         }
     }
 
-    /// Asks the leader to take in the replicas that aren't members yet, as an operator
-    /// repeats a command that wasn't answered.
+    /// Asks the leader to add the replicas that are not members yet, as an operator repeats a
+    /// command that was not answered.
     fn request_joins(&mut self) {
         let Some(leader) = self.network.leader() else {
             return;
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Ends all faults and checks that the replicas agree again.
+    /// Ends all faults and checks that all members apply all entries again.
     fn recover(&mut self) {
         self.network.heal();
         self.network.run(Duration::from_millis(1_500));
@@ -242,7 +242,7 @@
         self.network.run(ELECTION_MAX * 2);
         let last = self.network.commit_one();
         self.network
-            .run_until("all members have all entries", |network| {
+            .run_until("all members have applied all entries", |network| {
                 let Some(leader) = network.leader() else {
                     return false;
                 };
@@ -291,7 +291,7 @@
     }
 }
 
-/// Tells how a leader goes.
+/// How a leader stops.
 #[derive(Clone, Copy, Debug)]
 enum LeaderExit {
     Crash,
@@ -307,8 +307,8 @@
     }
 }
 
-/// Returns how long nothing can be committed when the leader goes, and how many
-/// elections were won until then.
+/// Returns how long nothing can be committed when the leader stops, and how many elections
+/// were won meanwhile.
 fn outage(seed: u64, exit: LeaderExit, conditions: NetworkConditions) -> (Duration, u64) {
     let mut network = Network::with_voters(seed, 3);
     network.conditions = conditions;
@@ -320,7 +320,7 @@
     let mut next_request_at = exit_at;
     network.run_until("another replica leads", |network| {
         if network.elapsed() >= next_request_at {
-            // A hand-over whose messages are lost is given up; the shell asks again.
+            // A handover is given up if its messages are lost, and the driver requests it again.
             next_request_at = network.elapsed() + ELECTION_MAX;
             exit.apply_to(network, leader);
         }
@@ -356,17 +356,17 @@
 }
 
 #[test]
-fn test_raft_simulation_leader_death_is_short() {
-    // Symptom: operators wait for long after a leader's death.
-    // Sequence: the leader dies; the others stand for election at the same time again
-    // and again, or a won election is lost at once.
-    // Cause: election timeouts that are too alike or too short for the delays.
+fn test_raft_simulation_leader_crash_outage_is_short() {
+    // Symptom: a long outage after a crash of the leader.
+    // Sequence: the leader crashes; the others start elections at the same time repeatedly,
+    // or a new leader is deposed at once.
+    // Cause: election timeouts are too similar, or too short for the network delays.
     check_outages(LeaderExit::Crash, ELECTION_MAX * 6);
 }
 
 #[test]
-fn test_raft_simulation_planned_stop_is_short() {
-    // Symptom: a planned stop of the leader takes as long as its death.
-    // Cause: leaving the others to find out by themselves.
+fn test_raft_simulation_planned_stop_outage_is_short() {
+    // Symptom: the outage after a planned stop of the leader is as long as after a crash.
+    // Cause: the leader stops without a handover, and the others wait for a timeout.
     check_outages(LeaderExit::PlannedStop, ELECTION_MAX * 6);
 }
--- a/lib/tests/test_raft_timeouts.rs
+++ b/lib/tests/test_raft_timeouts.rs
@@ -1,4 +1,4 @@
-//! When the voters of a cluster campaign.
+//! Election timeouts of the voters of a cluster.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 
 const VOTERS: u64 = 5;
 
-/// The way to another region.
+/// One-way delay to another region.
 const ONE_WAY_DELAY: Duration = Duration::from_millis(55);
 
 fn voter(id: u64, seed: u64, now: Instant) -> Raft {
@@ -52,20 +52,21 @@
     }
 }
 
-/// Symptom: after a start of all replicas there is no leader for four seconds.
+/// Symptom: after all replicas start, there is no leader for four seconds.
 ///
-/// Sequence: two replicas in different regions stand for election within the way between
-/// them; each gets the votes of its region, none a majority; and again, five times.
+/// Sequence: two replicas in different regions start an election within the one-way delay
+/// between them; each wins the votes of its own region, neither a majority. This repeats
+/// five times.
 ///
-/// Cause: timeouts drawn from one range for all. The two shortest of four lay too close one
-/// time in three. Each voter has a part of the range of its own.
+/// Cause: all timeouts are drawn from the same range, so that the two shortest of four are
+/// too close one time in three. Each voter therefore has its own slot of the range.
 #[test]
 fn test_raft_timeouts_lie_apart() {
     let now = Instant::now();
     for seed in 0..50 {
         let mut voters: Vec<Raft> = (1..=VOTERS).map(|id| voter(id, seed, now)).collect();
         assert_apart(voters.iter().map(Raft::next_wake).collect(), seed);
-        // All campaign in the same moment, nobody wins, and all wait anew.
+        // All campaign at the same time, none wins, and all start a new timeout.
         let later = now + Duration::from_secs(2);
         for raft in &mut voters {
             let _ = raft.step(later, Input::Tick);
