--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -281,7 +281,7 @@
             .get(key)
             .map(|backend| &backend.record.service);
         if let Some(service) = service.and_then(|name| self.services.get_mut(name)) {
-            service.latency_key.observe_tail(latency_key, took);
+            service.latency.observe_tail(latency_key, took);
         }
     }
 
@@ -307,7 +307,7 @@
         } else {
             &shared
         };
-        let latency_key = service.latency_key.route(route, ask.latency_objective);
+        let latency_key = service.latency.route(route, ask.latency_objective);
         let may_move = self.moves.may_move(now);
         let service = &self.services[ask.service];
         let left = ask.answer_by().saturating_duration_since(now).as_secs_f64();
@@ -325,14 +325,14 @@
             left,
             objective: ask.objective.saturating_duration_since(now).as_secs_f64(),
             wait_share,
-            mean: service.latency_key.mean(),
+            mean: service.latency.mean(),
             may_copy: service.may_copy(ask.object, policy.bounded_copies),
             stay_in: settled.filter(|_| !may_move),
             policy,
         };
         let max_connections = service.known.max_connections;
         let best = dispatch_pick::pick(&candidates, &limits);
-        let until_end = service.latency_key.until_end(latency_key);
+        let until_end = service.latency.until_end(latency_key);
         let best = best.filter(|best| ask.answers_until.is_none() || best.wait + until_end <= left);
         if !candidates.is_empty() {
             self.rank_fairness.note(now, ask.rank, best.is_some());
@@ -473,7 +473,7 @@
                     .health
                     .note_answer(now, took, send.expected.slow_above);
                 if let Some(service) = self.services.get_mut(&backend.record.service) {
-                    service.latency_key.observe(send.expected.latency_key, took);
+                    service.latency.observe(send.expected.latency_key, took);
                 }
             }
             SendOutcome::Faulty => {
--- a/lib/src/dispatch_assess.rs
+++ b/lib/src/dispatch_assess.rs
@@ -157,11 +157,11 @@
         } else {
             1.0
         };
-        let service_time = service.latency_key.expected(latency_key, warm) * factor * slowness;
+        let service_time = service.latency.expected(latency_key, warm) * factor * slowness;
         let objective = ask.latency_objective.as_secs_f64();
-        let wait = ahead * service.latency_key.mean() * factor * slowness / slots;
+        let wait = ahead * service.latency.mean() * factor * slowness / slots;
         let (fault, risk) = if policy.fault_marks {
-            let cold = service.latency_key.expected(latency_key, false);
+            let cold = service.latency.expected(latency_key, false);
             let fault = backend.fault(now, wait, cold, objective);
             (fault, backend.risk(now, objective))
         } else {
@@ -174,9 +174,7 @@
             fault,
             risk: risk + tie_break(rank),
             load: there / slots,
-            slow_above: service.latency_key.expected(latency_key, known_warm)
-                * factor
-                * SLOW_MARGIN,
+            slow_above: service.latency.expected(latency_key, known_warm) * factor * SLOW_MARGIN,
             warm,
             near: backend.region == self.cfg.region,
             region: backend.region_hash,
--- a/lib/src/dispatch_service.rs
+++ b/lib/src/dispatch_service.rs
@@ -29,7 +29,7 @@
 pub(crate) struct Service {
     pub backends: Vec<BackendKey>,
     pub known: Arc<RouteService>,
-    pub pace: ServiceLatency,
+    pub latency: ServiceLatency,
     pub budget: ResendBudget,
     pub objects: ObjectCount,
     /// Objects that a further copy is being made of.
@@ -52,7 +52,7 @@
         Self {
             backends: Vec::new(),
             known,
-            pace: ServiceLatency::default(),
+            latency: ServiceLatency::default(),
             budget: ResendBudget::new(resend_ratio, resend_slack, senders),
             objects: ObjectCount::default(),
             warming: BTreeSet::new(),
--- a/lib/tests/test_service_latency.rs
+++ b/lib/tests/test_service_latency.rs
@@ -22,7 +22,7 @@
 #[case::short(72, 240)]
 #[case::middle(192, 640)]
 #[case::long(350, 1_400)]
-fn test_service_pace_tells_kinds_apart(#[case] warm: u64, #[case] cold: u64) {
+fn test_service_latency_tells_kinds_apart(#[case] warm: u64, #[case] cold: u64) {
     let mut latency = RouteLatency::new(OBJECTIVE);
     observe(&mut latency, cold, 20);
     for _ in 0..60 {
@@ -42,7 +42,7 @@
 ///
 /// Cause: the estimate with data at hand rose above the one without, which nothing corrected.
 #[test]
-fn test_service_pace_expects_more_without_data() {
+fn test_service_latency_expects_more_without_data() {
     let mut latency = RouteLatency::new(OBJECTIVE);
     for _ in 0..100 {
         observe(&mut latency, 350, 1);
@@ -52,7 +52,7 @@
 
 /// One outlier doesn't move an estimate far once there have been some observations.
 #[test]
-fn test_service_pace_bears_an_outlier() {
+fn test_service_latency_bears_an_outlier() {
     let mut latency = RouteLatency::new(OBJECTIVE);
     observe(&mut latency, 90, 50);
     observe(&mut latency, 9_000, 1);
@@ -64,7 +64,7 @@
 /// Cause: one estimate for both lay at 180 ms, so that the slower ones were four times as slow
 /// as expected, always.
 #[test]
-fn test_service_pace_keeps_routes_apart() {
+fn test_service_latency_keeps_routes_apart() {
     let mut latency = ServiceLatency::default();
     let (check, proof) = (RouteName::new("check"), RouteName::new("proof"));
     for _ in 0..100 {
@@ -83,7 +83,7 @@
 /// Many names come and go with the manifest; what is kept stays bounded, and a request under
 /// way whose route was dropped meanwhile does no harm.
 #[test]
-fn test_service_pace_keeps_a_bounded_number_of_routes() {
+fn test_service_latency_keeps_a_bounded_number_of_routes() {
     let mut latency = ServiceLatency::default();
     let first = latency.route(&RouteName::new("first"), OBJECTIVE);
     let used = RouteName::new("used");
