--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -348,7 +348,7 @@
         let Some(group) = self.groups.get_mut(&name) else {
             return Ok(Vec::new());
         };
-        let slots = announcement.believed_slots(service);
+        let slots = announcement.effective_slots(service);
         let stopped = group.announce(made, announcement, slots);
         self.mark_drained();
         let gone = stopped.then(|| Effect::Disconnect {
--- a/lib/src/announcement.rs
+++ b/lib/src/announcement.rs
@@ -153,7 +153,7 @@
     /// Returns the slots that are believed of the server: never more than the manifest
     /// allows one backend server, and one connection for each slot.
     #[must_use]
-    pub fn believed_slots(&self, service: &Service) -> u32 {
+    pub fn effective_slots(&self, service: &Service) -> u32 {
         self.slots
             .min(service.max_slots_per_backend)
             .min(self.max_connections)
--- a/lib/src/cold_queries.rs
+++ b/lib/src/cold_queries.rs
@@ -39,7 +39,7 @@
 impl Dispatcher {
     /// Notes that control is in reach and that all it knows has been applied.
     pub fn note_control_contact(&mut self, now: Instant) {
-        self.cold_watch.note_control_contact(now);
+        self.cold_tracker.note_control_contact(now);
     }
 
     /// Returns the questions that are due, one to each place at most, and when to ask next.
@@ -50,7 +50,7 @@
     pub fn cold_queries(&mut self, now: Instant) -> (Vec<ColdQuery>, Instant) {
         let mut questions = Vec::new();
         for (place, members) in self.members_to_ask(now) {
-            if !self.cold_watch.try_ask(now, &place) {
+            if !self.cold_tracker.try_ask(now, &place) {
                 continue;
             }
             self.question_turn = self.question_turn.wrapping_add(1);
@@ -70,12 +70,12 @@
                 asked_at: now,
             });
         }
-        (questions, self.cold_watch.next_due(now))
+        (questions, self.cold_tracker.next_due(now))
     }
 
     fn members_to_ask(&self, now: Instant) -> BTreeMap<PlaceName, Vec<BackendKey>> {
         let mut places: BTreeMap<PlaceName, Vec<BackendKey>> = BTreeMap::new();
-        if !self.cold_watch.is_alone(now) {
+        if !self.cold_tracker.is_alone(now) {
             return places;
         }
         for (key, backend) in &self.backends {
@@ -94,7 +94,7 @@
         };
         backend.cold_until = backend.cold_until.max(now + word.cold_for);
         let is_cold = !word.cold_for.is_zero();
-        self.cold_watch
+        self.cold_tracker
             .note_word(word.question.asked_at, &backend.record.place, is_cold);
     }
 }
--- a/lib/src/cold_watch.rs
+++ b/lib/src/cold_tracker.rs
@@ -33,7 +33,7 @@
 
 /// Follows what is known of each place.
 #[derive(Debug)]
-pub struct ColdWatch {
+pub struct ColdTracker {
     control_at: Instant,
     places: BTreeMap<PlaceName, PlaceWatch>,
 }
@@ -45,7 +45,7 @@
     warm_at: Option<Instant>,
 }
 
-impl ColdWatch {
+impl ColdTracker {
     /// Starts as if control had just been in reach.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -18,7 +18,7 @@
 use crate::affinity::ObjectHash;
 use crate::backend_load::Expectation;
 use crate::cold_gate;
-use crate::cold_watch::ColdWatch;
+use crate::cold_tracker::ColdTracker;
 use crate::dispatch_backend::Backend;
 use crate::dispatch_pick;
 use crate::dispatch_pick::Candidate;
@@ -83,7 +83,7 @@
     by_name: BTreeMap<BackendName, BackendKey>,
     pub(crate) services: BTreeMap<ServiceName, Service>,
     /// Whether backend servers may be cold without control having said so.
-    pub(crate) cold_watch: ColdWatch,
+    pub(crate) cold_tracker: ColdTracker,
     /// Whose turn it is to be asked, among the backend servers of a place.
     pub(crate) question_turn: usize,
     /// Shortest delay there and back that was seen, by region.
@@ -113,7 +113,7 @@
             backends: SlotMap::with_key(),
             by_name: BTreeMap::new(),
             services: BTreeMap::new(),
-            cold_watch: ColdWatch::new(now),
+            cold_tracker: ColdTracker::new(now),
             question_turn: 0,
             delays: BTreeMap::new(),
             link: LinkCongestion::default(),
@@ -427,7 +427,7 @@
 
     /// Returns whether a backend server bears a few requests only, or may do so.
     pub(crate) fn is_cold(&self, now: Instant, backend: &Backend) -> bool {
-        backend.is_cold(now) || self.cold_watch.is_doubtful(now, &backend.record.place)
+        backend.is_cold(now) || self.cold_tracker.is_doubtful(now, &backend.record.place)
     }
 
     pub(crate) fn cold_interval(&self, backend: &Backend, rate: f64) -> Option<Duration> {
--- a/lib/src/follow_lag.rs
+++ b/lib/src/follow_lag.rs
@@ -10,7 +10,7 @@
 use crate::id::VmName;
 
 /// Time within which a confirmed manifest should be in force at every entry VM.
-pub const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_500);
+pub const MAX_IN_FORCE_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Manifests whose times are kept.
 const KEPT_MANIFESTS: usize = 64;
@@ -37,7 +37,7 @@
 
 /// Tells of an entry VM that goes by an older manifest for too long.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Behind {
+pub struct LateManifest {
     /// The oldest version that it lacks.
     pub version: ManifestVersion,
     /// Time since this replica learned of that version.
@@ -46,12 +46,12 @@
 
 /// Tells what an entry VM's question shows.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Shown {
+pub struct LagObservation {
     /// For each version that is newly in force there, the time from when this replica learned of
     /// it until now.
     pub in_force_after: Vec<Duration>,
-    /// A version that it lacks beyond [`IN_FORCE_WITHIN`]; told once a version.
-    pub behind: Option<Behind>,
+    /// A version that it lacks beyond [`MAX_IN_FORCE_DELAY`]; told once a version.
+    pub behind: Option<LateManifest>,
 }
 
 /// Follows who has applied what.
@@ -87,12 +87,17 @@
 
     /// Takes a question of an entry VM, which has applied everything up to `revision`; 0 if it has
     /// just started.
-    pub fn note_question(&mut self, now: Instant, vm: &VmName, revision: Revision) -> Shown {
+    pub fn note_request(
+        &mut self,
+        now: Instant,
+        vm: &VmName,
+        revision: Revision,
+    ) -> LagObservation {
         let age = |learned: &Learned| now.saturating_duration_since(learned.at);
         let before = self.asked.get(vm).copied();
         // One that followed another replica meanwhile may have applied them long ago.
         let followed = before.filter(|before| {
-            before.revision.0 > 0 && now.saturating_duration_since(before.at) < IN_FORCE_WITHIN
+            before.revision.0 > 0 && now.saturating_duration_since(before.at) < MAX_IN_FORCE_DELAY
         });
         let in_force_after = followed.map_or_else(Vec::new, |before| {
             let newly = before.revision.next()..=revision;
@@ -108,7 +113,7 @@
             .iter()
             .find(|learned| learned.revision > revision);
         let late = lacked.filter(|lacked| {
-            revision.0 > 0 && lacked.version > told && age(lacked) > IN_FORCE_WITHIN
+            revision.0 > 0 && lacked.version > told && age(lacked) > MAX_IN_FORCE_DELAY
         });
         let asked = Asked {
             at: now,
@@ -116,9 +121,9 @@
             late: late.map_or(told, |late| late.version),
         };
         self.asked.insert(vm.clone(), asked);
-        Shown {
+        LagObservation {
             in_force_after,
-            behind: late.map(|late| Behind {
+            behind: late.map(|late| LateManifest {
                 version: late.version,
                 lag: age(late),
             }),
--- a/lib/src/follow_plan.rs
+++ b/lib/src/follow_plan.rs
@@ -17,10 +17,10 @@
 
 use crate::replica_choice::ReplicaChoice;
 use crate::replica_choice::ReplicaSite;
-use crate::replica_choice::Useless;
-use crate::replica_patience::ANSWER_WITHIN;
-use crate::replica_patience::LATE_AFTER;
-use crate::replica_patience::ReplicaPatience;
+use crate::replica_choice::Unusable;
+use crate::replica_timeout::ANSWER_TIMEOUT;
+use crate::replica_timeout::HEDGE_AFTER;
+use crate::replica_timeout::ReplicaTimeout;
 
 /// Pause before others are asked, after none was of use.
 const NEXT_PAUSE: Duration = Duration::from_millis(50);
@@ -45,26 +45,26 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FollowStep {
     /// Ask a replica whether it is of use.
-    Try(SocketAddr),
+    Probe(SocketAddr),
     /// Ask the replica that is followed for news, in place of what was asked of it before. It
-    /// may hold its answer back for [`HOLD`](crate::replica_patience::HOLD).
-    Ask(SocketAddr),
+    /// may hold its answer back for [`LONG_POLL_HOLD`](crate::replica_timeout::LONG_POLL_HOLD).
+    Poll(SocketAddr),
     /// Wait no longer for the answer of a replica that isn't needed.
-    Drop(SocketAddr),
+    Cancel(SocketAddr),
     /// Wait no longer for the answer of a replica, which gave none in time.
-    GiveUp(SocketAddr),
+    TimedOut(SocketAddr),
 }
 
 /// Says what came of a question.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum FollowAnswer {
+pub enum FollowOutcome {
     /// The replica is of use.
-    Useful {
+    Usable {
         /// Whether it told anything new.
-        is_news: bool,
+        has_changes: bool,
     },
     /// It isn't.
-    Useless(Useless),
+    Unusable(Unusable),
 }
 
 /// Holds the replica that is followed.
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 pub struct FollowPlan {
     choice: ReplicaChoice,
-    patience: ReplicaPatience,
+    patience: ReplicaTimeout,
     followed: Option<Followed>,
     trials: Vec<Trial>,
     aim: Aim,
@@ -123,7 +123,7 @@
     pub fn new(choice: ReplicaChoice, now: Instant, seed: u64) -> Self {
         Self {
             choice,
-            patience: ReplicaPatience::default(),
+            patience: ReplicaTimeout::default(),
             followed: None,
             trials: Vec::new(),
             aim: Aim::Search,
@@ -153,8 +153,8 @@
             None => self.trials_end,
             Some(followed) => match followed.question {
                 Question::Planned(at) => at,
-                Question::Asked(at) if followed.has_searched => at + ANSWER_WITHIN,
-                Question::Asked(at) => at + LATE_AFTER,
+                Question::Asked(at) if followed.has_searched => at + ANSWER_TIMEOUT,
+                Question::Asked(at) => at + HEDGE_AFTER,
             },
         };
         let waiting = self.trials.iter().filter(|trial| !trial.has_begun);
@@ -170,7 +170,7 @@
         if let Some(followed) = self.followed {
             match followed.question {
                 Question::Planned(at) if at <= now => self.ask(now, &mut steps),
-                Question::Asked(at) if at + LATE_AFTER <= now && !followed.has_searched => {
+                Question::Asked(at) if at + HEDGE_AFTER <= now && !followed.has_searched => {
                     self.followed = Some(Followed {
                         has_searched: true,
                         ..followed
@@ -187,7 +187,7 @@
     }
 
     /// Has the replica that is followed asked at once: what it is told has changed.
-    pub fn hurry(&mut self, now: Instant) -> Vec<FollowStep> {
+    pub fn poll_now(&mut self, now: Instant) -> Vec<FollowStep> {
         let mut steps = Vec::new();
         self.ask(now, &mut steps);
         steps
@@ -198,19 +198,19 @@
         &mut self,
         now: Instant,
         replica: SocketAddr,
-        answer: FollowAnswer,
+        answer: FollowOutcome,
     ) -> Vec<FollowStep> {
         let mut steps = Vec::new();
         let is_followed = self.followed() == Some(replica);
         match answer {
-            FollowAnswer::Useful { is_news } if is_followed => {
-                self.note_useful(now, replica, is_news, &mut steps);
+            FollowOutcome::Usable { has_changes } if is_followed => {
+                self.note_useful(now, replica, has_changes, &mut steps);
             }
-            FollowAnswer::Useful { .. } if self.is_tried(replica) => {
+            FollowOutcome::Usable { .. } if self.is_tried(replica) => {
                 self.follow(now, replica, &mut steps);
             }
-            FollowAnswer::Useful { .. } => {}
-            FollowAnswer::Useless(why) => self.note_useless(now, replica, why),
+            FollowOutcome::Usable { .. } => {}
+            FollowOutcome::Unusable(why) => self.note_useless(now, replica, why),
         }
         self.begin_trials(now, &mut steps);
         steps
@@ -224,7 +224,7 @@
         if let Some(followed) = &mut self.followed {
             followed.question = Question::Asked(now);
             followed.has_searched = false;
-            steps.push(FollowStep::Ask(followed.replica));
+            steps.push(FollowStep::Poll(followed.replica));
         }
     }
 
@@ -258,7 +258,7 @@
         for trial in &mut self.trials {
             if !trial.has_begun && trial.begins_at <= now {
                 trial.has_begun = true;
-                steps.push(FollowStep::Try(trial.replica));
+                steps.push(FollowStep::Probe(trial.replica));
             }
         }
     }
@@ -269,20 +269,20 @@
             replica, question, ..
         }) = self.followed
             && let Question::Asked(at) = question
-            && at + ANSWER_WITHIN <= now
+            && at + ANSWER_TIMEOUT <= now
         {
             self.followed = None;
             self.search_at = now;
-            self.set_aside(now, replica, Useless::Silent);
-            steps.push(FollowStep::GiveUp(replica));
+            self.back_off(now, replica, Unusable::Unresponsive);
+            steps.push(FollowStep::TimedOut(replica));
         }
         if !self.trials.is_empty() && self.trials_end <= now {
             for trial in std::mem::take(&mut self.trials) {
-                self.set_aside(now, trial.replica, Useless::Silent);
-                steps.push(FollowStep::GiveUp(trial.replica));
+                self.back_off(now, trial.replica, Unusable::Unresponsive);
+                steps.push(FollowStep::TimedOut(trial.replica));
             }
             if self.aim == Aim::Search {
-                self.patience.note_silence();
+                self.patience.note_timeout();
             }
             self.search_at = now + NEXT_PAUSE;
         }
@@ -292,16 +292,16 @@
         &mut self,
         now: Instant,
         replica: SocketAddr,
-        is_news: bool,
+        has_changes: bool,
         steps: &mut Vec<FollowStep>,
     ) {
         self.patience.note_answer();
-        self.choice.note_use(replica);
+        self.choice.note_usable(replica);
         if self.aim == Aim::Search {
             self.drop_trials(now, steps);
         }
         self.try_nearer(now, replica);
-        if !is_news {
+        if !has_changes {
             self.ask(now, steps);
         } else if let Some(followed) = &mut self.followed {
             followed.question = Question::Planned(now + NEWS_PAUSE);
@@ -325,11 +325,11 @@
         self.trials.retain(|trial| trial.replica != replica);
         self.drop_trials(now, steps);
         if let Some(left) = self.followed.take() {
-            self.pass_over(now, left.replica);
-            steps.push(FollowStep::Drop(left.replica));
+            self.defer_return(now, left.replica);
+            steps.push(FollowStep::Cancel(left.replica));
         }
         self.patience.note_answer();
-        self.choice.note_use(replica);
+        self.choice.note_usable(replica);
         self.followed = Some(Followed {
             replica,
             question: Question::Planned(now + NEARER_FIRST),
@@ -343,14 +343,14 @@
     fn drop_trials(&mut self, now: Instant, steps: &mut Vec<FollowStep>) {
         for trial in std::mem::take(&mut self.trials) {
             if trial.has_begun {
-                self.pass_over(now, trial.replica);
-                steps.push(FollowStep::Drop(trial.replica));
+                self.defer_return(now, trial.replica);
+                steps.push(FollowStep::Cancel(trial.replica));
             }
         }
     }
 
-    fn note_useless(&mut self, now: Instant, replica: SocketAddr, why: Useless) {
-        self.set_aside(now, replica, why);
+    fn note_useless(&mut self, now: Instant, replica: SocketAddr, why: Unusable) {
+        self.back_off(now, replica, why);
         self.trials.retain(|trial| trial.replica != replica);
         if self.followed() == Some(replica) {
             self.followed = None;
@@ -360,13 +360,13 @@
         }
     }
 
-    fn set_aside(&mut self, now: Instant, replica: SocketAddr, why: Useless) {
+    fn back_off(&mut self, now: Instant, replica: SocketAddr, why: Unusable) {
         let draw = self.rng.random();
-        self.choice.set_aside(replica, now, why, draw);
+        self.choice.back_off(replica, now, why, draw);
     }
 
-    fn pass_over(&mut self, now: Instant, replica: SocketAddr) {
+    fn defer_return(&mut self, now: Instant, replica: SocketAddr) {
         let draw = self.rng.random();
-        self.choice.pass_over(replica, now, draw);
+        self.choice.defer_return(replica, now, draw);
     }
 }
--- a/lib/src/head_watch.rs
+++ b/lib/src/head_scanner.rs
@@ -24,7 +24,7 @@
 
 /// Follows what a connection's parser is handed, and remembers what it may yet ask about.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct HeadWatch {
+pub struct HeadScanner {
     /// Bytes to come of a body whose length is known.
     body_left: u64,
     line: LineStart,
@@ -34,9 +34,9 @@
     at_end: bool,
 }
 
-impl HeadWatch {
+impl HeadScanner {
     /// Returns how many of `bytes`, which come next, are to be handed on in one piece.
-    pub fn piece(&mut self, bytes: &[u8]) -> usize {
+    pub fn next_piece(&mut self, bytes: &[u8]) -> usize {
         if self.body_left > 0 {
             let left = usize::try_from(self.body_left).unwrap_or(usize::MAX);
             let taken = bytes.len().min(left);
@@ -69,7 +69,7 @@
 
     /// Says what the head says that the parser has just taken. `body_length` is what it makes
     /// of it: nothing if there are chunks.
-    pub fn take_head(&mut self, body_length: Option<u64>) -> HeadFraming {
+    pub fn finish_head(&mut self, body_length: Option<u64>) -> HeadFraming {
         if !self.at_end || self.body_left > 0 {
             return HeadFraming::Unknown;
         }
--- a/lib/src/log_cause.rs
+++ b/lib/src/log_cause.rs
@@ -1,8 +1,8 @@
 //! The likely cause of a request's fate, from the line on it and what changed round it.
 
-use crate::cold_watch::CONTROL_LOST_AFTER;
+use crate::cold_tracker::CONTROL_LOST_AFTER;
 use crate::duration_text::whole_ms;
-use crate::follow_lag::IN_FORCE_WITHIN;
+use crate::follow_lag::MAX_IN_FORCE_DELAY;
 use crate::log_chain::LogLine;
 
 /// Changes that are named at most. Under a storm of changes there are dozens in the seconds
@@ -24,7 +24,7 @@
         ));
     }
     let proof_age = decision.number("proof_age_ms");
-    if proof_age > whole_ms(IN_FORCE_WITHIN) {
+    if proof_age > whole_ms(MAX_IN_FORCE_DELAY) {
         cause.push(format!(
             "version {} was last proved to be the newest {proof_age} ms before: a newer one may have \
              been confirmed",
--- a/lib/src/log_rate.rs
+++ b/lib/src/log_rate.rs
@@ -18,7 +18,7 @@
 
 /// Says how much a line tells.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LineWeight {
+pub enum LinePriority {
     /// A request that was answered.
     Routine,
     /// A request that got no answer, or a change of what the process believes.
@@ -29,12 +29,12 @@
 
 /// Bounds the lines of one process.
 #[derive(Clone, Copy, Debug)]
-pub struct LogRate {
+pub struct LogRateLimiter {
     tokens: f64,
     at: Instant,
 }
 
-impl LogRate {
+impl LogRateLimiter {
     /// Starts with the whole burst.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
@@ -45,14 +45,14 @@
     }
 
     /// Returns whether a line may be written, and counts it if so.
-    pub fn try_take(&mut self, now: Instant, weight: LineWeight) -> bool {
+    pub fn try_take(&mut self, now: Instant, weight: LinePriority) -> bool {
         let since = now.saturating_duration_since(self.at).as_secs_f64();
         self.tokens = (self.tokens + since * LINES_PER_SECOND).min(BURST);
         self.at = now;
         let kept = match weight {
-            LineWeight::Routine => BURST * KEPT_FROM_ROUTINE,
-            LineWeight::Notable => BURST * KEPT_FROM_NOTABLE,
-            LineWeight::Alarm => 0.0,
+            LinePriority::Routine => BURST * KEPT_FROM_ROUTINE,
+            LinePriority::Notable => BURST * KEPT_FROM_NOTABLE,
+            LinePriority::Alarm => 0.0,
         };
         let may = self.tokens >= kept + 1.0;
         if may {
--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -13,13 +13,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::heard_report::Heard;
-use crate::heard_report::OwnHeard;
-use crate::heard_report::PresenceReport;
-use crate::heard_report::ReplicaOrigin;
 use crate::id::BackendName;
 use crate::id::VmName;
 use crate::numbered_set::SetUpdate;
+use crate::presence_report::HeartbeatSource;
+use crate::presence_report::LocalHeartbeats;
+use crate::presence_report::PresenceReport;
+use crate::presence_report::ReplicaEndpoints;
 
 /// Silence after which a backend server counts as lost. Heartbeats come every 1.5 s or so,
 /// may be a second late and take half a second to be passed on.
@@ -78,8 +78,8 @@
 struct Peer {
     life: u64,
     number: u64,
-    heard: BTreeSet<Heard>,
-    origin: Option<ReplicaOrigin>,
+    heard: BTreeSet<HeartbeatSource>,
+    endpoints: Option<ReplicaEndpoints>,
     at: Instant,
 }
 
@@ -90,16 +90,16 @@
             life: report.life,
             number: 0,
             heard: BTreeSet::new(),
-            origin: report.origin.clone(),
+            endpoints: report.endpoints.clone(),
             at: now,
         }
     }
 
     /// Lets go of those whom an update removes, and returns them.
-    fn removed_by(&mut self, update: &SetUpdate<Heard>) -> Vec<Heard> {
-        let mut removed: Vec<Heard> = update.removed.clone();
+    fn removed_by(&mut self, update: &SetUpdate<HeartbeatSource>) -> Vec<HeartbeatSource> {
+        let mut removed: Vec<HeartbeatSource> = update.removed.clone();
         if update.whole {
-            let heard: BTreeSet<&Heard> = update.added.iter().collect();
+            let heard: BTreeSet<&HeartbeatSource> = update.added.iter().collect();
             let gone = self.heard.iter().filter(|known| !heard.contains(known));
             removed.extend(gone.cloned());
         }
@@ -112,7 +112,7 @@
 #[derive(Debug)]
 pub struct Presence {
     began: Instant,
-    own: OwnHeard,
+    own: LocalHeartbeats,
     backends: BTreeMap<BackendName, Standing>,
     entries: BTreeMap<VmName, EntryStanding>,
     peers: BTreeMap<VmName, Peer>,
@@ -125,7 +125,7 @@
     pub fn new(now: Instant, life: u64) -> Self {
         Self {
             began: now,
-            own: OwnHeard::new(life),
+            own: LocalHeartbeats::new(life),
             backends: BTreeMap::new(),
             entries: BTreeMap::new(),
             peers: BTreeMap::new(),
@@ -133,9 +133,9 @@
     }
 
     /// Notes a heartbeat of a backend server. Returns whether it had been silent.
-    pub fn hear_backend(&mut self, now: Instant, backend: &BackendName) -> bool {
+    pub fn record_backend_heartbeat(&mut self, now: Instant, backend: &BackendName) -> bool {
         let silent = self.is_silent(now, backend);
-        let heard = Heard::Backend(backend.clone());
+        let heard = HeartbeatSource::Backend(backend.clone());
         if self.own.hear(now, &heard) {
             self.add(now, &heard);
         }
@@ -143,8 +143,14 @@
     }
 
     /// Notes a heartbeat of an entry VM. Returns whether anything but the time is new.
-    pub fn hear_entry(&mut self, now: Instant, vm: &VmName, life: u64, ready: bool) -> bool {
-        let heard = |life, ready| Heard::Entry {
+    pub fn record_entry_heartbeat(
+        &mut self,
+        now: Instant,
+        vm: &VmName,
+        life: u64,
+        ready: bool,
+    ) -> bool {
+        let heard = |life, ready| HeartbeatSource::Entry {
             vm: vm.clone(),
             life,
             ready,
@@ -166,13 +172,13 @@
 
     /// Returns what to tell a replica that knows everything up to the change numbered `known`.
     #[must_use]
-    pub fn report(&self, now: Instant, known: u64, origin: &ReplicaOrigin) -> PresenceReport {
-        self.own.report(now, known, origin)
+    pub fn report(&self, now: Instant, known: u64, endpoints: &ReplicaEndpoints) -> PresenceReport {
+        self.own.report(now, known, endpoints)
     }
 
     /// Takes the report of another replica in. Returns the number of its changes up to which
     /// all is known here, for its next report.
-    pub fn take_in(&mut self, now: Instant, from: &VmName, report: &PresenceReport) -> u64 {
+    pub fn apply_report(&mut self, now: Instant, from: &VmName, report: &PresenceReport) -> u64 {
         if report.heard.whole
             && self
                 .peers
@@ -196,11 +202,11 @@
         peer.number = report.heard.number;
         let removed = peer.removed_by(&report.heard);
         let added = report.heard.added.iter().zip(&report.began_ms);
-        let added: Vec<(&Heard, &u32)> = added
+        let added: Vec<(&HeartbeatSource, &u32)> = added
             .filter(|(heard, _)| peer.heard.insert((*heard).clone()))
             .collect();
         for heard in removed {
-            self.remove(&heard, earlier(now, heard.heard_for()));
+            self.remove(&heard, earlier(now, heard.heartbeat_timeout()));
         }
         for (heard, began_ms) in added {
             let began = earlier(now, Duration::from_millis((*began_ms).into()));
@@ -239,7 +245,7 @@
     /// Returns whether enough of the `replicas` report for a verdict on anybody's
     /// silence: a majority with this one.
     #[must_use]
-    pub fn is_connected(&self, now: Instant, replicas: usize) -> bool {
+    pub fn has_majority(&self, now: Instant, replicas: usize) -> bool {
         let heard = self
             .peers
             .values()
@@ -249,10 +255,13 @@
 
     /// Returns where the other replicas are that were heard of, and whether each has reported
     /// lately.
-    pub fn origins(&self, now: Instant) -> impl Iterator<Item = (&ReplicaOrigin, bool)> {
+    pub fn replica_endpoints(
+        &self,
+        now: Instant,
+    ) -> impl Iterator<Item = (&ReplicaEndpoints, bool)> {
         self.peers.values().filter_map(move |peer| {
             let lately = now.saturating_duration_since(peer.at) < PEER_SILENCE;
-            peer.origin.as_ref().map(|origin| (origin, lately))
+            peer.endpoints.as_ref().map(|endpoints| (endpoints, lately))
         })
     }
 
@@ -287,9 +296,9 @@
         says_so || self.entry_silence(now, vm) >= ENTRY_SILENCE
     }
 
-    fn add(&mut self, began: Instant, heard: &Heard) {
+    fn add(&mut self, began: Instant, heard: &HeartbeatSource) {
         match heard {
-            Heard::Backend(backend) => {
+            HeartbeatSource::Backend(backend) => {
                 let unheard = Standing {
                     holders: 0,
                     last: began,
@@ -297,7 +306,7 @@
                 let standing = self.backends.entry(backend.clone()).or_insert(unheard);
                 standing.holders += 1;
             }
-            Heard::Entry { vm, life, ready } => {
+            HeartbeatSource::Entry { vm, life, ready } => {
                 let said = EntryStanding {
                     life: *life,
                     ready: *ready,
@@ -317,10 +326,12 @@
         }
     }
 
-    fn remove(&mut self, heard: &Heard, last: Instant) {
+    fn remove(&mut self, heard: &HeartbeatSource, last: Instant) {
         let standing = match heard {
-            Heard::Backend(backend) => self.backends.get_mut(backend),
-            Heard::Entry { vm, .. } => self.entries.get_mut(vm).map(|entry| &mut entry.standing),
+            HeartbeatSource::Backend(backend) => self.backends.get_mut(backend),
+            HeartbeatSource::Entry { vm, .. } => {
+                self.entries.get_mut(vm).map(|entry| &mut entry.standing)
+            }
         };
         if let Some(standing) = standing {
             standing.holders = standing.holders.saturating_sub(1);
--- a/lib/src/heard_report.rs
+++ b/lib/src/presence_report.rs
@@ -31,7 +31,7 @@
 
 /// Names one who sends heartbeats, with what it says of itself.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub enum Heard {
+pub enum HeartbeatSource {
     /// A backend server.
     Backend(BackendName),
     /// An entry VM.
@@ -45,9 +45,9 @@
     },
 }
 
-impl Heard {
+impl HeartbeatSource {
     /// Returns for how long one counts as heard after a heartbeat.
-    pub(crate) const fn heard_for(&self) -> Duration {
+    pub(crate) const fn heartbeat_timeout(&self) -> Duration {
         match self {
             Self::Backend(_) => BACKEND_HEARD_FOR,
             Self::Entry { .. } => ENTRY_HEARD_FOR,
@@ -58,7 +58,7 @@
 /// Tells where a replica is, for entry VMs that look for a near one and backend servers that
 /// are told of one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ReplicaOrigin {
+pub struct ReplicaEndpoints {
     /// Where it takes messages of replicas and entry VMs.
     pub address: SocketAddr,
     /// Where backend servers announce themselves, if it takes that.
@@ -73,11 +73,11 @@
     /// Tells one life of the replica's process from another.
     pub life: u64,
     /// Where the replica is, along with a whole report.
-    pub origin: Option<ReplicaOrigin>,
+    pub endpoints: Option<ReplicaEndpoints>,
     /// Number of the last change that the receiver is taken to know.
     pub base: u64,
     /// Who began and who ceased to be heard since, or all.
-    pub heard: SetUpdate<Heard>,
+    pub heard: SetUpdate<HeartbeatSource>,
     /// For each of those that began, milliseconds since then.
     pub began_ms: Vec<u32>,
 }
@@ -90,13 +90,13 @@
 
 /// Holds whom this replica hears itself.
 #[derive(Debug)]
-pub struct OwnHeard {
+pub struct LocalHeartbeats {
     life: u64,
-    set: NumberedSet<Heard>,
-    times: BTreeMap<Heard, Times>,
+    set: NumberedSet<HeartbeatSource>,
+    times: BTreeMap<HeartbeatSource, Times>,
 }
 
-impl OwnHeard {
+impl LocalHeartbeats {
     /// Starts without having heard of anybody; `life` is drawn at random.
     #[must_use]
     pub fn new(life: u64) -> Self {
@@ -108,7 +108,7 @@
     }
 
     /// Notes a heartbeat; returns whether it is the first one of late.
-    pub fn hear(&mut self, now: Instant, heard: &Heard) -> bool {
+    pub fn hear(&mut self, now: Instant, heard: &HeartbeatSource) -> bool {
         if let Some(times) = self.times.get_mut(heard) {
             times.last = now;
             return false;
@@ -123,18 +123,18 @@
     }
 
     /// Drops one who says something else of itself now; returns whether it was heard.
-    pub fn drop_heard(&mut self, heard: &Heard) -> bool {
+    pub fn drop_heard(&mut self, heard: &HeartbeatSource) -> bool {
         self.times.remove(heard);
         self.set.remove(heard)
     }
 
     /// Drops whoever hasn't been heard for a while, and returns who that is and when each was
     /// heard last.
-    pub fn expire(&mut self, now: Instant) -> Vec<(Heard, Instant)> {
-        let is_over = |heard: &Heard, times: &Times| {
-            now.saturating_duration_since(times.last) >= heard.heard_for()
+    pub fn expire(&mut self, now: Instant) -> Vec<(HeartbeatSource, Instant)> {
+        let is_over = |heard: &HeartbeatSource, times: &Times| {
+            now.saturating_duration_since(times.last) >= heard.heartbeat_timeout()
         };
-        let expired: Vec<(Heard, Instant)> = self
+        let expired: Vec<(HeartbeatSource, Instant)> = self
             .times
             .iter()
             .filter(|(heard, times)| is_over(heard, times))
@@ -149,7 +149,7 @@
     /// Returns the report for a replica that knows everything up to the change numbered
     /// `known`; 0 if it isn't known to know anything.
     #[must_use]
-    pub fn report(&self, now: Instant, known: u64, origin: &ReplicaOrigin) -> PresenceReport {
+    pub fn report(&self, now: Instant, known: u64, endpoints: &ReplicaEndpoints) -> PresenceReport {
         let heard = self.set.update_from(known);
         let began_ms = heard.added.iter().map(|heard| {
             let began = self.times.get(heard).map_or(now, |times| times.began);
@@ -158,7 +158,7 @@
         });
         PresenceReport {
             life: self.life,
-            origin: heard.whole.then(|| origin.clone()),
+            endpoints: heard.whole.then(|| endpoints.clone()),
             base: known,
             began_ms: began_ms.collect(),
             heard,
--- a/lib/src/replica_choice.rs
+++ b/lib/src/replica_choice.rs
@@ -12,11 +12,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::heard_report::ReplicaOrigin;
 use crate::id::BackendName;
 use crate::id::PlaceName;
 use crate::id::RegionName;
 use crate::id::VmName;
+use crate::presence_report::ReplicaEndpoints;
 use crate::rendezvous;
 
 /// Time for which a replica isn't asked that answered that it can't prove to be current, doubled
@@ -85,13 +85,13 @@
 
 /// Returns where a backend server called `name` in the place `here` should announce itself: at
 /// the nearest of the replicas that take announcements; those equally near share all evenly.
-pub fn announce_at<'a>(
+pub fn nearest_announcement_address<'a>(
     regions: &BTreeMap<PlaceName, RegionName>,
     here: &PlaceName,
     name: &BackendName,
-    replicas: impl Iterator<Item = &'a ReplicaOrigin>,
+    replicas: impl Iterator<Item = &'a ReplicaEndpoints>,
 ) -> Option<SocketAddr> {
-    let rank = |replica: &&ReplicaOrigin| {
+    let rank = |replica: &&ReplicaEndpoints| {
         let weight = weight(name.as_str(), replica.address);
         (Distance::between(regions, here, &replica.place), weight)
     };
@@ -121,11 +121,11 @@
 
 /// Says why a replica was of no use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Useless {
+pub enum Unusable {
     /// It answered that it can't prove that it is current.
     NotCurrent,
     /// It gave no answer that can be used.
-    Silent,
+    Unresponsive,
 }
 
 /// Picks the replica to follow.
@@ -143,7 +143,7 @@
     place: Option<PlaceName>,
     weight: u64,
     /// How often in a row it was of no use.
-    useless: u32,
+    failures_in_row: u32,
     aside_until: Option<Instant>,
     /// Until when a farther replica that is of use isn't left for it.
     return_at: Option<Instant>,
@@ -187,7 +187,7 @@
             distance,
             place,
             weight: weight(self.vm.as_str(), address),
-            useless: before.map_or(0, |before| before.useless),
+            failures_in_row: before.map_or(0, |before| before.failures_in_row),
             aside_until: before.and_then(|before| before.aside_until),
             return_at: before.and_then(|before| before.return_at),
         }
@@ -271,16 +271,16 @@
 
     /// Notes that another replica was preferred to the one at `address`, which may be of use.
     /// `draw` is drawn from 0 to 1.
-    pub fn pass_over(&mut self, address: SocketAddr, now: Instant, draw: f64) {
+    pub fn defer_return(&mut self, address: SocketAddr, now: Instant, draw: f64) {
         if let Some(known) = self.known.get_mut(&address) {
             known.return_at = Some(now + LONGEST_SILENT.mul_f64(1.0 + draw.clamp(0.0, 1.0)));
         }
     }
 
     /// Notes that a replica was of use.
-    pub fn note_use(&mut self, address: SocketAddr) {
+    pub fn note_usable(&mut self, address: SocketAddr) {
         if let Some(known) = self.known.get_mut(&address) {
-            known.useless = 0;
+            known.failures_in_row = 0;
             known.aside_until = None;
             known.return_at = None;
         }
@@ -288,16 +288,16 @@
 
     /// Sets a replica aside that was of no use. `draw` is drawn from 0 to 1 by each entry VM:
     /// all of a failure domain are set back at the same moment, and must not come back in one.
-    pub fn set_aside(&mut self, address: SocketAddr, now: Instant, why: Useless, draw: f64) {
+    pub fn back_off(&mut self, address: SocketAddr, now: Instant, why: Unusable, draw: f64) {
         let Some(known) = self.known.get_mut(&address) else {
             return;
         };
         let (first, longest) = match why {
-            Useless::NotCurrent => (ASIDE_NOT_CURRENT, LONGEST_NOT_CURRENT),
-            Useless::Silent => (ASIDE_SILENT, LONGEST_SILENT),
+            Unusable::NotCurrent => (ASIDE_NOT_CURRENT, LONGEST_NOT_CURRENT),
+            Unusable::Unresponsive => (ASIDE_SILENT, LONGEST_SILENT),
         };
-        let doubled = 1_u32 << known.useless.min(8);
-        known.useless = known.useless.saturating_add(1);
+        let doubled = 1_u32 << known.failures_in_row.min(8);
+        known.failures_in_row = known.failures_in_row.saturating_add(1);
         let aside = (first * doubled).min(longest);
         let spread = 1.0 + draw.clamp(0.0, 1.0);
         known.aside_until = Some(now + aside.mul_f64(spread));
--- a/lib/src/replica_plan.rs
+++ b/lib/src/replica_plan.rs
@@ -20,7 +20,7 @@
 /// Silence after which a voter that others can stand in for is removed. Longer than any
 /// restart of a VM (about 2 s) and than a short cut, shorter than the time in which a
 /// second loss is to be expected.
-pub const GONE_AFTER: Duration = Duration::from_secs(9);
+pub const REMOVE_SILENT_AFTER: Duration = Duration::from_secs(9);
 
 /// Time for which a place among the voters is kept free for a replica of a region with few of
 /// them. Longer than it takes a replica that starts along with the others to be admitted, to
@@ -66,7 +66,7 @@
 
 /// Returns the removal that is due, as the leader sees it.
 ///
-/// A voter that has been silent for [`GONE_AFTER`] goes if there are more voters than
+/// A voter that has been silent for [`REMOVE_SILENT_AFTER`] goes if there are more voters than
 /// `target`, or if a learner waits to take its place. A learner that is silent for so long
 /// goes too: it asks again when it is back.
 ///
@@ -84,7 +84,7 @@
     let silent = |replica: &&ReplicaProgress| {
         let known = known_since.get(&replica.id).copied().unwrap_or(now);
         let heard = replica.last_heard.map_or(known, |heard| heard.max(known));
-        now.saturating_duration_since(heard) >= GONE_AFTER
+        now.saturating_duration_since(heard) >= REMOVE_SILENT_AFTER
     };
     let stand_in = progress
         .iter()
--- a/lib/src/replica_patience.rs
+++ b/lib/src/replica_timeout.rs
@@ -4,15 +4,15 @@
 
 /// Time for which a replica may hold its answer back while there is nothing new. It is also
 /// the time between two heartbeats of an entry VM when nothing happens.
-pub const HOLD: Duration = Duration::from_millis(800);
+pub const LONG_POLL_HOLD: Duration = Duration::from_millis(800);
 
 /// Time after which a replica's answer is late, and others are asked beside: a way there and back
 /// between regions, 110 ms, and a busy moment.
-pub const LATE_AFTER: Duration = Duration::from_secs(1);
+pub const HEDGE_AFTER: Duration = Duration::from_secs(1);
 
-/// Time after which a replica counts as silent: [`HOLD`] and four ways there and back between
+/// Time after which a replica counts as silent: [`LONG_POLL_HOLD`] and four ways there and back between
 /// regions, 110 ms each.
-pub const ANSWER_WITHIN: Duration = Duration::from_millis(1_250);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_250);
 
 /// Time for which the first answer of a replica is awaited: a connection and a question, each
 /// a way there and back of 110 ms at most. A replica that is dark or cut off answers nothing,
@@ -21,13 +21,13 @@
 
 /// Says how long to wait for the first answer of a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct ReplicaPatience {
+pub struct ReplicaTimeout {
     /// It doubles while nobody answers: a link that is full delays every answer, and changing
     /// replicas helps nobody then.
     first: Duration,
 }
 
-impl Default for ReplicaPatience {
+impl Default for ReplicaTimeout {
     fn default() -> Self {
         Self {
             first: FIRST_ANSWER,
@@ -35,7 +35,7 @@
     }
 }
 
-impl ReplicaPatience {
+impl ReplicaTimeout {
     /// Returns for how long the first answer of a replica is awaited.
     #[must_use]
     pub const fn first(&self) -> Duration {
@@ -48,7 +48,7 @@
     }
 
     /// Notes that there was none in time.
-    pub fn note_silence(&mut self) {
-        self.first = (self.first * 2).min(ANSWER_WITHIN);
+    pub fn note_timeout(&mut self) {
+        self.first = (self.first * 2).min(ANSWER_TIMEOUT);
     }
 }
--- a/lib/tests/follow_model/mod.rs
+++ b/lib/tests/follow_model/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use heatherring_lib::follow_plan::FollowAnswer;
+use heatherring_lib::follow_plan::FollowOutcome;
 use heatherring_lib::follow_plan::FollowPlan;
 use heatherring_lib::follow_plan::FollowStep;
 use heatherring_lib::id::PlaceName;
@@ -15,8 +15,8 @@
 use heatherring_lib::id::VmName;
 use heatherring_lib::replica_choice::ReplicaChoice;
 use heatherring_lib::replica_choice::ReplicaSite;
-use heatherring_lib::replica_choice::Useless;
-use heatherring_lib::replica_patience::HOLD;
+use heatherring_lib::replica_choice::Unusable;
+use heatherring_lib::replica_timeout::LONG_POLL_HOLD;
 
 /// Age up to which a replica's last proof that it is current counts.
 const PROOF_AGE: Duration = Duration::from_millis(950);
@@ -243,36 +243,38 @@
         };
         self.coming.remove(&address);
         let answer = match coming.reply {
-            Reply::Refused => FollowAnswer::Useless(Useless::Silent),
-            Reply::Told { current: false, .. } => FollowAnswer::Useless(Useless::NotCurrent),
+            Reply::Refused => FollowOutcome::Unusable(Unusable::Unresponsive),
+            Reply::Told { current: false, .. } => FollowOutcome::Unusable(Unusable::NotCurrent),
             Reply::Told { applied, .. } if coming.to_news && applied < self.applied => {
-                FollowAnswer::Useless(Useless::NotCurrent)
+                FollowOutcome::Unusable(Unusable::NotCurrent)
             }
-            Reply::Told { applied, .. } => FollowAnswer::Useful {
-                is_news: coming.to_news && self.apply(applied),
+            Reply::Told { applied, .. } => FollowOutcome::Usable {
+                has_changes: coming.to_news && self.apply(applied),
             },
         };
-        self.connected
-            .insert(address, answer != FollowAnswer::Useless(Useless::Silent));
+        self.connected.insert(
+            address,
+            answer != FollowOutcome::Unusable(Unusable::Unresponsive),
+        );
         let steps = self.plan.answered(self.base + self.now, address, answer);
         self.carry_out(steps);
     }
 
     fn apply(&mut self, applied: usize) -> bool {
-        let is_news = applied > self.applied;
+        let has_changes = applied > self.applied;
         for change in self.applied..applied {
             self.in_force[change] = Some(self.now);
         }
         self.applied = self.applied.max(applied);
-        is_news
+        has_changes
     }
 
     fn carry_out(&mut self, steps: Vec<FollowStep>) {
         for step in steps {
             match step {
-                FollowStep::Try(address) => self.ask(address, false),
-                FollowStep::Ask(address) => self.ask(address, true),
-                FollowStep::Drop(address) | FollowStep::GiveUp(address) => {
+                FollowStep::Probe(address) => self.ask(address, false),
+                FollowStep::Poll(address) => self.ask(address, true),
+                FollowStep::Cancel(address) | FollowStep::TimedOut(address) => {
                     self.coming.remove(&address);
                     self.connected.remove(&address);
                 }
@@ -299,7 +301,7 @@
     /// Returns what a replica replies to a question that arrives at `at`, and when.
     fn reply(&self, replica: usize, at: Duration, to_news: bool) -> Option<(Duration, Reply)> {
         let mut at = self.world.acts_at(replica, at)?;
-        let held_until = if to_news { at + HOLD } else { at };
+        let held_until = if to_news { at + LONG_POLL_HOLD } else { at };
         loop {
             if self.world.is_in(replica, Trouble::Killed, at) {
                 return Some((at, Reply::Refused));
--- a/lib/tests/test_cold_watch.rs
+++ b/lib/tests/test_cold_watch.rs
@@ -15,8 +15,8 @@
 use heatherring_lib::affinity::ObjectHash;
 use heatherring_lib::cold_queries::ColdQuery;
 use heatherring_lib::cold_queries::ColdReply;
-use heatherring_lib::cold_watch::CONTROL_LOST_AFTER;
-use heatherring_lib::cold_watch::ColdWatch;
+use heatherring_lib::cold_tracker::CONTROL_LOST_AFTER;
+use heatherring_lib::cold_tracker::ColdTracker;
 use heatherring_lib::direct_dispatch::DispatchConfig;
 use heatherring_lib::direct_dispatch::Dispatcher;
 use heatherring_lib::dispatch_policy::DispatchPolicy;
@@ -242,7 +242,7 @@
 #[test]
 fn test_cold_watch_pauses_where_a_place_is_asked_no_more() {
     let began = Instant::now();
-    let mut watch = ColdWatch::new(began);
+    let mut watch = ColdTracker::new(began);
     let asked_at = began + CONTROL_LOST_AFTER;
     assert!(watch.try_ask(asked_at, &place(0)));
     let mut now = asked_at;
--- a/lib/tests/test_follow_lag.rs
+++ b/lib/tests/test_follow_lag.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use heatherring_lib::follow_lag::Behind;
 use heatherring_lib::follow_lag::FollowLag;
-use heatherring_lib::follow_lag::Shown;
+use heatherring_lib::follow_lag::LagObservation;
+use heatherring_lib::follow_lag::LateManifest;
 use heatherring_lib::id::ManifestVersion;
 use heatherring_lib::id::Revision;
 use heatherring_lib::id::VmName;
@@ -29,22 +29,22 @@
         self.lag.note_manifest(now, version, Revision(revision));
     }
 
-    fn asked(&mut self, ms: u64, vm: &str, revision: u64) -> Shown {
+    fn asked(&mut self, ms: u64, vm: &str, revision: u64) -> LagObservation {
         let now = self.start + Duration::from_millis(ms);
         self.lag
-            .note_question(now, &VmName::new(vm), Revision(revision))
+            .note_request(now, &VmName::new(vm), Revision(revision))
     }
 }
 
-fn in_force_after(ms: &[u64]) -> Shown {
-    Shown {
+fn in_force_after(ms: &[u64]) -> LagObservation {
+    LagObservation {
         in_force_after: ms.iter().copied().map(Duration::from_millis).collect(),
         behind: None,
     }
 }
 
-fn behind(version: u64, ms: u64) -> Behind {
-    Behind {
+fn behind(version: u64, ms: u64) -> LateManifest {
+    LateManifest {
         version: ManifestVersion(version),
         lag: Duration::from_millis(ms),
     }
@@ -54,15 +54,21 @@
 fn test_the_time_until_a_manifest_is_in_force_is_told_once_a_version() {
     let mut replica = Replica::new();
     replica.learns(0, 1, 10);
-    assert_eq!(replica.asked(100, "entry-1", 10), Shown::default());
+    assert_eq!(replica.asked(100, "entry-1", 10), LagObservation::default());
     replica.learns(1_000, 2, 14);
     replica.learns(1_100, 3, 15);
-    assert_eq!(replica.asked(1_150, "entry-1", 12), Shown::default());
+    assert_eq!(
+        replica.asked(1_150, "entry-1", 12),
+        LagObservation::default()
+    );
     assert_eq!(
         replica.asked(1_300, "entry-1", 15),
         in_force_after(&[300, 200])
     );
-    assert_eq!(replica.asked(1_400, "entry-1", 17), Shown::default());
+    assert_eq!(
+        replica.asked(1_400, "entry-1", 17),
+        LagObservation::default()
+    );
 }
 
 #[test]
@@ -90,7 +96,16 @@
     let mut replica = Replica::new();
     replica.asked(0, "entry-1", 10);
     replica.learns(1_000, 2, 14);
-    assert_eq!(replica.asked(9_000, "entry-1", 20), Shown::default());
-    assert_eq!(replica.asked(9_000, "entry-2", 0), Shown::default());
-    assert_eq!(replica.asked(9_100, "entry-2", 20), Shown::default());
+    assert_eq!(
+        replica.asked(9_000, "entry-1", 20),
+        LagObservation::default()
+    );
+    assert_eq!(
+        replica.asked(9_000, "entry-2", 0),
+        LagObservation::default()
+    );
+    assert_eq!(
+        replica.asked(9_100, "entry-2", 20),
+        LagObservation::default()
+    );
 }
--- a/lib/tests/test_follow_plan.rs
+++ b/lib/tests/test_follow_plan.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use heatherring_lib::follow_lag::IN_FORCE_WITHIN;
+use heatherring_lib::follow_lag::MAX_IN_FORCE_DELAY;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::seq::IndexedRandom;
@@ -135,5 +135,5 @@
     }
     println!("{way:?} {together:?} {between_ms} ms: worst {worst:?}");
     let (longest, seed) = worst;
-    assert!(longest < IN_FORCE_WITHIN, "{longest:?} with seed {seed}");
+    assert!(longest < MAX_IN_FORCE_DELAY, "{longest:?} with seed {seed}");
 }
--- a/lib/tests/test_head_watch.rs
+++ b/lib/tests/test_head_watch.rs
@@ -1,7 +1,7 @@
 //! What is known of the heads that a connection's parser takes.
 
-use heatherring_lib::head_watch::HeadFraming;
-use heatherring_lib::head_watch::HeadWatch;
+use heatherring_lib::head_scanner::HeadFraming;
+use heatherring_lib::head_scanner::HeadScanner;
 use proptest::collection::vec;
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::any;
@@ -11,7 +11,7 @@
 
 /// Hands `bytes` on in pieces as they come in reads that end at `cuts`, up to the end of the
 /// first head; returns where that is.
-fn hand_on(watch: &mut HeadWatch, bytes: &[u8], cuts: &[usize]) -> usize {
+fn hand_on(watch: &mut HeadScanner, bytes: &[u8], cuts: &[usize]) -> usize {
     let mut at = 0;
     while at < bytes.len() {
         let read = cuts.iter().copied().find(|cut| *cut > at);
@@ -63,13 +63,13 @@
     let head = format!("POST / HTTP/1.1\r\n{fields}\r\n");
     let head = head.as_bytes();
     for cut in 0..head.len() {
-        let mut watch = HeadWatch::default();
+        let mut watch = HeadScanner::default();
         let mut at = 0;
         while at < head.len() {
             let read = if at < cut { cut } else { head.len() };
             at += watch.piece(&head[at..read]);
         }
-        assert_eq!(watch.take_head(body_length), framing, "cut at {cut}");
+        assert_eq!(watch.finish_head(body_length), framing, "cut at {cut}");
     }
 }
 
@@ -77,13 +77,13 @@
 /// by the bytes of another one. It is refused instead.
 #[test]
 fn test_a_head_that_ends_within_a_piece_is_unknown() {
-    let mut watch = HeadWatch::default();
+    let mut watch = HeadScanner::default();
     assert_eq!(watch.piece(b"GET / HTTP/1.1\r\nhost: a\r\n"), 25);
-    assert_eq!(watch.take_head(None), HeadFraming::Unknown);
+    assert_eq!(watch.finish_head(None), HeadFraming::Unknown);
     assert_eq!(watch.piece(b"\r\nxyz"), 2);
-    assert_eq!(watch.take_head(Some(3)), HeadFraming::Plain);
+    assert_eq!(watch.finish_head(Some(3)), HeadFraming::Plain);
     assert_eq!(watch.piece(b"xy"), 2);
-    assert_eq!(watch.take_head(None), HeadFraming::Unknown);
+    assert_eq!(watch.finish_head(None), HeadFraming::Unknown);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -135,7 +135,7 @@
         let bytes = requests.iter().map(|(bytes, _)| bytes.as_str()).collect::<String>();
         let mut cuts: Vec<_> = cuts.iter().map(|cut| usize::from(*cut) % bytes.len()).collect();
         cuts.sort_unstable();
-        let mut watch = HeadWatch::default();
+        let mut watch = HeadScanner::default();
         let mut from = 0;
         for (kind, (request, body_length)) in kinds.iter().zip(&requests) {
             let head = request.find("\r\n\r\n").unwrap() + 4;
@@ -146,7 +146,7 @@
                 Kind::Both => HeadFraming::LengthAndEncoding,
                 _ => HeadFraming::Plain,
             };
-            assert_eq!(watch.take_head(*body_length), framing);
+            assert_eq!(watch.finish_head(*body_length), framing);
             let mut at = head;
             while at < request.len() {
                 let left = &request.as_bytes()[at..];
--- a/lib/tests/test_log_rate.rs
+++ b/lib/tests/test_log_rate.rs
@@ -4,23 +4,23 @@
 use std::time::Instant;
 
 use heatherring_lib::log_rate::LINES_PER_SECOND;
-use heatherring_lib::log_rate::LineWeight;
-use heatherring_lib::log_rate::LogRate;
+use heatherring_lib::log_rate::LinePriority;
+use heatherring_lib::log_rate::LogRateLimiter;
 
 const LENGTH: Duration = Duration::from_secs(10);
 
 /// Offers `routine` and `notable` lines a second, and returns how many of each were written.
 fn play(routine: u32, notable: u32) -> (u32, u32) {
     let began = Instant::now();
-    let mut rate = LogRate::new(began);
+    let mut rate = LogRateLimiter::new(began);
     let mut written = (0, 0);
     let all = routine + notable;
     for number in 0..all * 10 {
         let now = began + LENGTH.mul_f64(f64::from(number) / f64::from(all * 10));
         if number % all < routine {
-            written.0 += u32::from(rate.try_take(now, LineWeight::Routine));
+            written.0 += u32::from(rate.try_take(now, LinePriority::Routine));
         } else {
-            written.1 += u32::from(rate.try_take(now, LineWeight::Notable));
+            written.1 += u32::from(rate.try_take(now, LinePriority::Notable));
         }
     }
     written
@@ -45,7 +45,7 @@
 #[test]
 fn test_log_rate_keeps_room_for_alarms() {
     let now = Instant::now();
-    let mut rate = LogRate::new(now);
-    while rate.try_take(now, LineWeight::Notable) {}
-    assert!(rate.try_take(now, LineWeight::Alarm));
+    let mut rate = LogRateLimiter::new(now);
+    while rate.try_take(now, LinePriority::Notable) {}
+    assert!(rate.try_take(now, LinePriority::Alarm));
 }
--- a/lib/tests/test_presence.rs
+++ b/lib/tests/test_presence.rs
@@ -5,8 +5,6 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use heatherring_lib::heard_report::PresenceReport;
-use heatherring_lib::heard_report::ReplicaOrigin;
 use heatherring_lib::id::BackendName;
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::VmName;
@@ -14,12 +12,14 @@
 use heatherring_lib::presence::ENTRY_SILENCE;
 use heatherring_lib::presence::Presence;
 use heatherring_lib::presence::REPORT_INTERVAL;
+use heatherring_lib::presence_report::PresenceReport;
+use heatherring_lib::presence_report::ReplicaEndpoints;
 
 /// Time between two heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(1_500);
 
-fn origin() -> ReplicaOrigin {
-    ReplicaOrigin {
+fn endpoints() -> ReplicaEndpoints {
+    ReplicaEndpoints {
         address: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
         announcements: None,
         place: PlaceName::new("place"),
@@ -34,8 +34,8 @@
     while now <= until {
         there.expire(now);
         here.expire(now);
-        let report = there.report(now, known, &origin());
-        known = here.take_in(now, &peer, &report);
+        let report = there.report(now, known, &endpoints());
+        known = here.apply_report(now, &peer, &report);
         now += REPORT_INTERVAL;
     }
 }
@@ -52,7 +52,7 @@
     let mut here = Presence::new(start, 1);
     let mut there = Presence::new(start, 2);
     let heard_at = start + Duration::from_secs(10);
-    there.hear_backend(heard_at, &backend);
+    there.record_backend_heartbeat(heard_at, &backend);
     let told_at = heard_at + REPORT_INTERVAL;
     report(
         &mut there,
@@ -74,7 +74,7 @@
     let backend = BackendName::new("backend-1");
     let mut here = Presence::new(start, 1);
     let mut there = Presence::new(start, 2);
-    there.hear_backend(start, &backend);
+    there.record_backend_heartbeat(start, &backend);
     report(&mut there, &mut here, start, start);
     for millis in [2_000, 3_999, 4_000] {
         let now = start + Duration::from_millis(millis);
@@ -95,12 +95,12 @@
 fn test_presence_gives_no_verdict_without_a_majority() {
     let start = Instant::now();
     let mut presence = Presence::new(start, 1);
-    let report = Presence::new(start, 2).report(start, 0, &origin());
-    presence.take_in(start, &VmName::new("control-2"), &report);
-    assert!(!presence.is_connected(start, 5));
-    presence.take_in(start, &VmName::new("control-3"), &report);
-    assert!(presence.is_connected(start, 5));
-    assert!(!presence.is_connected(start + Duration::from_secs(5), 5));
+    let report = Presence::new(start, 2).report(start, 0, &endpoints());
+    presence.apply_report(start, &VmName::new("control-2"), &report);
+    assert!(!presence.has_majority(start, 5));
+    presence.apply_report(start, &VmName::new("control-3"), &report);
+    assert!(presence.has_majority(start, 5));
+    assert!(!presence.has_majority(start + Duration::from_secs(5), 5));
 }
 
 #[test]
@@ -108,12 +108,12 @@
     let start = Instant::now();
     let vm = VmName::new("entry-1");
     let mut presence = Presence::new(start, 1);
-    assert!(presence.hear_entry(start, &vm, 1, true));
+    assert!(presence.record_entry_heartbeat(start, &vm, 1, true));
     assert!(!presence.is_out_of_service(start, &vm));
     presence.expire(start + ENTRY_SILENCE);
     assert!(presence.is_out_of_service(start + ENTRY_SILENCE, &vm));
     let later = start + Duration::from_secs(1);
-    assert!(presence.hear_entry(later, &vm, 1, false));
+    assert!(presence.record_entry_heartbeat(later, &vm, 1, false));
     assert!(presence.is_out_of_service(later, &vm));
 }
 
@@ -130,14 +130,14 @@
     let mut first = Presence::new(start, 1);
     let mut second = Presence::new(start, 2);
     let mut third = Presence::new(start, 3);
-    first.hear_entry(start, &vm, 1, true);
+    first.record_entry_heartbeat(start, &vm, 1, true);
     let leaves_at = start + Duration::from_secs(1);
-    second.hear_entry(leaves_at, &vm, 1, false);
+    second.record_entry_heartbeat(leaves_at, &vm, 1, false);
     let now = leaves_at + Duration::from_millis(100);
-    let told = second.report(now, 0, &origin());
-    third.take_in(now, &VmName::new("control-2"), &told);
-    let told = first.report(now, 0, &origin());
-    third.take_in(now, &VmName::new("control-1"), &told);
+    let told = second.report(now, 0, &endpoints());
+    third.apply_report(now, &VmName::new("control-2"), &told);
+    let told = first.report(now, 0, &endpoints());
+    third.apply_report(now, &VmName::new("control-1"), &told);
     assert!(third.is_out_of_service(now, &vm));
 }
 
@@ -152,20 +152,20 @@
     let names = ["backend-1", "backend-2", "backend-3"].map(BackendName::new);
     let mut there = Presence::new(start, 2);
     let mut here = Presence::new(start, 1);
-    there.hear_backend(start, &names[0]);
-    let known = here.take_in(start, &peer, &there.report(start, 0, &origin()));
-    there.hear_backend(start, &names[1]);
+    there.record_backend_heartbeat(start, &names[0]);
+    let known = here.apply_report(start, &peer, &there.report(start, 0, &endpoints()));
+    there.record_backend_heartbeat(start, &names[1]);
     // A lost answer: the same changes are told again, along with later ones.
-    let first = there.report(start, known, &origin());
-    there.hear_backend(start, &names[2]);
-    let second = there.report(start, known, &origin());
-    here.take_in(start, &peer, &first);
-    let known = here.take_in(start, &peer, &second);
-    let known = here.take_in(start, &peer, &there.report(start, known, &origin()));
+    let first = there.report(start, known, &endpoints());
+    there.record_backend_heartbeat(start, &names[2]);
+    let second = there.report(start, known, &endpoints());
+    here.apply_report(start, &peer, &first);
+    let known = here.apply_report(start, &peer, &second);
+    let known = here.apply_report(start, &peer, &there.report(start, known, &endpoints()));
     let mut fresh = Presence::new(start, 4);
-    let refused = fresh.take_in(start, &peer, &there.report(start, known, &origin()));
+    let refused = fresh.apply_report(start, &peer, &there.report(start, known, &endpoints()));
     assert_eq!(refused, 0);
-    fresh.take_in(start, &peer, &there.report(start, refused, &origin()));
+    fresh.apply_report(start, &peer, &there.report(start, refused, &endpoints()));
     let later = start + BACKEND_SILENCE;
     for presence in [&here, &fresh] {
         assert!(names.iter().all(|name| !presence.is_silent(later, name)));
@@ -173,8 +173,12 @@
     // The replica starts again and hears nobody.
     let mut restarted = Presence::new(later, 5);
     restarted.expire(later);
-    let refused = here.take_in(later, &peer, &restarted.report(later, known, &origin()));
-    here.take_in(later, &peer, &restarted.report(later, refused, &origin()));
+    let refused = here.apply_report(later, &peer, &restarted.report(later, known, &endpoints()));
+    here.apply_report(
+        later,
+        &peer,
+        &restarted.report(later, refused, &endpoints()),
+    );
     let silent_at = later + BACKEND_SILENCE;
     assert!(names.iter().all(|name| here.is_silent(silent_at, name)));
 }
@@ -207,14 +211,14 @@
         let gone = if step > 60 { 20 } else { 0 };
         if is_beat {
             for backend in backends.iter().skip(gone) {
-                replica.hear_backend(now, backend);
+                replica.record_backend_heartbeat(now, backend);
             }
         }
         for entry in &entries {
-            replica.hear_entry(now, entry, 1, true);
+            replica.record_entry_heartbeat(now, entry, 1, true);
         }
         replica.expire(now);
-        let report: PresenceReport = replica.report(now, known, &origin());
+        let report: PresenceReport = replica.report(now, known, &endpoints());
         known = report.heard.number;
         // All are told once at the start.
         if step > 0 {
--- a/lib/tests/test_replica_choice.rs
+++ b/lib/tests/test_replica_choice.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use heatherring_lib::heard_report::ReplicaOrigin;
 use heatherring_lib::id::BackendName;
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::RegionName;
 use heatherring_lib::id::VmName;
+use heatherring_lib::presence_report::ReplicaEndpoints;
 use heatherring_lib::replica_choice::ReplicaChoice;
 use heatherring_lib::replica_choice::ReplicaSite;
-use heatherring_lib::replica_choice::Useless;
-use heatherring_lib::replica_choice::announce_at;
+use heatherring_lib::replica_choice::Unusable;
+use heatherring_lib::replica_choice::nearest_announcement_address;
 use rstest::rstest;
 
 /// Three regions of three places; the first place of each has a second replica.
@@ -77,17 +77,17 @@
     let mut taken = BTreeMap::new();
     for vm in 0..90 {
         let mut choice = choice(vm, 4);
-        choice.set_aside(address(4), now, Useless::Silent, 0.5);
+        choice.back_off(address(4), now, Unusable::Unresponsive, 0.5);
         *taken.entry(choice.pick(now).unwrap()).or_insert(0) += 1;
         for near in [3, 5, 10] {
-            choice.set_aside(address(near), now, Useless::NotCurrent, 0.5);
+            choice.back_off(address(near), now, Unusable::NotCurrent, 0.5);
         }
         assert_ne!(place_of(choice.pick(now).unwrap()) / 3, 1);
         let mut asked = Vec::new();
         for n in 0..24 {
             let at = now + Duration::from_millis(n);
             let next = choice.pick(at).unwrap();
-            choice.set_aside(next, at, Useless::Silent, 0.0);
+            choice.back_off(next, at, Unusable::Unresponsive, 0.0);
             asked.push(next);
         }
         asked.sort_unstable();
@@ -106,9 +106,14 @@
     let mut back_at = Vec::new();
     for vm in 0..20_u32 {
         let mut choice = choice(0, 4);
-        choice.set_aside(address(4), now, Useless::Silent, f64::from(vm) / 20.0);
+        choice.back_off(
+            address(4),
+            now,
+            Unusable::Unresponsive,
+            f64::from(vm) / 20.0,
+        );
         let farther = choice.pick(now).unwrap();
-        choice.note_use(farther);
+        choice.note_usable(farther);
         assert_eq!(choice.nearer_than(farther, now), None);
         let step = |n: &u64| {
             choice
@@ -134,9 +139,9 @@
     let now = Instant::now();
     for draw in [0.0, 0.5, 1.0] {
         let mut choice = choice(0, 4);
-        choice.set_aside(address(4), now, Useless::NotCurrent, draw);
+        choice.back_off(address(4), now, Unusable::NotCurrent, draw);
         let farther = choice.pick(now).unwrap();
-        choice.note_use(farther);
+        choice.note_usable(farther);
         for millis in [200, 600, 1_000, 1_900] {
             assert_eq!(
                 choice.nearer_than(farther, now + Duration::from_millis(millis)),
@@ -150,7 +155,7 @@
         );
         // One that is of no use any more may be left for it at once.
         let later = now + Duration::from_millis(300);
-        choice.set_aside(farther, later, Useless::Silent, draw);
+        choice.back_off(farther, later, Unusable::Unresponsive, draw);
         assert_eq!(choice.pick(later), Some(address(4)));
     }
 }
@@ -158,13 +163,13 @@
 /// However often it was silent, a replica is asked again within 4 s: a region that was cut off
 /// has its own replicas back by then.
 #[rstest]
-#[case::silent(Useless::Silent, 4_000)]
-#[case::not_current(Useless::NotCurrent, 1_000)]
-fn test_no_replica_is_set_aside_for_long(#[case] why: Useless, #[case] millis: u64) {
+#[case::silent(Unusable::Unresponsive, 4_000)]
+#[case::not_current(Unusable::NotCurrent, 1_000)]
+fn test_no_replica_is_set_aside_for_long(#[case] why: Unusable, #[case] millis: u64) {
     let now = Instant::now();
     let mut choice = choice(0, 4);
     for _ in 0..40 {
-        choice.set_aside(address(4), now, why, 1.0);
+        choice.back_off(address(4), now, why, 1.0);
     }
     assert_eq!(
         choice.pick(now + Duration::from_millis(millis)),
@@ -195,11 +200,11 @@
         let from_first = choice.pick_spread(now, Some(address(4)), 1);
         assert_eq!(place_of(from_first[0]) / 3, 1);
         assert_ne!(place_of(from_first[0]), 4);
-        choice.set_aside(address(4), now, Useless::Silent, 0.5);
+        choice.back_off(address(4), now, Unusable::Unresponsive, 0.5);
         let without = choice.pick_spread(now, None, 12);
         assert!(!without.contains(&address(4)));
         for n in 0..12 {
-            choice.set_aside(address(n), now, Useless::Silent, 0.5);
+            choice.back_off(address(n), now, Unusable::Unresponsive, 0.5);
         }
         assert_eq!(
             choice.pick_spread(now, None, 3).len(),
@@ -215,7 +220,7 @@
     let now = Instant::now();
     let mut choice = choice(0, 4);
     let farther = address(0);
-    choice.pass_over(address(4), now, 0.5);
+    choice.defer_return(address(4), now, 0.5);
     let after = |millis| now + Duration::from_millis(millis);
     assert_eq!(choice.nearer_than(farther, after(1_900)), None);
     assert_eq!(choice.nearer_than(farther, after(4_000)), Some(address(4)));
@@ -242,24 +247,24 @@
 
 #[test]
 fn test_backend_servers_are_sent_to_near_replicas_evenly() {
-    let origins: Vec<ReplicaOrigin> = sites()
+    let origins: Vec<ReplicaEndpoints> = sites()
         .into_iter()
-        .map(|site| ReplicaOrigin {
+        .map(|site| ReplicaEndpoints {
             address: site.address,
             announcements: Some(site.address),
             place: site.place.unwrap(),
         })
         .collect();
-    let at = |n: usize, from: &[ReplicaOrigin]| {
+    let at = |n: usize, from: &[ReplicaEndpoints]| {
         let name = BackendName::new(format!("backend-{n}"));
-        announce_at(&regions(), &place(0), &name, from.iter())
+        nearest_announcement_address(&regions(), &place(0), &name, from.iter())
     };
     let first = (0..200)
         .filter(|n| at(*n, &origins) == Some(address(0)))
         .count();
     assert!((70..=130).contains(&first), "{first}");
     assert!((0..200).all(|n| place_of(at(n, &origins).unwrap()) == 0));
-    let far: Vec<ReplicaOrigin> = origins
+    let far: Vec<ReplicaEndpoints> = origins
         .iter()
         .filter(|o| o.place != place(0))
         .cloned()
--- a/lib/tests/test_replica_plan.rs
+++ b/lib/tests/test_replica_plan.rs
@@ -14,7 +14,7 @@
 use heatherring_lib::raft_message::Membership;
 use heatherring_lib::raft_message::ReplicaInfo;
 use heatherring_lib::replica_plan::Admission;
-use heatherring_lib::replica_plan::GONE_AFTER;
+use heatherring_lib::replica_plan::REMOVE_SILENT_AFTER;
 use heatherring_lib::replica_plan::admit;
 use heatherring_lib::replica_plan::due_removal;
 use heatherring_lib::replica_plan::next_voter;
@@ -72,10 +72,13 @@
         last_heard: None,
         snapshot: None,
     });
-    let mut known = known(&membership, now.checked_sub(GONE_AFTER * 3).unwrap());
+    let mut known = known(
+        &membership,
+        now.checked_sub(REMOVE_SILENT_AFTER * 3).unwrap(),
+    );
     known.insert(ReplicaId(77), now);
     assert_eq!(due_removal(&membership, &progress, &known, now, 5), None);
-    let later = now + GONE_AFTER;
+    let later = now + REMOVE_SILENT_AFTER;
     for replica in progress.iter_mut().filter(|replica| replica.voter) {
         replica.last_heard = Some(later);
     }
@@ -126,7 +129,7 @@
         voters: voters(1..=5),
         ..Membership::default()
     };
-    let elected = now.checked_sub(GONE_AFTER * 2).unwrap();
+    let elected = now.checked_sub(REMOVE_SILENT_AFTER * 2).unwrap();
     let progress: Vec<ReplicaProgress> = (2..=5)
         .map(|id| progress(id, true, if id == 2 { elected } else { now }))
         .collect();
@@ -147,7 +150,7 @@
         voters: voters(1..=6),
         ..Membership::default()
     };
-    let elected = now.checked_sub(GONE_AFTER * 2).unwrap();
+    let elected = now.checked_sub(REMOVE_SILENT_AFTER * 2).unwrap();
     let progress: Vec<ReplicaProgress> = (2..=6)
         .map(|id| progress(id, true, if id == 2 { elected } else { now }))
         .collect();
--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use heatherring_lib::clock::Clock;
-use heatherring_lib::heard_report::ReplicaOrigin;
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::RegionName;
 use heatherring_lib::manifest_text::MAX_MANIFEST_BYTES;
+use heatherring_lib::presence_report::ReplicaEndpoints;
 use heatherring_lib::settings::ControlSettings;
 use heatherring_lib::settings::FormationSettings;
 use snafu::ResultExt;
@@ -323,7 +323,7 @@
     let presence = presence_task::spawn(PresenceSetup {
         cluster: identity.cluster,
         vm: settings.vm.clone(),
-        origin: ReplicaOrigin {
+        endpoints: ReplicaEndpoints {
             address: settings.advertised(),
             announcements: settings.direct.as_ref().map(|direct| direct.listen),
             place: settings.place.clone(),
@@ -360,8 +360,8 @@
         let regions: BTreeMap<SocketAddr, RegionName> = replicas
             .iter()
             .filter_map(|known| {
-                let region = places.get(&known.origin.place)?;
-                Some((known.origin.address, region.clone()))
+                let region = places.get(&known.endpoints.place)?;
+                Some((known.endpoints.address, region.clone()))
             })
             .collect();
         if regions != told {
--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -9,7 +9,7 @@
 use heatherring_lib::affinity::ObjectHash;
 use heatherring_lib::dispatch_request::RETRY_ELSEWHERE_AFTER;
 use heatherring_lib::fleet_update::FleetView;
-use heatherring_lib::follow_lag::IN_FORCE_WITHIN;
+use heatherring_lib::follow_lag::MAX_IN_FORCE_DELAY;
 use heatherring_lib::home_regions;
 use heatherring_lib::id::RegionName;
 use heatherring_lib::id::RouteName;
@@ -268,7 +268,7 @@
 
 /// Refuses a request without a route: for good only if a newer manifest would be known here.
 fn no_route(proof_age: Duration) -> NotRun {
-    if proof_age < IN_FORCE_WITHIN {
+    if proof_age < MAX_IN_FORCE_DELAY {
         return refuse(NotRunReason::RouteUnknown);
     }
     refuse(NotRunReason::RouteUnconfirmed).with_retry_after(RETRY_ELSEWHERE_AFTER)
--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -306,7 +306,7 @@
         }
         self.inner
             .presence
-            .hear_backend(announcement.backend.clone());
+            .record_backend_heartbeat(announcement.backend.clone());
         let draining = announcement.record.state == BackendState::Draining;
         let Some(change) = self.change_of(&fleet, announcement).await else {
             return Ok(());
@@ -468,12 +468,16 @@
     /// replica. Left to themselves, heartbeats go to the few replicas that backend servers know
     /// from their settings, two thirds of them across regions where there are three.
     #[must_use]
-    pub fn announce_at(&self, backend: &BackendName, place: &PlaceName) -> Option<SocketAddr> {
+    pub fn nearest_announcement_address(
+        &self,
+        backend: &BackendName,
+        place: &PlaceName,
+    ) -> Option<SocketAddr> {
         let regions = &self.inner.settings.as_ref()?.places;
         let replicas = self.inner.presence.view().replicas;
         let reporting = replicas.iter().filter(|known| known.reports);
-        let origins = reporting.map(|known| &known.origin);
-        replica_choice::announce_at(regions, place, backend, origins)
+        let known_endpoints = reporting.map(|known| &known.endpoints);
+        replica_choice::nearest_announcement_address(regions, place, backend, known_endpoints)
     }
 
     fn keep_look_ups(&self) -> Duration {
@@ -482,10 +486,10 @@
     }
 
     /// Notes a heartbeat of an entry VM, and has it enrolled if it is new.
-    pub fn hear_entry(&self, vm: &VmName, record: EntryRecord, ready: bool) {
+    pub fn record_entry_heartbeat(&self, vm: &VmName, record: EntryRecord, ready: bool) {
         self.inner
             .presence
-            .hear_entry(vm.clone(), record.life, ready);
+            .record_entry_heartbeat(vm.clone(), record.life, ready);
         if self.inner.picture.read().fleet.entry(vm) == Some(&record) {
             return;
         }
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -16,7 +16,7 @@
 use heatherring_lib::fleet_record::EntryRecord;
 use heatherring_lib::fleet_update::FleetUpdate;
 use heatherring_lib::fleet_update::FleetView;
-use heatherring_lib::follow_plan::FollowAnswer;
+use heatherring_lib::follow_plan::FollowOutcome;
 use heatherring_lib::follow_plan::FollowPlan;
 use heatherring_lib::follow_plan::FollowStep;
 use heatherring_lib::id::PlaceName;
@@ -26,7 +26,7 @@
 use heatherring_lib::presence::Absent;
 use heatherring_lib::replica_choice::ReplicaChoice;
 use heatherring_lib::replica_choice::ReplicaSite;
-use heatherring_lib::replica_patience::HOLD;
+use heatherring_lib::replica_timeout::LONG_POLL_HOLD;
 use heatherring_lib::request_fingerprint::FingerprintKey;
 use tokio::sync::watch;
 use tonic::transport::Channel;
@@ -175,7 +175,7 @@
                 () = tokio::time::sleep(wake) => {}
                 // Control must learn at once that this entry VM begins or ceases to serve.
                 Ok(()) = self.setup.ready.changed() => {
-                    let steps = self.plan.hurry(self.setup.clock.now());
+                    let steps = self.plan.poll_now(self.setup.clock.now());
                     self.carry_out(steps);
                 }
                 Ok(()) = self.setup.seeds.changed() => self.learn_seeds(),
@@ -191,20 +191,20 @@
     fn carry_out(&mut self, steps: Vec<FollowStep>) {
         for step in steps {
             match step {
-                FollowStep::Try(replica) => self.ask(replica, Question::Use),
-                FollowStep::Ask(replica) => {
+                FollowStep::Probe(replica) => self.ask(replica, Question::Use),
+                FollowStep::Poll(replica) => {
                     self.note_followed(replica);
                     self.ask(replica, Question::News);
                 }
-                FollowStep::Drop(replica) => {
+                FollowStep::Cancel(replica) => {
                     if self.following == Some(replica) {
                         self.note_left(format!("{replica}: left for another"));
                     }
                     self.asking.leave(replica);
                 }
-                FollowStep::GiveUp(replica) => {
+                FollowStep::TimedOut(replica) => {
                     self.asking.leave(replica);
-                    self.note_useless(replica, &FollowError::Silent);
+                    self.note_useless(replica, &FollowError::Unresponsive);
                 }
             }
         }
@@ -231,8 +231,10 @@
             Question::News => self.take(replica, asked.at, &reply),
         });
         let answer = match &taken {
-            Ok(is_news) => FollowAnswer::Useful { is_news: *is_news },
-            Err(error) => FollowAnswer::Useless(error.useless()),
+            Ok(has_changes) => FollowOutcome::Usable {
+                has_changes: *has_changes,
+            },
+            Err(error) => FollowOutcome::Unusable(error.unusable_reason()),
         };
         let steps = self.plan.answered(self.setup.clock.now(), replica, answer);
         if let Err(error) = &taken {
@@ -278,7 +280,7 @@
             ready,
             applied_revision: view.revision.0,
             known_presence: self.known_presence,
-            wait_ms: u32::try_from(HOLD.as_millis()).unwrap_or(u32::MAX),
+            wait_ms: u32::try_from(LONG_POLL_HOLD.as_millis()).unwrap_or(u32::MAX),
             known_replicas: self.known_replicas,
             list_only: false,
             known_quarantine: self.known_quarantine,
@@ -297,20 +299,20 @@
         }
         self.note_regained(address);
         self.learn(reply)?;
-        let mut is_news = self.apply_verdicts(reply)?;
+        let mut has_changes = self.apply_verdicts(reply)?;
         if !reply.update_encoded.is_empty() {
             self.apply(address, reply)?;
-            is_news = true;
+            has_changes = true;
         }
         if !reply.absent_encoded.is_empty() {
             self.apply_absent(reply.presence_number, decode(&reply.absent_encoded)?);
-            is_news = true;
+            has_changes = true;
         }
         self.setup.dispatch.note_control_contact();
         self.heard.send_replace(self.setup.clock.now());
         self.proved
             .send_replace(moved(asked, reply.proved_after_ms));
-        Ok(is_news)
+        Ok(has_changes)
     }
 
     /// Takes over the verdicts on requests, before the view: an entry VM that has just started
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -101,8 +101,8 @@
     }
 
     /// Notes what an entry VM has applied, and tells of one that has lacked a manifest for long.
-    fn note_question(&self, vm: &VmName, applied: Revision) {
-        let shown = self.lag().note_question(self.clock.now(), vm, applied);
+    fn note_request(&self, vm: &VmName, applied: Revision) {
+        let shown = self.lag().note_request(self.clock.now(), vm, applied);
         for after in shown.in_force_after {
             metric::in_force(after);
         }
@@ -204,8 +204,10 @@
         let picture = self.control.picture().read();
         let known = self.control.presence().view().replicas;
         let place = |address| {
-            let known = known.iter().find(|known| known.origin.address == address);
-            known.map(|known| known.origin.place.clone())
+            let known = known
+                .iter()
+                .find(|known| known.endpoints.address == address);
+            known.map(|known| known.endpoints.place.clone())
         };
         let sites: Vec<ReplicaSite> = picture
             .replicas
@@ -266,9 +268,10 @@
         let record: EntryRecord = decode(&request.record_encoded)?;
         let vm = VmName::new(request.vm.as_str());
         if self.control.is_current() {
-            self.control.hear_entry(&vm, record, request.ready);
+            self.control
+                .record_entry_heartbeat(&vm, record, request.ready);
             self.note_manifest();
-            self.note_question(&vm, Revision(request.applied_revision));
+            self.note_request(&vm, Revision(request.applied_revision));
             self.wait_for_news(&request).await;
             self.note_manifest();
         }
@@ -312,7 +315,7 @@
         }
         let report = decode(&request.report_encoded)?;
         let from = VmName::new(request.vm);
-        let known = self.control.presence().take_in(from, report).await;
+        let known = self.control.presence().apply_report(from, report).await;
         Ok(Response::new(ReportReply { known }))
     }
 
--- a/server/src/follow_calls.rs
+++ b/server/src/follow_calls.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use heatherring_lib::replica_choice::Useless;
+use heatherring_lib::replica_choice::Unusable;
 use snafu::ResultExt;
 use snafu::Snafu;
 use tokio::task::AbortHandle;
@@ -22,7 +22,7 @@
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum FollowError {
     #[snafu(display("no answer in time"))]
-    Silent,
+    Unresponsive,
     #[snafu(display("{}", source.message()))]
     Call { source: Box<tonic::Status> },
     #[snafu(display("the replica can't prove that it is current"))]
@@ -34,10 +34,10 @@
 }
 
 impl FollowError {
-    pub const fn useless(&self) -> Useless {
+    pub const fn unusable_reason(&self) -> Unusable {
         match self {
-            Self::NotCurrent => Useless::NotCurrent,
-            _ => Useless::Silent,
+            Self::NotCurrent => Unusable::NotCurrent,
+            _ => Unusable::Unresponsive,
         }
     }
 }
--- a/server/src/http_server.rs
+++ b/server/src/http_server.rs
@@ -17,7 +17,7 @@
 
 use bytes::Bytes;
 use heatherring_lib::clock::Clock;
-use heatherring_lib::head_watch::HeadFraming;
+use heatherring_lib::head_scanner::HeadFraming;
 use http::HeaderValue;
 use http::StatusCode;
 use http::header::CONNECTION;
--- a/server/src/log_writer.rs
+++ b/server/src/log_writer.rs
@@ -20,8 +20,8 @@
 use std::time::Instant;
 
 use heatherring_lib::clock::Clock;
-use heatherring_lib::log_rate::LineWeight;
-use heatherring_lib::log_rate::LogRate;
+use heatherring_lib::log_rate::LinePriority;
+use heatherring_lib::log_rate::LogRateLimiter;
 use logforth::Append;
 use logforth::Diagnostic;
 use logforth::Layout;
@@ -69,7 +69,7 @@
 
 /// What bounds the lines, and what was told of those that were dropped.
 struct Volume {
-    rate: LogRate,
+    rate: LogRateLimiter,
     told: u64,
     /// When that was last tried.
     told_at: Option<Instant>,
@@ -96,7 +96,7 @@
         Ok(Self {
             layout: JsonLayout::default(),
             volume: Mutex::new(Volume {
-                rate: LogRate::new(clock.now()),
+                rate: LogRateLimiter::new(clock.now()),
                 told: 0,
                 told_at: None,
             }),
@@ -169,13 +169,13 @@
     }
 }
 
-fn weight(record: &Record<'_>) -> LineWeight {
+fn weight(record: &Record<'_>) -> LinePriority {
     if record.level() >= Level::Warn {
-        LineWeight::Alarm
+        LinePriority::Alarm
     } else if record.target() == ROUTINE {
-        LineWeight::Routine
+        LinePriority::Routine
     } else {
-        LineWeight::Notable
+        LinePriority::Notable
     }
 }
 
--- a/server/src/pipeline_io.rs
+++ b/server/src/pipeline_io.rs
@@ -4,7 +4,7 @@
 //! connections reads the requests, and another writes the answers: [`RequestBytes`] is what
 //! the first sees, [`AnswerBytes`] what the second does. What the first would write and what
 //! the second reads never leaves the process. A single parser, the first connection's, thus
-//! decides where each request ends; [`HeadWatch`] follows what it is handed.
+//! decides where each request ends; [`HeadScanner`] follows what it is handed.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -21,8 +21,8 @@
 use bytes::Buf;
 use bytes::Bytes;
 use heatherring_lib::clock::Clock;
-use heatherring_lib::head_watch::HeadFraming;
-use heatherring_lib::head_watch::HeadWatch;
+use heatherring_lib::head_scanner::HeadFraming;
+use heatherring_lib::head_scanner::HeadScanner;
 use http::HeaderValue;
 use http::Method;
 use http::Request;
@@ -113,7 +113,7 @@
 #[derive(Debug)]
 pub(crate) struct Progress {
     state: Mutex<ProgressState>,
-    heads: Mutex<HeadWatch>,
+    heads: Mutex<HeadScanner>,
     clock: Arc<dyn Clock>,
 }
 
@@ -185,11 +185,11 @@
 
     /// Says how the head that was just taken announces the end of its body, of which the HTTP
     /// library makes `body_length`. To be asked before anything behind the head is read.
-    pub fn take_head(&self, body_length: Option<u64>) -> HeadFraming {
-        self.heads().take_head(body_length)
+    pub fn finish_head(&self, body_length: Option<u64>) -> HeadFraming {
+        self.heads().finish_head(body_length)
     }
 
-    fn heads(&self) -> MutexGuard<'_, HeadWatch> {
+    fn heads(&self) -> MutexGuard<'_, HeadScanner> {
         self.heads.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -243,7 +243,7 @@
     }
 }
 
-/// Reads what a caller sends, and hands it on in the pieces that [`HeadWatch`] cuts.
+/// Reads what a caller sends, and hands it on in the pieces that [`HeadScanner`] cuts.
 #[derive(Debug)]
 pub(crate) struct RequestBytes {
     /// What was read of the connection and isn't handed on yet.
@@ -271,7 +271,7 @@
         let this = self.get_mut();
         if this.rest.has_remaining() {
             let room = this.rest.len().min(buf.remaining());
-            let taken = this.progress.heads().piece(&this.rest[..room]);
+            let taken = this.progress.heads().next_piece(&this.rest[..room]);
             buf.put_slice(&this.rest.split_to(taken));
             return Poll::Ready(Ok(()));
         }
@@ -282,7 +282,7 @@
                 Ok(bytes) => {
                     this.progress.note_read(bytes);
                     let read = &buf.filled()[before..];
-                    let taken = this.progress.heads().piece(read);
+                    let taken = this.progress.heads().next_piece(read);
                     this.rest = Bytes::copy_from_slice(&read[taken..]);
                     buf.set_filled(before + taken);
                     return Poll::Ready(Ok(()));
--- a/server/src/pipelined_connection.rs
+++ b/server/src/pipelined_connection.rs
@@ -260,7 +260,7 @@
     /// Notes that a head was read, and checks what the HTTP library doesn't.
     fn note_head(&self, req: &Request<Incoming>) -> Result<NotedHead, RequestFault> {
         let progress = &self.setup.progress;
-        let framing = progress.take_head(req.body().size_hint().exact());
+        let framing = progress.finish_head(req.body().size_hint().exact());
         request_fault::check_framing(framing)?;
         request_fault::check_host(req.version(), req.headers())?;
         let mut state = progress.state();
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -12,8 +12,6 @@
 use heatherring_lib::fleet_command::FleetCommand;
 use heatherring_lib::fleet_record::BackendIncarnation;
 use heatherring_lib::fleet_state::FleetState;
-use heatherring_lib::heard_report::PresenceReport;
-use heatherring_lib::heard_report::ReplicaOrigin;
 use heatherring_lib::id::BackendName;
 use heatherring_lib::id::ClusterId;
 use heatherring_lib::id::VmName;
@@ -21,6 +19,8 @@
 use heatherring_lib::presence::Absent;
 use heatherring_lib::presence::Presence;
 use heatherring_lib::presence::REPORT_INTERVAL;
+use heatherring_lib::presence_report::PresenceReport;
+use heatherring_lib::presence_report::ReplicaEndpoints;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 use tokio::sync::watch;
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KnownReplica {
     /// Where.
-    pub origin: ReplicaOrigin,
+    pub endpoints: ReplicaEndpoints,
     /// Whether it has reported lately.
     pub reports: bool,
 }
@@ -115,19 +115,19 @@
 
 impl PresenceHandle {
     /// Notes a heartbeat of a backend server.
-    pub fn hear_backend(&self, backend: BackendName) {
+    pub fn record_backend_heartbeat(&self, backend: BackendName) {
         // The task ends only with the process.
         let _ = self.tx.send(Message::Backend(backend));
     }
 
     /// Notes a heartbeat of an entry VM.
-    pub fn hear_entry(&self, vm: VmName, life: u64, ready: bool) {
+    pub fn record_entry_heartbeat(&self, vm: VmName, life: u64, ready: bool) {
         let _ = self.tx.send(Message::Entry { vm, life, ready });
     }
 
     /// Takes the report of another replica in. Returns the number of its changes up to which
     /// all is known.
-    pub async fn take_in(&self, from: VmName, report: PresenceReport) -> u64 {
+    pub async fn apply_report(&self, from: VmName, report: PresenceReport) -> u64 {
         let (reply, answer) = oneshot::channel();
         let _ = self.tx.send(Message::Report {
             from,
@@ -166,7 +166,7 @@
     /// This replica's VM.
     pub vm: VmName,
     /// Where this replica is.
-    pub origin: ReplicaOrigin,
+    pub endpoints: ReplicaEndpoints,
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// What the replica has applied.
@@ -199,7 +199,7 @@
 pub fn spawn(setup: PresenceSetup) -> PresenceHandle {
     let (tx, rx) = mpsc::unbounded_channel();
     let own = KnownReplica {
-        origin: setup.origin.clone(),
+        endpoints: setup.endpoints.clone(),
         reports: true,
     };
     let (view_tx, view) = watch::channel(PresenceView {
@@ -238,12 +238,12 @@
         let now = self.setup.clock.now();
         match message {
             Message::Backend(backend) => {
-                if self.presence.hear_backend(now, &backend) {
+                if self.presence.record_backend_heartbeat(now, &backend) {
                     self.publish(now);
                 }
             }
             Message::Entry { vm, life, ready } => {
-                if self.presence.hear_entry(now, &vm, life, ready) {
+                if self.presence.record_entry_heartbeat(now, &vm, life, ready) {
                     self.publish(now);
                     self.report(now);
                 }
@@ -253,7 +253,7 @@
                 report,
                 reply,
             } => {
-                let known = self.presence.take_in(now, &from, &report);
+                let known = self.presence.apply_report(now, &from, &report);
                 // The replica's call may have been given up meanwhile.
                 let _ = reply.send(known);
                 if !report.heard.added.is_empty() || !report.heard.removed.is_empty() {
@@ -288,7 +288,7 @@
         let picture = self.setup.picture.read();
         let verdicts = self
             .presence
-            .is_connected(now, picture.replicas.len())
+            .has_majority(now, picture.replicas.len())
             .then(|| self.verdicts(now, &picture.fleet));
         let replicas = self.replicas(now);
         self.view.send_if_modified(|view| {
@@ -324,10 +324,10 @@
     }
 
     fn replicas(&self, now: Instant) -> Vec<KnownReplica> {
-        let own = std::iter::once((&self.setup.origin, true));
-        let all = own.chain(self.presence.origins(now));
-        all.map(|(origin, reports)| KnownReplica {
-            origin: origin.clone(),
+        let own = std::iter::once((&self.setup.endpoints, true));
+        let all = own.chain(self.presence.replica_endpoints(now));
+        all.map(|(endpoints, reports)| KnownReplica {
+            endpoints: endpoints.clone(),
             reports,
         })
         .collect()
@@ -337,7 +337,7 @@
     fn report(&mut self, now: Instant) {
         self.report_at = now + REPORT_INTERVAL;
         let replicas = self.setup.picture.read().replicas;
-        let own = self.setup.origin.address;
+        let own = self.setup.endpoints.address;
         self.peers
             .retain(|address, _| replicas.iter().any(|info| info.address == *address));
         for info in replicas.iter().filter(|info| info.address != own) {
@@ -351,7 +351,7 @@
         };
         let mut client = peer.client.clone();
         let known = peer.known;
-        let report = self.presence.report(now, known, &self.setup.origin);
+        let report = self.presence.report(now, known, &self.setup.endpoints);
         let Ok(report_encoded) = postcard::to_stdvec(&report) else {
             log::error!(event = "report_unencodable"; "a report on heartbeats can't be encoded");
             return;
@@ -394,7 +394,7 @@
     /// leads.
     fn forget(&self, now: Instant) {
         let picture = self.setup.picture.read();
-        if !picture.leads || !self.presence.is_connected(now, picture.replicas.len()) {
+        if !picture.leads || !self.presence.has_majority(now, picture.replicas.len()) {
             return;
         }
         let backends: Vec<BackendIncarnation> = picture
--- a/server/src/request_fault.rs
+++ b/server/src/request_fault.rs
@@ -1,6 +1,6 @@
 //! Requests that the HTTP library takes and that must not be handled.
 
-use heatherring_lib::head_watch::HeadFraming;
+use heatherring_lib::head_scanner::HeadFraming;
 use heatherring_lib::host_value;
 use http::HeaderMap;
 use http::Version;
--- a/server/tests/test_direct.rs
+++ b/server/tests/test_direct.rs
@@ -15,7 +15,7 @@
 use direct_support::call;
 use direct_support::request;
 use direct_support::until_served;
-use heatherring_lib::follow_lag::IN_FORCE_WITHIN;
+use heatherring_lib::follow_lag::MAX_IN_FORCE_DELAY;
 use heatherring_testutils::wait::wait_for;
 use http::Method;
 use http::StatusCode;
@@ -263,7 +263,7 @@
     let unknown = entry.call(Method::GET, "/added/x").await.unwrap();
     assert_eq!(unknown.status, StatusCode::NOT_FOUND);
     deployment.replicas.pop().unwrap().stop().await;
-    tokio::time::sleep(IN_FORCE_WITHIN).await;
+    tokio::time::sleep(MAX_IN_FORCE_DELAY).await;
     wait_for("the entry VM isn't sure any more", async || {
         let unknown = entry.call(Method::GET, "/added/x").await?;
         (unknown.status == StatusCode::SERVICE_UNAVAILABLE).then_some(())
