--- a/lib/src/cold_queries.rs
+++ b/lib/src/cold_queries.rs
@@ -24,14 +24,14 @@
     /// What is known of its service: the path to ask, and the limit on connections.
     pub service: Arc<RouteService>,
     /// When it is asked.
-    pub asked_at: Instant,
+    pub sent_at: Instant,
 }
 
 /// Holds the answer.
 #[derive(Clone, Debug)]
 pub struct ColdReply {
     /// The question.
-    pub question: ColdQuery,
+    pub query: ColdQuery,
     /// How much longer it stays cold; zero if it isn't.
     pub cold_for: Duration,
 }
@@ -53,8 +53,8 @@
             if !self.cold_tracker.try_ask(now, &place) {
                 continue;
             }
-            self.question_turn = self.question_turn.wrapping_add(1);
-            let turn = self.question_turn.checked_rem(members.len());
+            self.query_turn = self.query_turn.wrapping_add(1);
+            let turn = self.query_turn.checked_rem(members.len());
             let Some(key) = turn.map(|turn| members[turn]) else {
                 continue;
             };
@@ -62,18 +62,18 @@
             let Some(service) = self.services.get(&backend.record.service) else {
                 continue;
             };
-            questions.push(ColdQuery {
+            queries.push(ColdQuery {
                 backend: key,
                 name: backend.name.clone(),
                 address: backend.record.address,
-                service: Arc::clone(&service.known),
-                asked_at: now,
+                service: Arc::clone(&service.definition),
+                sent_at: now,
             });
         }
         (questions, self.cold_tracker.next_due(now))
     }
 
-    fn members_to_ask(&self, now: Instant) -> BTreeMap<PlaceName, Vec<BackendKey>> {
+    fn query_targets(&self, now: Instant) -> BTreeMap<PlaceName, Vec<BackendKey>> {
         let mut places: BTreeMap<PlaceName, Vec<BackendKey>> = BTreeMap::new();
         if !self.cold_tracker.is_alone(now) {
             return places;
@@ -88,8 +88,8 @@
     }
 
     /// Notes what a backend server answered.
-    pub fn note_cold_reply(&mut self, now: Instant, word: &ColdReply) {
-        let Some(backend) = self.backends.get_mut(word.question.backend) else {
+    pub fn note_cold_reply(&mut self, now: Instant, reply: &ColdReply) {
+        let Some(backend) = self.backends.get_mut(reply.query.backend) else {
             return;
         };
         backend.cold_until = backend.cold_until.max(now + word.cold_for);
