--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -349,7 +349,7 @@
             return Ok(Vec::new());
         };
         let slots = announcement.effective_slots(service);
-        let stopped = group.announce(made, announcement, slots);
+        let stopped = group.announce(announced_at, announcement, slots);
         self.mark_drained();
         let disconnect_effect = stopped.then(|| Effect::Disconnect {
             backend: announcement.backend.clone(),
--- a/lib/src/cold_queries.rs
+++ b/lib/src/cold_queries.rs
@@ -48,9 +48,9 @@
     /// cold. Asking all of them would cost more than the requests where control is lost to
     /// everybody.
     pub fn cold_queries(&mut self, now: Instant) -> (Vec<ColdQuery>, Instant) {
-        let mut questions = Vec::new();
-        for (place, members) in self.members_to_ask(now) {
-            if !self.cold_tracker.try_ask(now, &place) {
+        let mut queries = Vec::new();
+        for (place, members) in self.query_targets(now) {
+            if !self.cold_tracker.try_query(now, &place) {
                 continue;
             }
             self.query_turn = self.query_turn.wrapping_add(1);
@@ -70,12 +70,12 @@
                 sent_at: now,
             });
         }
-        (questions, self.cold_tracker.next_due(now))
+        (queries, self.cold_tracker.next_due(now))
     }
 
     fn query_targets(&self, now: Instant) -> BTreeMap<PlaceName, Vec<BackendKey>> {
         let mut places: BTreeMap<PlaceName, Vec<BackendKey>> = BTreeMap::new();
-        if !self.cold_tracker.is_alone(now) {
+        if !self.cold_tracker.is_control_lost(now) {
             return places;
         }
         for (key, backend) in &self.backends {
@@ -92,9 +92,9 @@
         let Some(backend) = self.backends.get_mut(reply.query.backend) else {
             return;
         };
-        backend.cold_until = backend.cold_until.max(now + word.cold_for);
-        let is_cold = !word.cold_for.is_zero();
+        backend.cold_until = backend.cold_until.max(now + reply.cold_for);
+        let is_cold = !reply.cold_for.is_zero();
         self.cold_tracker
-            .note_word(word.question.asked_at, &backend.record.place, is_cold);
+            .note_reply(reply.query.sent_at, &backend.record.place, is_cold);
     }
 }
--- a/lib/src/cold_tracker.rs
+++ b/lib/src/cold_tracker.rs
@@ -34,8 +34,8 @@
 /// Follows what is known of each place.
 #[derive(Debug)]
 pub struct ColdTracker {
-    control_at: Instant,
-    places: BTreeMap<PlaceName, PlaceWatch>,
+    last_contact: Instant,
+    places: BTreeMap<PlaceName, PlaceTracker>,
 }
 
 #[derive(Debug, Default)]
--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -114,7 +114,7 @@
             by_name: BTreeMap::new(),
             services: BTreeMap::new(),
             cold_tracker: ColdTracker::new(now),
-            question_turn: 0,
+            query_turn: 0,
             delays: BTreeMap::new(),
             link: LinkCongestion::default(),
             in_flight: 0,
@@ -442,7 +442,10 @@
 
     /// Returns whether a backend server bears a few requests only, or may do so.
     pub(crate) fn is_cold(&self, now: Instant, backend: &Backend) -> bool {
-        backend.is_cold(now) || self.cold_tracker.is_doubtful(now, &backend.record.place)
+        backend.is_cold(now)
+            || self
+                .cold_tracker
+                .must_assume_cold(now, &backend.record.place)
     }
 
     pub(crate) fn cold_interval(&self, backend: &Backend, rate: f64) -> Option<Duration> {
--- a/lib/tests/test_cold_tracker.rs
+++ b/lib/tests/test_cold_tracker.rs
@@ -242,10 +242,10 @@
 #[test]
 fn test_cold_tracker_pauses_where_a_place_is_asked_no_more() {
     let began = Instant::now();
-    let mut watch = ColdTracker::new(began);
-    let asked_at = began + CONTROL_LOST_AFTER;
-    assert!(watch.try_ask(asked_at, &place(0)));
-    let mut now = asked_at;
+    let mut tracker = ColdTracker::new(began);
+    let sent_at = began + CONTROL_LOST_AFTER;
+    assert!(tracker.try_query(sent_at, &place(0)));
+    let mut now = sent_at;
     for _ in 0..20 {
         let next = tracker.next_due(now);
         assert!(
--- a/lib/tests/test_head_scanner.rs
+++ b/lib/tests/test_head_scanner.rs
@@ -78,11 +78,11 @@
 #[test]
 fn test_a_head_that_ends_within_a_piece_is_unknown() {
     let mut watch = HeadScanner::default();
-    assert_eq!(watch.piece(b"GET / HTTP/1.1\r\nhost: a\r\n"), 25);
+    assert_eq!(watch.next_piece(b"GET / HTTP/1.1\r\nhost: a\r\n"), 25);
     assert_eq!(watch.finish_head(None), HeadFraming::Unknown);
-    assert_eq!(watch.piece(b"\r\nxyz"), 2);
+    assert_eq!(watch.next_piece(b"\r\nxyz"), 2);
     assert_eq!(watch.finish_head(Some(3)), HeadFraming::Plain);
-    assert_eq!(watch.piece(b"xy"), 2);
+    assert_eq!(watch.next_piece(b"xy"), 2);
     assert_eq!(watch.finish_head(None), HeadFraming::Unknown);
 }
 
--- a/lib/tests/test_replica_timeout.rs
+++ b/lib/tests/test_replica_timeout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use heatherring_lib::replica_timeout::ANSWER_WITHIN;
+use heatherring_lib::replica_timeout::ANSWER_TIMEOUT;
 use heatherring_lib::replica_timeout::HEDGE_AFTER;
 use heatherring_lib::replica_timeout::LONG_POLL_HOLD;
 use heatherring_lib::replica_timeout::ReplicaTimeout;
@@ -29,5 +29,5 @@
     assert!(patience.first() > Duration::from_secs(1));
     patience.note_answer();
     assert!(patience.first() < Duration::from_millis(500));
-    assert!(LONG_POLL_HOLD < HEDGE_AFTER && HEDGE_AFTER < ANSWER_WITHIN);
+    assert!(LONG_POLL_HOLD < HEDGE_AFTER && HEDGE_AFTER < ANSWER_TIMEOUT);
 }
