--- a/lib/src/raft_leader.rs
+++ b/lib/src/raft_leader.rs
@@ -19,7 +19,7 @@
 
 /// Number of rounds unanswered by a majority at which reads no longer start a round of
 /// their own and wait for the next heartbeat instead.
-const MAX_OPEN_ROUNDS: u64 = 16;
+const MAX_UNANSWERED_ROUNDS: u64 = 16;
 
 /// Limit on pending reads; further ones are refused.
 const MAX_WAITING_READS: usize = 16_384;
@@ -237,7 +237,7 @@
             .iter()
             .any(|read| read.needs_round_after(self.round));
         let unanswered = self.round - self.quorum_round(membership).min(self.round);
-        if round_needed && unanswered < MAX_OPEN_ROUNDS {
+        if round_needed && unanswered < MAX_UNANSWERED_ROUNDS {
             self.begin_heartbeat_round(cx, fx);
         }
         self.answer_reads(membership, fx);
--- a/lib/src/raft_progress.rs
+++ b/lib/src/raft_progress.rs
@@ -87,8 +87,8 @@
     pub contact: Instant,
     /// When the last reply arrived from the replica in this term.
     pub last_heard: Option<Instant>,
-    /// Set once the replica is removed. Replication to it continues until then, so that it
-    /// learns of its removal and does not campaign.
+    /// When replication to a removed replica ends; `None` for a member. It continues for a
+    /// while after the removal, so that the replica learns of it and does not campaign.
     pub served_until: Option<Instant>,
     next: Revision,
     mode: Mode,
