--- a/lib/src/affinity.rs
+++ b/lib/src/affinity.rs
@@ -1,40 +1,45 @@
-//! Which backend server an object belongs to: rendezvous hashing.
+//! Rendezvous hashing: which backend server is the home of an object.
 //!
-//! Every entry VM ranks the backend servers for an object alike, without talking to the
-//! others, and a backend server that comes or goes moves only the objects that it wins
-//! or held. So requests for one object meet where its data are warm.
+//! Every entry VM computes the same ranking of backend servers for an object, without any
+//! communication. When a backend server joins or leaves, only the objects that it ranks first
+//! for move. Requests for one object therefore reach a backend server that already has its data
+//! cached.
 
-/// Identifies an object that requests concern.
+/// Hash of an object that requests refer to.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ObjectHash(pub u64);
 
 impl ObjectHash {
-    /// Hashes the name of an object within a scope, such as a route.
+    /// Hashes the name of an object within a scope, such as a route. The same name in two
+    /// scopes gives two objects.
     #[must_use]
     pub fn of(scope: &str, object: &str) -> Self {
         Self(mix(hash_text(scope), hash_text(object)))
     }
 
-    /// Returns the weight of a member for this object; the heaviest one is its home.
+    /// Returns the rendezvous weight of a member for this object; the member with the greatest
+    /// weight is its home.
     #[must_use]
     pub const fn weight(self, member: MemberHash) -> u64 {
         mix(self.0, member.0)
     }
 }
 
-/// Identifies a member of a group that objects are spread over.
+/// Hash of a member of the group that objects are distributed over, for instance a backend
+/// server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MemberHash(u64);
 
 impl MemberHash {
-    /// Hashes the name of a member.
+    /// Hashes the name of a member. The result is the same on every VM and in every release.
     #[must_use]
     pub fn of(name: &str) -> Self {
         Self(hash_text(name))
     }
 }
 
-/// FNV-1a: the same on every VM and release, unlike the standard library's hasher.
+/// Hashes a text with FNV-1a, which gives the same result on every VM and in every release,
+/// unlike the hasher of the standard library.
 fn hash_text(text: &str) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -43,8 +48,8 @@
     })
 }
 
-/// Mixes two hashes by the finalizer of `SplitMix64`, so that each bit of either moves
-/// about half of the result's bits.
+/// Combines two hashes with the finalizer of `SplitMix64`: flipping any input bit flips about
+/// half of the output bits.
 const fn mix(left: u64, right: u64) -> u64 {
     let mut mixed = left ^ right.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/lib/src/backend_health.rs
+++ b/lib/src/backend_health.rs
@@ -1,39 +1,42 @@
-//! How well a backend server answers, learned from its answers alone.
+//! Health of a backend server, derived passively from its responses.
 //!
-//! Health checks cost the backend servers work and may be false either way. Every verdict
-//! here fades, so that a backend server that has recovered gets requests again.
+//! Active health checks would add load to the backend servers and can be wrong in both
+//! directions. All rates decay over time, so a backend server that has recovered receives
+//! requests again.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Weight of the latest observation. Three bad ones in a row move a rate above 0.6.
+/// Weight of the latest observation in a rate. Three bad observations in a row raise a rate
+/// above 0.6.
 const OBSERVATION_WEIGHT: f64 = 0.3;
 
-/// Time in which half of a bad impression fades: long enough that a slow backend server
-/// gets a probe every few seconds rather than a share of the traffic.
+/// Half-life of a rate. It is long enough that a slow backend server receives a trial request
+/// every few seconds rather than a share of the traffic.
 const HALF_LIFE: Duration = Duration::from_millis(2_500);
 
-/// Bounds of a single observation of slowness, so that one outlier doesn't rule.
+/// Upper bound of a single slowness observation, so that one outlier does not dominate the
+/// average.
 const MAX_EXCESS: f64 = 10.0;
 
-/// Pause after a failed connection. It doubles with each further failure.
+/// Pause in connecting after a failed connection attempt. It doubles with each further failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(300);
 const LONGEST_PAUSE: Duration = Duration::from_secs(3);
 
-/// Follows the health of one backend server.
+/// Tracks the health of one backend server.
 #[derive(Debug)]
 pub struct BackendHealth {
-    /// Observed over expected service time, less 1; 0 is as expected.
+    /// Observed over expected service time, minus 1; 0 means as fast as expected.
     excess: DecayingAverage,
-    /// Share of requests that broke.
+    /// Rate of failed requests.
     failures: DecayingAverage,
-    /// Share of requests that were turned away.
+    /// Rate of rejected requests.
     sheds: DecayingAverage,
     pause: Duration,
     paused_until: Option<Instant>,
 }
 
-/// Holds an average that fades towards 0.
+/// Exponentially weighted average that decays towards 0.
 #[derive(Clone, Copy, Debug)]
 struct DecayingAverage {
     value: f64,
@@ -60,7 +63,7 @@
 }
 
 impl BackendHealth {
-    /// Starts with a good impression.
+    /// Creates the state of a backend server without any known problem.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
         Self {
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Notes an answer that took `took` where `expected` was expected.
+    /// Records a response that took `took` where `expected` was expected.
     pub fn note_answer(&mut self, now: Instant, took: Duration, expected: Duration) {
         let ratio = took.as_secs_f64() / expected.as_secs_f64().max(0.001);
         self.excess
@@ -82,18 +85,18 @@
         self.note_connected();
     }
 
-    /// Notes that the backend server turned a request away.
+    /// Records that the backend server rejected a request.
     pub fn note_shed(&mut self, now: Instant) {
         self.sheds.observe(now, 1.0);
         self.note_connected();
     }
 
-    /// Notes that a request broke: a reset, a malformed or an incomplete answer.
+    /// Records a failed request: a connection reset, or a malformed or truncated response.
     pub fn note_failure(&mut self, now: Instant) {
         self.failures.observe(now, 1.0);
     }
 
-    /// Notes that no connection could be had.
+    /// Records a failed connection attempt and pauses further ones.
     pub fn note_unreachable(&mut self, now: Instant) {
         self.paused_until = Some(now + self.pause);
         self.pause = (self.pause * 2).min(LONGEST_PAUSE);
@@ -104,25 +107,25 @@
         self.paused_until = None;
     }
 
-    /// Returns whether a connection may be tried.
+    /// Returns whether a connection attempt is allowed now.
     #[must_use]
     pub fn is_reachable(&self, now: Instant) -> bool {
         self.paused_until.is_none_or(|until| now >= until)
     }
 
-    /// Returns by how much service takes longer than expected; at least 1.
+    /// Returns the factor by which service takes longer than expected; at least 1.
     #[must_use]
     pub fn slowness(&self, now: Instant) -> f64 {
         1.0 + self.excess.read(now)
     }
 
-    /// Returns the share of requests that broke lately.
+    /// Returns the recent rate of failed requests, 0 to 1.
     #[must_use]
     pub fn failure_rate(&self, now: Instant) -> f64 {
         self.failures.read(now)
     }
 
-    /// Returns the share of requests that were turned away lately.
+    /// Returns the recent rate of rejected requests, 0 to 1.
     #[must_use]
     pub fn shed_rate(&self, now: Instant) -> f64 {
         self.sheds.read(now)
--- a/lib/src/backend_load.rs
+++ b/lib/src/backend_load.rs
@@ -1,10 +1,11 @@
-//! How busy a backend server is, as one of several senders sees it.
+//! Load of a backend server, as estimated by one of several senders.
 //!
-//! A sender knows what it has in flight itself. What others have there shows only in the
-//! reports that come with answers, and such a report is old at once: it fades, so that a
-//! backend server that was full a while ago is tried again. What it fades to is what reports
-//! of the whole service tell of others on average, and nothing before there are any: that
-//! others do as this sender does would be a guess, and requests are refused for it.
+//! A sender knows its own requests in flight. The requests of other senders are visible only in
+//! the load reports that come with responses, and a report is outdated as soon as it arrives.
+//! The reported number therefore decays, so that a backend server that was full some time ago
+//! is tried again. It decays to the average number of other senders' requests over all reports
+//! of the service, and to 0 before the first report: assuming that other senders send as much
+//! as this one would be a guess, and requests would be refused because of it.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,50 +15,48 @@
 
 use crate::service_latency::RouteLatencyKey;
 
-/// Time in which half of what reports said of others' requests is forgotten. Requests of
-/// others go on coming after those that a report counted are over, so this is longer than
-/// one request runs; a sender gets a report from one backend server about once a second.
+/// Half-life of the reported number of other senders' requests. Other senders keep sending
+/// after the requests counted by a report have ended, so this is longer than a request runs. A
+/// sender receives a report from a given backend server about once a second.
 const REPORT_HALF_LIFE: Duration = Duration::from_millis(700);
 
-/// Weight of the latest report.
+/// Weight of the latest report in the moving average.
 const REPORT_WEIGHT: f64 = 0.6;
 
 new_key_type! {
-    /// Identifies one request in flight at a backend server.
+    /// Identifies a request in flight at a backend server.
     pub struct SendKey;
 }
 
-/// Holds what a backend server said of its load with an answer.
+/// Load that a backend server reports along with a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that may run at a time.
+    /// Number of requests that may run concurrently.
     pub slots: u32,
 }
 
-/// Holds what was expected of a request when it was sent.
+/// Expectations of a request at the time it was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Expectation {
-    /// The times of its route.
+    /// Latency estimates of its route.
     pub latency_key: RouteLatencyKey,
-    /// Whether its data were expected to be at hand.
+    /// Whether its data were expected to be cached.
     pub warm: bool,
-    /// Whether it was expected to wait.
+    /// Whether it was expected to be queued.
     pub queued: bool,
-    /// Time above which the backend server counts as slow. Where it isn't sure that the
-    /// data are at hand, that is the time without.
+    /// Run time above which the backend server counts as slow. When it is not certain that the
+    /// data are cached, this is based on the cold run time.
     pub slow_above: Duration,
 }
 
-/// Holds what is known of a request in flight.
+/// A request in flight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InFlight {
-    /// When it was sent.
     pub sent_at: Instant,
-    /// What was expected of it then.
     pub expected: Expectation,
 }
 
@@ -67,7 +66,7 @@
     at: Instant,
 }
 
-/// Follows the load of one backend server.
+/// Tracks the load of one backend server.
 #[derive(Debug, Default)]
 pub(crate) struct BackendLoad {
     in_flight: SlotMap<SendKey, InFlight>,
@@ -76,18 +75,19 @@
 }
 
 impl BackendLoad {
-    /// Notes that a request is sent.
+    /// Records that a request is sent.
     pub fn begin(&mut self, now: Instant, expected: Expectation) -> SendKey {
         let sent_at = now;
         self.in_flight.insert(InFlight { sent_at, expected })
     }
 
-    /// Notes that a request is over; returns what was known of it.
+    /// Records that a request has ended, and returns its record.
     pub fn end(&mut self, key: SendKey) -> Option<InFlight> {
         self.in_flight.remove(key)
     }
 
-    /// Notes an answer and what came with it; call it after [`Self::end`].
+    /// Records a response and its load report. To be called after [`Self::end`], so that the
+    /// finished request is not counted as this sender's own.
     pub fn note_answer(&mut self, now: Instant, report: Option<LoadReport>, average_others: f64) {
         self.last_answer = Some(now);
         let Some(report) = report else { return };
@@ -101,7 +101,8 @@
         });
     }
 
-    /// Returns how many requests of others a report tells of; call it after [`Self::end`].
+    /// Returns the number of other senders' requests according to a report. To be called after
+    /// [`Self::end`].
     pub fn reported_others(&self, report: Option<LoadReport>) -> Option<f64> {
         report.map(|report| self.others_of(report))
     }
@@ -111,7 +112,7 @@
         (total - self.own()).max(0.0)
     }
 
-    /// Returns the age of the latest report of its load.
+    /// Returns the age of the latest load report; `None` before the first.
     pub fn report_age(&self, now: Instant) -> Option<Duration> {
         let at = self.others.map(|others| others.at)?;
         Some(now.saturating_duration_since(at))
@@ -121,8 +122,9 @@
         f64::from(u32::try_from(self.in_flight.len()).unwrap_or(u32::MAX))
     }
 
-    /// Estimates the requests that run or wait there. As a report ages, what it said of
-    /// others' requests gives way to `average_others`, what they have at a backend server on average.
+    /// Estimates the number of running and queued requests. As the last report ages, the
+    /// reported number of other senders' requests converges to `average_others`, their average
+    /// number at a backend server.
     #[must_use]
     pub fn estimate(&self, now: Instant, average_others: f64) -> f64 {
         self.own() + self.others(now, average_others)
@@ -136,8 +138,8 @@
         })
     }
 
-    /// Returns for how long the oldest request has been without any sign of life of the
-    /// backend server. A server that hangs answers nothing, so this is all that tells.
+    /// Returns how long the oldest request in flight has gone without any response from the
+    /// backend server. A hanging server sends nothing, so this is the only sign of a hang.
     #[must_use]
     pub fn silence(&self, now: Instant) -> Duration {
         let Some(oldest) = self.in_flight.values().map(|send| send.sent_at).min() else {
--- a/lib/src/backend_registry.rs
+++ b/lib/src/backend_registry.rs
@@ -1,8 +1,9 @@
-//! The backend servers of one group: what they announced and what is in flight there.
+//! The backend servers of one group: their announcements and the requests in flight at each.
 //!
-//! The owner's own count is the truth. What a server reports about itself, and how old
-//! the report is, only ever lowers what is sent to it, and by half at most: reports lag,
-//! freeze and lie, and a lie must not take a server out of service.
+//! The owner's own count of requests is authoritative. The load that a server reports, and the
+//! age of that report, can only lower the number of requests sent to it, and by at most half.
+//! Reports may be delayed, stuck or wrong, and a wrong report must not take a server out of
+//! service.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,40 +23,41 @@
 use crate::ownership::ReleasedBackend;
 use crate::warm_up::Ramp;
 
-/// Age of an announcement from which the server lapses.
+/// Age at which an announcement expires and its server receives no more requests.
 pub const LAPSE: Duration = Duration::from_millis(LAPSE_MS as u64);
 
-/// Age of an announcement from which only half of the slots are used.
+/// Age of an announcement above which only half of the slots are used.
 const STALE_AFTER: Duration = Duration::from_millis(2 * REPEAT_MS as u64);
 
-/// Time for which "leaving" outweighs a "ready" that may have been overtaken on another
-/// path.
+/// Time during which a "leaving" announcement takes precedence over a "ready" one, which may
+/// have been overtaken on a different path.
 const LEAVING_HOLD: Duration = Duration::from_millis(2 * LAPSE_MS as u64);
 
-/// Pause after a backend server has refused; it doubles with each refusal in a row.
+/// Pause after a rejection by a backend server; it doubles with each consecutive rejection.
 const FIRST_SHED_PAUSE: Duration = Duration::from_millis(50);
 
-/// Longest pause after a refusal.
+/// Upper bound of the pause after a rejection.
 const LONGEST_SHED_PAUSE: Duration = Duration::from_secs(2);
 
-/// Time after which a server that has refused is trusted with one slot more.
+/// Interval at which one more slot is used again after a rejection.
 const SHED_RECOVERY: Duration = Duration::from_millis(500);
 
-/// Holds the backend servers of one group.
+/// Backend servers of one group.
 #[derive(Debug, Default)]
 pub struct BackendRegistry {
     servers: BTreeMap<BackendName, BackendServer>,
     held: Vec<HeldSlot>,
 }
 
-/// Counts a request that may still run although nobody waits for it here.
+/// A slot counted as taken because its request may still be running although nobody here waits
+/// for it any more.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HeldSlot {
-    /// The backend server.
+    /// Backend server that may still run the request.
     pub backend: BackendName,
-    /// Time until which it counts.
+    /// Time at which the slot is freed.
     pub until: Instant,
-    /// The old owner that told of it; none for this session's own.
+    /// Previous owner that reported the slot; `None` for a request of this session.
     pub from: Option<SessionId>,
 }
 
@@ -70,15 +72,15 @@
     circuit_breaker: CircuitBreaker,
     shed: ShedLimit,
     in_flight: u32,
-    /// Most requests in flight since the last announcement.
+    /// Maximum number of requests in flight since the last announcement.
     peak: u32,
-    /// Running requests that it reports and nobody here has sent.
+    /// Reported number of running requests beyond those sent from here.
     unattributed: u32,
     drained: bool,
     last_used: Option<Instant>,
 }
 
-/// Limits a server that refuses before running.
+/// Limits the requests to a server that rejects them before running them.
 #[derive(Clone, Copy, Debug, Default)]
 struct ShedLimit {
     ceiling: Option<u32>,
@@ -86,12 +88,12 @@
     pause: Duration,
 }
 
-/// Names the server chosen for a request.
+/// Name and address of a backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BackendEndpoint {
-    /// The server.
+    /// Name of the server.
     pub backend: BackendName,
-    /// Its address.
+    /// Address that the server announced.
     pub address: SocketAddr,
 }
 
@@ -102,10 +104,10 @@
         self.servers.is_empty()
     }
 
-    /// Takes an announcement with the slots that are believed of it. `new_is_warm`
-    /// says that a server not known yet has served another owner before.
+    /// Applies an announcement; `slots` is the number of slots credited to the server.
+    /// `new_is_warm` tells that a server not known yet has already served a previous owner.
     ///
-    /// Returns whether it has just stopped taking new work.
+    /// Returns whether the server has just stopped accepting new work.
     pub fn announce(
         &mut self,
         now: Instant,
@@ -130,14 +132,14 @@
         was_ready && server.state == BackendState::Leaving
     }
 
-    /// Marks the servers that are drained by plan.
+    /// Marks the servers that are covered by planned drains, and unmarks all others.
     pub fn set_drained(&mut self, drains: &[Drain]) {
         for (name, server) in &mut self.servers {
             server.drained = drains.contains(&Drain::BackendServer(name.clone()));
         }
     }
 
-    /// Returns the slots that may be used now, taken ones included.
+    /// Returns the number of slots that may be used now, including those taken.
     #[must_use]
     pub fn usable(&self, now: Instant, warm_up: Duration) -> u32 {
         self.servers
@@ -146,7 +148,8 @@
             .sum()
     }
 
-    /// Returns the slots of all ready servers, before ramps, back-off and doubts.
+    /// Returns the number of slots of all ready servers, before any reduction by ramp-up,
+    /// back-off or load reports.
     #[must_use]
     pub fn ready_slots(&self, now: Instant) -> u32 {
         self.servers
@@ -156,17 +159,18 @@
             .sum()
     }
 
-    /// Returns what is in flight or may be, over all servers.
+    /// Returns the number of taken slots over all servers: requests in flight and those that
+    /// may still run.
     #[must_use]
     pub fn taken(&self, now: Instant) -> u32 {
         let own: u32 = self.servers.values().map(|server| server.in_flight).sum();
         own + count(self.held.iter().filter(|held| now < held.until))
     }
 
-    /// Chooses a server with a free slot and takes the slot.
+    /// Selects a server with a free slot and takes the slot.
     ///
-    /// The one with the smallest share of its slots in use; among equals the one used
-    /// last, whose connection is open and whose caches are warm.
+    /// Prefers the server with the smallest share of its slots in use, and among equals the
+    /// most recently used one, which has an open connection and warm caches.
     pub fn reserve_slot(
         &mut self,
         now: Instant,
@@ -198,7 +202,7 @@
         })
     }
 
-    /// Gives a slot back, or holds it while the request may still run.
+    /// Releases a slot, or keeps it taken while the request may still run.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -231,23 +235,23 @@
         }
     }
 
-    /// Counts a request that may still run.
+    /// Takes a slot for a request that may still run.
     pub fn hold(&mut self, held: HeldSlot) {
         self.held.push(held);
     }
 
-    /// Forgets what an old owner told of, as it tells anew.
+    /// Drops the slots reported by a previous owner, which reports all of them again.
     pub fn drop_held_from(&mut self, session: SessionId) {
         self.held.retain(|held| held.from != Some(session));
     }
 
-    /// Returns what is held still.
+    /// Returns the slots taken by requests that may still run.
     pub fn held(&self, now: Instant) -> impl Iterator<Item = &HeldSlot> {
         self.held.iter().filter(move |held| now < held.until)
     }
 
-    /// Forgets what is over: held slots, and servers that have lapsed and run nothing.
-    /// Returns the servers forgotten.
+    /// Drops expired slots, and servers whose announcements have expired and that run nothing.
+    /// Returns the dropped servers.
     pub fn forget(&mut self, now: Instant) -> Vec<BackendEndpoint> {
         self.held.retain(|held| now < held.until);
         let mut forgotten = Vec::new();
@@ -264,7 +268,7 @@
         forgotten
     }
 
-    /// Returns the last announcements, with their ages.
+    /// Returns the last announcement of each server and its age.
     #[must_use]
     pub fn announcements(&self, now: Instant) -> Vec<ReleasedBackend> {
         self.servers
@@ -276,7 +280,7 @@
             .collect()
     }
 
-    /// Returns all servers.
+    /// Returns all known servers.
     pub fn all(&self) -> impl Iterator<Item = BackendEndpoint> {
         self.servers.iter().map(|(name, server)| BackendEndpoint {
             backend: name.clone(),
@@ -355,7 +359,8 @@
             .min(self.shed.slots(now, self.slots))
     }
 
-    /// Returns the slots that the server's own report leaves, at least half of them.
+    /// Returns the number of slots that the server's own report allows, but at least half of
+    /// its slots.
     fn slots_by_report(&self, now: Instant) -> u32 {
         let half = self.slots.div_ceil(2);
         let load = self.announcement.load;
@@ -406,7 +411,7 @@
     }
 }
 
-/// Compares servers by the share of their slots in use, without division.
+/// Share of slots in use, compared without division.
 #[derive(Clone, Copy, Debug)]
 struct Occupancy {
     taken: u32,
--- a/lib/src/cold_gate.rs
+++ b/lib/src/cold_gate.rs
@@ -1,8 +1,9 @@
-//! One sender's share of the requests that a cold backend server bears.
+//! Rate limit of one sender's requests to a cold backend server.
 //!
-//! A backend server that has just started bears a few requests a second from all senders
-//! together and crashes far above that. Senders don't count for each other; each keeps to
-//! a share that adds up, also while it is out of touch with all others.
+//! A backend server that has just started can handle only a few requests a second from all
+//! senders together, and crashes far above that rate. Senders do not share their counts; each
+//! keeps to a share of the rate such that the sum stays within the limit, even while a sender
+//! is cut off from the others.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,17 +11,17 @@
 use crate::affinity::MemberHash;
 use crate::affinity::ObjectHash;
 
-/// Part of the rate that is used. The rest covers a sender that others don't know of yet
-/// and requests that bunch up on their way.
+/// Share of the rate that is used. The rest covers senders that the others do not know yet, and
+/// requests that arrive bunched together after network delays.
 const USED_PART: f64 = 0.9;
 
-/// Returns the time between two requests of one sender to a cold backend server, or
-/// nothing if this sender isn't among those that may send to it.
+/// Returns the minimum interval between two requests of this sender to a cold backend server,
+/// or `None` if this sender must not send to it.
 ///
-/// With more senders than requests a second, a share is below one request a second, and
-/// all senders together could spend theirs in the same moment. So only as many senders
-/// as there are requests a second may send, one request a second each; rendezvous hashing
-/// picks them.
+/// When there are more senders than requests a second, each share is below one request a
+/// second, and all senders might spend theirs at the same moment. So only as many senders as
+/// requests a second are allowed, each with one request a second; rendezvous hashing selects
+/// them.
 #[must_use]
 pub fn interval(
     backend: ObjectHash,
@@ -30,7 +31,7 @@
 ) -> Option<Duration> {
     let usable = rate * USED_PART;
     if usable < 1.0 {
-        // The rate allows a request every few seconds: one sender takes them all.
+        // The rate allows one request every few seconds: a single sender takes them all.
         let interval = Duration::try_from_secs_f64(1.0 / usable).ok()?;
         return is_selected(backend, own, senders, 1).then_some(interval);
     }
@@ -58,11 +59,11 @@
     heavier.count() < allowed
 }
 
-/// Spaces one sender's requests to one backend server for as long as it is cold.
+/// Spaces one sender's requests to one backend server while it is cold.
 ///
-/// Requests from before it became cold count too: a backend server that becomes cold in the
-/// middle of the traffic would otherwise get one from each sender at once, on top of those
-/// of the last second.
+/// Requests sent before the server became cold count as well. Otherwise a backend server that
+/// becomes cold under traffic would receive one request from each sender at once, on top of the
+/// requests of the last second.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdGate {
     opens: Instant,
@@ -70,20 +71,20 @@
 }
 
 impl ColdGate {
-    /// Opens at `opens`: a process that has just started doesn't know what its earlier
-    /// life sent within the last second.
+    /// Creates a gate that stays closed until `opens`: a process that has just started does not
+    /// know what its predecessor sent within the last second.
     #[must_use]
     pub const fn new(opens: Instant) -> Self {
         Self { opens, last: None }
     }
 
-    /// Returns whether a request may be sent, with `interval` between two.
+    /// Returns whether a request may be sent, given the minimum interval between two requests.
     #[must_use]
     pub fn is_open(&self, now: Instant, interval: Duration) -> bool {
         now >= self.opens && self.last.is_none_or(|last| now >= last + interval)
     }
 
-    /// Notes that one is sent.
+    /// Records that a request is sent.
     pub fn note_sent(&mut self, now: Instant) {
         self.last = Some(now);
     }
--- a/lib/src/cold_queries.rs
+++ b/lib/src/cold_queries.rs
@@ -1,4 +1,5 @@
-//! Questions of an entry VM that control has left to backend servers, whether they are cold.
+//! Queries by which an entry VM without contact to control asks backend servers whether they
+//! are cold.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,41 +13,41 @@
 use crate::id::PlaceName;
 use crate::route_manifest::RouteService;
 
-/// Holds a question to one backend server.
+/// A query to one backend server.
 #[derive(Clone, Debug)]
 pub struct ColdQuery {
     /// The backend server.
     pub backend: BackendKey,
-    /// Its name: one life of one process.
+    /// Its name; identifies one process instance.
     pub name: BackendName,
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
-    /// What is known of its service: the path to ask, and the limit on connections.
+    /// Settings of its service: the health path to query and the limit on connections.
     pub service: Arc<RouteService>,
-    /// When it is asked.
+    /// When the query was sent.
     pub sent_at: Instant,
 }
 
-/// Holds the answer.
+/// Reply to a query.
 #[derive(Clone, Debug)]
 pub struct ColdReply {
-    /// The question.
+    /// The query that is answered.
     pub query: ColdQuery,
-    /// How much longer it stays cold; zero if it isn't.
+    /// Remaining time for which the backend server stays cold; zero if it is warm.
     pub cold_for: Duration,
 }
 
 impl Dispatcher {
-    /// Notes that control is in reach and that all it knows has been applied.
+    /// Records that control is reachable and all its updates have been applied.
     pub fn note_control_contact(&mut self, now: Instant) {
         self.cold_tracker.note_control_contact(now);
     }
 
-    /// Returns the questions that are due, one to each place at most, and when to ask next.
+    /// Returns the queries that are due, at most one per place, and the time of the next ones.
     ///
-    /// One answer tells of a whole place: an evacuation makes all of its backend servers
-    /// cold. Asking all of them would cost more than the requests where control is lost to
-    /// everybody.
+    /// One reply is taken for the whole place, because an evacuation makes all backend servers
+    /// of a place cold. Querying all of them would cost more than the requests themselves when
+    /// all entry VMs have lost control.
     pub fn cold_queries(&mut self, now: Instant) -> (Vec<ColdQuery>, Instant) {
         let mut queries = Vec::new();
         for (place, members) in self.query_targets(now) {
@@ -87,7 +88,7 @@
         places
     }
 
-    /// Notes what a backend server answered.
+    /// Applies the reply of a backend server.
     pub fn note_cold_reply(&mut self, now: Instant, reply: &ColdReply) {
         let Some(backend) = self.backends.get_mut(reply.query.backend) else {
             return;
--- a/lib/src/cold_tracker.rs
+++ b/lib/src/cold_tracker.rs
@@ -1,11 +1,11 @@
-//! Whether backend servers may have become cold without this entry VM's knowledge.
+//! Detects places whose backend servers may have become cold while control is unreachable.
 //!
-//! While control is in reach, it passes on what backend servers say of themselves and which
-//! places are evacuated. An entry VM that control has left hears neither. The backend
-//! servers of a place that is evacuated lose what they had at hand, and crash under the
-//! rate at which they were used before; their limit binds senders out of reach too. So an
-//! entry VM that is out of reach asks one backend server of each place, in turn, and takes
-//! a place as cold as long as it has no fresh word that it isn't.
+//! While control is reachable, it forwards the announcements of backend servers and the list of
+//! evacuated places. An entry VM that has lost control receives neither. The backend servers of
+//! an evacuated place lose their caches and crash under the request rate that they handled
+//! before, and their limit applies to senders without contact to control too. Such an entry VM
+//! therefore queries one backend server of each place in turn, and treats a place as cold
+//! unless it has a recent reply that it is warm.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,25 +13,25 @@
 
 use crate::id::PlaceName;
 
-/// Time without control's word after which backend servers are asked themselves. Control
-/// answers every 0.8 s; a silent replica is given up after 1.25 s, and the next one answers
-/// within a way there and back between regions, 0.11 s.
+/// Time without contact to control after which backend servers are queried directly. Control
+/// answers every 0.8 s; a silent replica is abandoned after 1.25 s, and the next one answers
+/// within one round trip between regions, 0.11 s.
 pub const CONTROL_LOST_AFTER: Duration = Duration::from_millis(1_500);
 
-/// Time without control's word after which a place needs a word of its own. A place is
-/// evacuated some seconds before its backend servers become cold, and the first questions
-/// have been answered by then.
+/// Time without contact to control after which a place counts as cold unless it has replied
+/// otherwise. A place is evacuated some seconds before its backend servers become cold, and the
+/// first queries have been answered by then.
 const ASSUME_COLD_AFTER: Duration = Duration::from_millis(2_200);
 
-/// Time between two questions to a place. A backend server bears 16 requests in a second of
-/// which it is cold, and gets up to 30 a second while it is warm: it must be found out
-/// within half a second, the way of the question included.
+/// Interval between two queries to a place. A backend server can handle 16 requests in a second
+/// during which it is cold, and receives up to 30 a second while it is warm. So it has to be
+/// detected within half a second, including the round trip of the query.
 const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for which a word holds: two questions, and the longest way there and back.
+/// Validity of a reply: two query intervals plus the longest round trip.
 const REPLY_VALID_FOR: Duration = Duration::from_millis(650);
 
-/// Follows what is known of each place.
+/// Tracks the last known state of each place.
 #[derive(Debug)]
 pub struct ColdTracker {
     last_contact: Instant,
@@ -41,12 +41,12 @@
 #[derive(Debug, Default)]
 struct PlaceTracker {
     sent_at: Option<Instant>,
-    /// When the question was asked to which the last good word was the answer.
+    /// When the query was sent whose reply last reported warm backend servers.
     warm_at: Option<Instant>,
 }
 
 impl ColdTracker {
-    /// Starts as if control had just been in reach.
+    /// Creates a tracker as if control had been reachable at `now`.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
         Self {
@@ -55,28 +55,29 @@
         }
     }
 
-    /// Notes that control is in reach: everything that it knows has been applied.
+    /// Records that control is reachable and all its updates have been applied.
     pub fn note_control_contact(&mut self, now: Instant) {
         self.last_contact = now;
         self.places.clear();
     }
 
-    /// Returns whether backend servers must be asked themselves.
+    /// Returns whether backend servers have to be queried directly.
     #[must_use]
     pub fn is_control_lost(&self, now: Instant) -> bool {
         now >= self.control_lost_at()
     }
 
-    /// Returns when backend servers must be asked themselves if control stays silent.
+    /// Returns the time from which backend servers have to be queried directly if control stays
+    /// silent.
     #[must_use]
     pub fn control_lost_at(&self) -> Instant {
         self.last_contact + CONTROL_LOST_AFTER
     }
 
-    /// Returns when the next questions are due; always later than `now`.
+    /// Returns when the next queries are due; always later than `now`.
     ///
-    /// A place where nobody can be reached is asked no more. What was due there is past and
-    /// doesn't count, or whoever waits for the next question would never wait.
+    /// A place without any reachable backend server is queried no more. Its due time lies in
+    /// the past and is ignored, since otherwise the querying task would never sleep.
     #[must_use]
     pub fn next_due(&self, now: Instant) -> Instant {
         if !self.is_control_lost(now) {
@@ -87,7 +88,7 @@
         due.min().unwrap_or(now + QUERY_INTERVAL)
     }
 
-    /// Returns whether a question to a place is due, and notes that it is asked.
+    /// Returns whether a query to a place is due, and if so records it as sent at `now`.
     pub fn try_query(&mut self, now: Instant, place: &PlaceName) -> bool {
         if !self.is_control_lost(now) {
             return false;
@@ -100,7 +101,7 @@
         due
     }
 
-    /// Notes the answer to a question that was asked at `sent_at`.
+    /// Records the reply to a query that was sent at `sent_at`.
     pub fn note_reply(&mut self, sent_at: Instant, place: &PlaceName, is_cold: bool) {
         let Some(tracker) = self.places.get_mut(place) else {
             return;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Returns whether the backend servers of a place must be taken as cold.
+    /// Returns whether the backend servers of a place have to be treated as cold.
     #[must_use]
     pub fn must_assume_cold(&self, now: Instant, place: &PlaceName) -> bool {
         if now < self.last_contact + ASSUME_COLD_AFTER {
--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -1,10 +1,9 @@
-//! Direct dispatch: each entry VM picks a backend server for each request by itself.
+//! Direct dispatch: each entry VM selects a backend server for each request on its own.
 //!
-//! Rendezvous hashing ranks the backend servers for each object, alike on every entry VM,
-//! and an object is kept to the first few of each region, so that its data are at hand
-//! wherever its requests go. `dispatch_assess` says what each of these would mean for a
-//! request, [`dispatch_pick`] decides, and here the fleet, what is in flight and how it ends
-//! are followed.
+//! Rendezvous hashing gives every entry VM the same ranking of backend servers for an object.
+//! An object is assigned to the first few servers of each region, so that requests for it find
+//! its data cached. `dispatch_assess` estimates the cost of each candidate, [`dispatch_pick`]
+//! selects one, and this module tracks the fleet, the requests in flight and their outcomes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -47,33 +46,33 @@
 use crate::request_rank::RankFairness;
 use crate::service_latency::RouteLatencyKey;
 
-/// Least and longest time after which a caller that was refused is told to come back. What
-/// waits at busy backend servers takes some hundred milliseconds; whoever comes back before
-/// that is refused once more, and callers come back once.
+/// Bounds of the retry delay given to a refused caller. Queues at busy backend servers last a
+/// few hundred milliseconds; a caller that returns earlier is refused again, and callers retry
+/// only once.
 const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(1));
 
-/// Spread of that time, as a share of it, so that those refused together don't come back
+/// Relative width of the spread of retry delays, so that callers refused together do not return
 /// together.
 const RETRY_SPREAD: f64 = 0.5;
 
-/// Holds what a dispatcher is set up with.
+/// Configuration of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatchConfig {
-    /// The entry VM.
+    /// Name of this entry VM.
     pub vm: VmName,
-    /// Its region.
+    /// Region of this entry VM.
     pub region: RegionName,
-    /// The regions of all places.
+    /// Regions of all places.
     pub places: BTreeMap<PlaceName, RegionName>,
-    /// Resends that all entry VMs together may make for each request.
+    /// Resends per request that all entry VMs together may make.
     pub resend_ratio: f64,
-    /// Resends that they may make besides, in any window.
+    /// Additional resends that all entry VMs together may make in any window.
     pub resend_slack: f64,
-    /// The mechanisms in use.
+    /// Enabled mechanisms.
     pub policy: DispatchPolicy,
 }
 
-/// Picks backend servers.
+/// Selects backend servers for requests and tracks the requests in flight.
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(crate) cfg: DispatchConfig,
@@ -82,27 +81,27 @@
     pub(crate) backends: SlotMap<BackendKey, Backend>,
     by_name: BTreeMap<BackendName, BackendKey>,
     pub(crate) services: BTreeMap<ServiceName, Service>,
-    /// Whether backend servers may be cold without control having said so.
+    /// Detects cold backend servers while control is unreachable.
     pub(crate) cold_tracker: ColdTracker,
-    /// Whose turn it is to be asked, among the backend servers of a place.
+    /// Round-robin position for cold queries among the backend servers of a place.
     pub(crate) query_turn: usize,
-    /// Shortest delay there and back that was seen, by region.
+    /// Shortest round-trip time measured to each region.
     pub(crate) delays: BTreeMap<RegionName, Duration>,
-    /// What stands at this entry VM's own link.
+    /// Congestion of this entry VM's own network link.
     link: LinkCongestion,
-    /// Requests that were sent and haven't ended.
+    /// Number of requests that were sent and have not ended.
     in_flight: usize,
     silent: BTreeSet<BackendName>,
     evacuated: BTreeSet<PlaceName>,
     started_at: Instant,
     moves: RegionMoves,
     rank_fairness: RankFairness,
-    /// Where the next refusal's time lies in its spread, 0 to 1.
+    /// Position of the next retry delay within its spread, 0 to 1.
     spread_phase: f64,
 }
 
 impl Dispatcher {
-    /// Starts without knowing any backend server.
+    /// Creates a dispatcher without any backend server.
     #[must_use]
     pub fn new(cfg: DispatchConfig, now: Instant) -> Self {
         let own = MemberHash::of(cfg.vm.as_str());
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Follows a view of the fleet.
+    /// Applies a view of the fleet.
     pub fn apply_view(&mut self, now: Instant, view: &FleetView) {
         self.follow_senders(view);
         self.follow_services(view);
@@ -193,8 +192,9 @@
         let known = self.by_name.get(name).copied();
         let is_restarted = known.is_some_and(|key| self.backends[key].record.born != record.born);
         if is_restarted {
-            // Nothing that was learned of the earlier life holds: neither its load nor its
-            // health, nor what it has at hand. A request that ends late finds its key gone.
+            // What was learned about the previous process instance (its load, health and cached
+            // objects) no longer applies. A request to that instance which ends later finds its
+            // key removed.
             self.remove(name);
         } else if let Some(key) = known {
             let backend = &mut self.backends[key];
@@ -216,11 +216,11 @@
         self.by_name.insert(name.clone(), key);
     }
 
-    /// Treats the backend servers of a place as cold until their own word on it has come:
+    /// Treats the backend servers of a place as cold until each has reported its own state:
     /// they may have become cold while the place was evacuated.
     fn mark_cold(&mut self, now: Instant, place: &PlaceName) {
-        /// Time in which each has said at least once whether it is cold: a heartbeat every
-        /// 1.5 s, and the way of its word here.
+        /// Time within which each backend server has reported at least once whether it is cold:
+        /// a heartbeat interval of 1.5 s plus propagation to this entry VM.
         const COLD_AFTER_EVACUATION: Duration = Duration::from_secs(2);
         for backend in self.backends.values_mut() {
             if backend.record.place == *place {
@@ -241,7 +241,8 @@
         }
         for (key, backend) in &mut self.backends {
             let evacuated = self.evacuated.contains(&backend.record.place);
-            // A record of another release may name what isn't known here.
+            // A record written by a different release may refer to a place that is unknown
+            // here.
             let places = &self.cfg.places;
             let is_sound = backend
                 .record
@@ -255,7 +256,7 @@
         }
     }
 
-    /// Notes which backend servers control hasn't heard of lately.
+    /// Updates the set of backend servers that control has not heard from recently.
     pub fn apply_silent(&mut self, silent: BTreeSet<BackendName>) {
         for backend in self.backends.values_mut() {
             backend.silent = silent.contains(&backend.name);
@@ -263,8 +264,8 @@
         self.silent = silent;
     }
 
-    /// Notes how long a connection to a backend server took to be established: one way
-    /// there and back.
+    /// Records how long it took to establish a connection to a backend server, which is one
+    /// round trip.
     pub fn note_connected(&mut self, key: BackendKey, took: Duration) {
         let Some(backend) = self.backends.get(key) else {
             return;
@@ -274,7 +275,7 @@
         self.link.note(took.saturating_sub(*known));
     }
 
-    /// Notes how long an answer that was passed on as it came took from its head to its end.
+    /// Records the time from the head to the end of a streamed response.
     pub fn note_streamed(&mut self, key: BackendKey, latency_key: RouteLatencyKey, took: Duration) {
         let service = self
             .backends
@@ -285,11 +286,11 @@
         }
     }
 
-    /// Picks a backend server, and counts the request as in flight there.
+    /// Selects a backend server and counts the request as in flight there.
     ///
     /// # Errors
     ///
-    /// Tells why none was picked.
+    /// Returns [`Refused`] with the reason if no backend server was selected.
     pub fn choose(
         &mut self,
         now: Instant,
@@ -373,7 +374,7 @@
         Ok(self.begin(now, &best, latency_key, max_connections))
     }
 
-    /// Refuses what another entry VM can serve at once.
+    /// Refuses a request that another entry VM can serve immediately.
     fn refuse_retry_elsewhere(&mut self, reason: RefusedReason) -> Refused {
         Refused {
             reason,
@@ -397,7 +398,7 @@
         }
     }
 
-    /// Spreads a time evenly over the refusals that follow each other, by the golden ratio.
+    /// Spreads the retry delays of consecutive refusals evenly, using the golden ratio.
     fn spread(&mut self, time: Duration) -> Duration {
         const GOLDEN: f64 = 0.618_033_988_75;
         if !self.cfg.policy.spread_returns {
@@ -440,7 +441,7 @@
         }
     }
 
-    /// Returns whether a backend server bears a few requests only, or may do so.
+    /// Returns whether a backend server is cold or has to be treated as cold.
     pub(crate) fn is_cold(&self, now: Instant, backend: &Backend) -> bool {
         backend.is_cold(now)
             || self
@@ -453,9 +454,9 @@
         cold_gate::interval(object, self.own, &self.senders, rate)
     }
 
-    /// Notes how a request ended.
+    /// Records the end of a request.
     pub fn ended(&mut self, now: Instant, end: &SendEnd) {
-        // Each choice ends once, also where its backend server is gone by then.
+        // Each choice ends exactly once, even if its backend server has been removed by then.
         self.in_flight = self.in_flight.saturating_sub(1);
         let Some(backend) = self.backends.get_mut(end.backend) else {
             return;
@@ -513,7 +514,8 @@
     }
 }
 
-/// Returns whether a backend server would be picked if this entry VM went on.
+/// Returns whether a backend server would have been selected if this entry VM were not
+/// stopping.
 fn fits_without_stop(
     now: Instant,
     request: &DispatchRequest<'_>,
--- a/lib/src/direct_settings.rs
+++ b/lib/src/direct_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry VM that dispatches directly.
+//! Settings of an entry VM with direct dispatch.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,53 +18,52 @@
 use crate::settings::default_look_up_ms;
 use crate::settings::seed_addresses;
 
-/// Holds the settings of an entry VM that sends to backend servers itself.
+/// Settings of an entry VM that sends requests to backend servers itself.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DirectSettings {
-    /// Names the VM; unique among the entry VMs of a deployment.
+    /// Name of the VM; unique among the entry VMs of a deployment.
     pub vm: VmName,
-    /// The place that the VM stands in.
+    /// Place of the VM.
     pub place: PlaceName,
-    /// The region of that place.
+    /// Region of that place.
     pub region: RegionName,
-    /// The regions of all places.
+    /// Regions of all places.
     pub places: BTreeMap<PlaceName, RegionName>,
     /// Addresses to listen on.
     pub listen: DirectListen,
-    /// Addresses of control replicas. The others are learned from them.
+    /// Addresses of some control replicas. The others are learned from these.
     #[schemars(length(min = 1), extend("items" = {"type": "string", "format": "socket-address"}))]
     pub control: Vec<SocketAddr>,
-    /// The port to use in place of that of `control`, where replicas are known by another
-    /// listener of theirs.
+    /// Port used instead of the one in `control`, for replicas that are listed with the address
+    /// of another of their listeners.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub control_port: Option<u16>,
-    /// The interface towards callers and backend servers.
+    /// Interface towards callers and backend servers.
     #[serde(default)]
     pub interface: InterfaceName,
     /// How other processes prove that they belong to the deployment.
     pub security: Security,
-    /// Bounds that hold for all entry VMs together.
+    /// Limits on resends for all entry VMs together.
     #[serde(default)]
     pub resends: ResendSettings,
-    /// Time from a request to stop until the process is ended by force.
+    /// Time from a stop request until the process is terminated by force.
     #[serde(default = "default_grace")]
     pub grace: DurationText,
-    /// Time for which callers keep the answer to a look-up, in milliseconds.
+    /// Time for which callers may cache the result of a look-up, in milliseconds.
     #[serde(default = "default_look_up_ms")]
     #[schemars(range(min = 1))]
     pub look_up_ms: u32,
-    /// What is logged.
+    /// Log settings.
     #[serde(default)]
     pub log: LogSettings,
-    /// Mechanisms of dispatch that are switched off, to measure what they are worth.
-    /// Experimental.
+    /// Dispatch mechanisms to disable in order to measure their effect. Experimental.
     #[serde(default)]
     pub experiments: DispatchPolicy,
 }
 
 impl DirectSettings {
-    /// Returns where control replicas take messages.
+    /// Returns the peer addresses of the control replicas.
     #[must_use]
     pub fn control_peers(&self) -> Vec<SocketAddr> {
         seed_addresses(&self.control, self.control_port)
@@ -75,39 +74,39 @@
     DurationText(std::time::Duration::from_secs(10))
 }
 
-/// Holds the addresses of the listeners.
+/// Addresses of the listeners.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DirectListen {
-    /// For callers' requests (HTTP/1.1).
+    /// Callers' requests (HTTP/1.1).
     #[schemars(extend("format" = "socket-address"))]
     pub callers: SocketAddr,
-    /// For the question whether this entry VM takes requests (HTTP/1.1).
+    /// Readiness checks: whether this entry VM accepts requests (HTTP/1.1).
     #[schemars(extend("format" = "socket-address"))]
     pub ready: SocketAddr,
-    /// For callers' look-ups (HTTP/1.1); without it only control answers them.
+    /// Callers' look-ups (HTTP/1.1). Without it, only control answers look-ups.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(extend("format" = "socket-address"))]
     pub look_ups: Option<SocketAddr>,
-    /// For whoever reads the metrics, as text (HTTP/1.1); without it none are recorded.
+    /// Metrics as text (HTTP/1.1). Without it, no metrics are recorded.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(extend("format" = "socket-address"))]
     pub metrics: Option<SocketAddr>,
 }
 
-/// Bounds how often requests are sent to a second backend server.
+/// Limits on sending requests to a second backend server.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ResendSettings {
-    /// Resends for each request of a service.
+    /// Resends allowed per request of a service.
     pub ratio: f64,
-    /// Resends besides, in any window.
+    /// Additional resends allowed in any window.
     pub slack: f64,
 }
 
 impl Default for ResendSettings {
-    /// A tenth of the requests, as the entry VMs that own backend servers allow, and
-    /// enough besides that a quiet deployment can resend.
+    /// Allows a tenth of the requests, as entry VMs that own backend servers do, plus enough
+    /// resends for a deployment with little traffic.
     fn default() -> Self {
         Self {
             ratio: 0.1,
--- a/lib/src/dispatch_assess.rs
+++ b/lib/src/dispatch_assess.rs
@@ -1,8 +1,8 @@
-//! What each backend server would mean for a request.
+//! Estimates the cost of sending a request to each backend server.
 //!
-//! The delay on the way, the wait behind what is there already, the time of the work, and what
-//! failures may cost, for those that an object is kept to, or for all where none of these may
-//! be used.
+//! The cost consists of the network delay, the wait in the queue, the run time and a penalty
+//! for likely failures. It is computed for the servers that an object is assigned to, or for
+//! all servers if none of those is usable.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,28 +19,28 @@
 use crate::object_rank::Member;
 use crate::service_latency::RouteLatencyKey;
 
-/// Delay to another region and back that is assumed before one was measured; the larger
-/// part of what the users' regions have (70 and 110 ms).
+/// Round-trip time to another region that is assumed until one has been measured; close to the
+/// round-trip times between the users' regions, 70 and 110 ms.
 const UNKNOWN_DELAY: Duration = Duration::from_millis(80);
 
-/// Rank of the backend servers that an object isn't kept to.
+/// Rank of backend servers that an object is not assigned to.
 const FALLBACK_RANK: usize = 3 * MAX_COPIES;
 
-/// Factor over the usual time above which a backend server counts as slow. Times of single
-/// requests differ by 15% or so.
+/// Factor over the expected run time above which a backend server counts as slow. Run times of
+/// individual requests vary by about 15%.
 const SLOW_MARGIN: f64 = 1.4;
 
-/// Factor by which a request takes longer at a cold backend server.
+/// Factor by which requests take longer at a cold backend server.
 const COLD_FACTOR: f64 = 2.0;
 
 impl Dispatcher {
-    /// Returns the backend servers that a request may be sent to, with what each would
-    /// mean for it.
+    /// Returns the backend servers that a request may be sent to, with the estimated cost of
+    /// each.
     ///
-    /// An object is kept to few backend servers, so that its data are at hand wherever its
-    /// requests go. Only where all of them are out of use or full do others come in: each
-    /// request there takes several times as long, so that spilling over under load makes
-    /// the load several times as heavy, and keeps it so.
+    /// An object is assigned to few backend servers, so that requests for it find its data
+    /// cached. Other servers are considered only if none of these can be used. A request takes
+    /// several times as long there, so spilling over under load would multiply the load and
+    /// sustain the overload.
     pub(crate) fn candidates(
         &self,
         now: Instant,
@@ -95,8 +95,8 @@
             .collect()
     }
 
-    /// Returns whether a backend server counts for the ranking: what changes from one
-    /// request to the next doesn't, or objects would move to and fro.
+    /// Returns whether a backend server takes part in the ranking. State that changes from one
+    /// request to the next is not considered, or objects would keep moving between servers.
     fn is_stable(&self, now: Instant, key: BackendKey, request: &DispatchRequest<'_>) -> bool {
         let backend = &self.backends[key];
         backend.usable
@@ -112,7 +112,7 @@
             && !request.tried.contains(&key)
     }
 
-    /// Ranks the backend servers that an object is kept to.
+    /// Ranks the backend servers that an object is assigned to.
     fn ranked(
         &self,
         stable: &[BackendKey],
@@ -195,8 +195,8 @@
     }
 }
 
-/// Orders backend servers that are alike otherwise by their rank, in steps of 5 ms: well
-/// below what a wait or a way to another region costs.
+/// Orders otherwise equal backend servers by rank, in steps of 5 ms, which is well below the
+/// cost of waiting or of a round trip to another region.
 fn tie_break(rank: usize) -> f64 {
     const STEP: f64 = 0.005;
     let rank = u32::try_from(rank.min(FALLBACK_RANK)).unwrap_or(u32::MAX);
--- a/lib/src/dispatch_backend.rs
+++ b/lib/src/dispatch_backend.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher knows of one backend server.
+//! State of one backend server within a dispatcher.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,38 +14,39 @@
 use crate::id::BackendName;
 use crate::id::RegionName;
 
-/// Time for which an object that a backend server handled counts as at hand there.
+/// Time for which the data of an object count as cached at a backend server that handled a
+/// request for it.
 const WARM_FOR: Duration = Duration::from_secs(20);
 
-/// Objects that a backend server is taken to keep at hand. The users' keep 35 to 50.
+/// Number of objects that a backend server is assumed to cache. The users' servers cache 35 to
+/// 50.
 const WARM_OBJECTS: usize = 48;
 
-/// What a certain failure costs a caller, in latency objectives of the route: a request that
-/// breaks is lost, or begins anew elsewhere. Two failures in a row, a rate of 0.51, must outweigh
-/// that the data aren't at hand elsewhere, about one objective.
+/// Cost to a caller of a certain failure, in latency objectives of the route: the request is
+/// lost or starts again elsewhere. Two consecutive failures, a rate of 0.51, must outweigh the
+/// cost of a cold run elsewhere, about one objective.
 const FAILURE_COST: f64 = 6.0;
 
-/// What being turned away costs, in objectives: a way there and back and one resend.
+/// Cost of a rejection, in latency objectives: one round trip and one resend.
 const SHED_COST: f64 = 1.2;
 
-/// Rate of failures from which on a backend server counts as faulty. One failure gives a
-/// rate of 0.3, and some requests fail anywhere; were that reason enough to leave, objects
-/// would go to where they aren't at hand all the time.
+/// Failure rate above which a backend server counts as faulty. A single failure gives a rate of
+/// 0.3, and some requests fail on any server. If that were enough to move elsewhere, objects
+/// would constantly move to servers that do not have them cached.
 const FAULTY_RATE: f64 = 0.4;
 
-/// What a rate of failures below that costs, in objectives: enough to prefer another backend
-/// server that has the data, and too little to prefer one that hasn't.
+/// Cost of a failure rate below that, in latency objectives: enough to prefer another backend
+/// server that has the data cached, too little to prefer one that does not.
 const SINGLE_FAILURE_COST: f64 = 0.3;
 
-/// Times that a request may take as long as without its data, beyond its wait, before a
-/// backend server that has answered nothing meanwhile counts as hanging. Requests that wait
-/// there unseen must not look like that.
+/// Multiple of the cold run time, beyond the expected wait, after which a backend server
+/// without any response counts as hanging. Requests that are queued there without being known
+/// here must not be mistaken for a hang.
 const HANG_FACTOR: f64 = 1.5;
 
-/// What each second beyond that costs, in seconds.
+/// Cost of each further second of silence, in seconds.
 const HANG_COST: f64 = 4.0;
 
-/// Holds what a dispatcher knows of one backend server.
 #[derive(Debug)]
 pub(crate) struct Backend {
     pub name: BackendName,
@@ -53,9 +54,9 @@
     pub record: Arc<BackendRecord>,
     pub region: RegionName,
     pub region_hash: MemberHash,
-    /// Whether it may get requests at all.
+    /// Whether it may receive requests at all.
     pub usable: bool,
-    /// Whether control hasn't heard of it lately.
+    /// Whether control has not heard from it recently.
     pub silent: bool,
     pub load: BackendLoad,
     pub health: BackendHealth,
@@ -65,7 +66,8 @@
 }
 
 impl Backend {
-    /// Starts with a good impression; cold requests may be sent from `opens` on.
+    /// Creates the state of a backend server without any known problem. While it is cold, it
+    /// receives no requests before `opens`.
     pub fn new(
         now: Instant,
         name: BackendName,
@@ -89,14 +91,14 @@
         }
     }
 
-    /// Returns whether it has started lately and bears a few requests only.
+    /// Returns whether it started recently and can handle only a few requests.
     pub fn is_cold(&self, now: Instant) -> bool {
         now < self.cold_until
     }
 
-    /// Returns what is to be expected beyond the time of the work, in seconds, since it fails
-    /// or hangs. A request waits for `wait`, takes `cold` without its data at hand, and should
-    /// be answered within `objective`.
+    /// Returns the expected extra time due to failures or a hang, in seconds. A request waits
+    /// for `wait`, runs for `cold` when its data are not cached, and should be answered within
+    /// `objective`.
     pub fn fault_penalty(&self, now: Instant, wait: f64, cold: f64, objective: f64) -> f64 {
         let hang_threshold = wait + cold * HANG_FACTOR;
         let hanging = (self.load.silence(now).as_secs_f64() - hang_threshold).max(0.0);
@@ -105,20 +107,20 @@
         (failing + shedding) * objective + hanging * HANG_COST
     }
 
-    /// Returns what single failures lately may mean, in seconds.
+    /// Returns the expected extra time due to occasional failures, in seconds.
     pub fn risk_penalty(&self, now: Instant, objective: f64) -> f64 {
         let rate = self.health.failure_rate(now) + self.health.shed_rate(now);
         rate * SINGLE_FAILURE_COST * objective
     }
 
-    /// Returns whether an object was handled there lately.
+    /// Returns whether a request for an object was handled there recently.
     pub fn has_warm(&self, now: Instant, object: ObjectHash) -> bool {
         self.warm
             .get(&object)
             .is_some_and(|at| now.saturating_duration_since(*at) < WARM_FOR)
     }
 
-    /// Notes that an object was handled there.
+    /// Records that a request for an object was handled there.
     pub fn note_warm(&mut self, now: Instant, object: Option<ObjectHash>) {
         let Some(object) = object else { return };
         self.warm.insert(object, now);
@@ -131,7 +133,7 @@
     }
 }
 
-/// Returns by how much a rate of failures exceeds that of a sound backend server, 0 to 1.
+/// Returns by how much a failure rate exceeds [`FAULTY_RATE`], scaled to 0 to 1.
 fn excess_over_faulty(rate: f64) -> f64 {
     ((rate - FAULTY_RATE) / (1.0 - FAULTY_RATE)).max(0.0)
 }
--- a/lib/src/dispatch_pick.rs
+++ b/lib/src/dispatch_pick.rs
@@ -1,57 +1,60 @@
-//! Which of the backend servers that may get a request gets it.
+//! Selects one of the candidate backend servers for a request.
 //!
-//! Requests of an object go where its data are at hand. A request takes about three times
-//! as long elsewhere, and pushes other objects out there. Were busy backend servers reason
-//! enough to send elsewhere, a burst would multiply the load by three, which keeps them
-//! busy: all requests would be late from then on, long after the burst. So a request waits
-//! where its data are, or is refused, and further copies are made one at a time.
+//! Requests for an object go to the backend servers that have its data cached. Elsewhere a
+//! request takes about three times as long and evicts other objects. If busy servers were a
+//! sufficient reason to go elsewhere, a burst would triple the load and thereby keep the
+//! servers busy, and all requests would be late long after the burst. A request therefore waits
+//! at a server that has the data cached or is refused, and additional copies are made one at a
+//! time.
 
 use crate::affinity::MemberHash;
 use crate::dispatch_policy::DispatchPolicy;
 use crate::dispatch_request::BackendKey;
 
-/// Requests beyond its slots, by slots, that are sent to one backend server at most. Theirs
-/// queue three times their slots; others' requests that aren't known of yet need room too.
+/// Maximum number of requests beyond its slots that are sent to one backend server, per slot.
+/// The users' servers queue three times their slots; requests of other senders that are not
+/// known yet need room too.
 const QUEUE_LIMIT: f64 = 1.5;
 
-/// Wait, as a share of the mean time of a request, at which a backend server counts as busy
-/// and a further copy of an object is made elsewhere.
+/// Queueing time, relative to the mean run time, at which a backend server counts as busy and
+/// an additional copy of an object is made elsewhere.
 const BUSY_WAIT_SHARE: f64 = 0.25;
 
-/// Wait, in mean times of a request, that is borne although the answer will be late: a burst
-/// is worked off soon, and an object whose data are at hand nowhere must be got at some time.
+/// Queueing time, in mean run times, that is accepted even though the response will be late: a
+/// burst is worked off soon, and the data of an object that is cached nowhere have to be loaded
+/// at some point.
 const LATE_WAIT: f64 = 2.0;
 
-/// Load of a backend server up to which a copy is made there before it is needed, in slots.
+/// Maximum load of a backend server, in slots, at which a copy is made there ahead of need.
 const IDLE_LOAD: f64 = 0.67;
 
-/// Holds what one backend server would mean for a request. Times are in seconds.
+/// Estimated cost of sending a request to one backend server. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// The backend server.
+    /// Key of the backend server.
     pub backend: BackendKey,
-    /// Time until the answer if the request doesn't have to wait.
+    /// Time until the response without any queueing.
     pub base: f64,
-    /// Time that it has to wait.
+    /// Queueing time.
     pub wait: f64,
-    /// What is to be expected there beyond that since it fails or hangs.
+    /// Expected extra time because the server fails or hangs.
     pub fault_penalty: f64,
-    /// What a single failure lately may mean, and its rank among equals.
+    /// Expected extra time due to an occasional recent failure, plus a tie-breaker by rank.
     pub risk_penalty: f64,
-    /// Requests there, this one included, by slots.
+    /// Requests at the server, including this one, per slot.
     pub load: f64,
-    /// Whether its data are expected to be at hand.
+    /// Whether the data of the object are expected to be cached.
     pub warm: bool,
-    /// Whether it stands in the entry VM's own region.
+    /// Whether the server is in the entry VM's own region.
     pub is_local: bool,
-    /// The region that it stands in.
+    /// Hash of the region of the server.
     pub region: MemberHash,
-    /// Time above which the backend server counts as slow.
+    /// Run time above which the server counts as slow.
     pub slow_above: f64,
 }
 
 impl Candidate {
-    /// Returns the time until the answer.
+    /// Returns the expected time until the response, in seconds.
     #[must_use]
     pub fn time(&self) -> f64 {
         self.base + self.wait
@@ -61,38 +64,38 @@
         self.time() + self.fault_penalty + self.risk_penalty
     }
 
-    /// Returns what it costs to go there at all, however busy it is.
+    /// Returns the cost of using the server regardless of its load.
     fn base_cost(&self) -> f64 {
         self.base + self.fault_penalty
     }
 }
 
-/// Bounds a pick.
+/// Constraints of a selection.
 #[derive(Clone, Copy, Debug)]
 pub struct PickLimits {
-    /// Time that is left for the answer, in seconds.
+    /// Time until the response is required, in seconds.
     pub time_left: f64,
-    /// Time that is left until the answer should be there, in seconds.
+    /// Time until the response is desired, in seconds.
     pub objective: f64,
-    /// Share of the time there is that the request may wait, by its priority.
+    /// Share of the available time that the request may spend queueing, by its priority.
     pub wait_share: f64,
-    /// Mean time that a request runs, in seconds.
+    /// Mean run time of a request, in seconds.
     pub mean: f64,
-    /// Whether a further copy of the object may be made.
+    /// Whether an additional copy of the object may be made.
     pub may_copy: bool,
-    /// The region that the request may not leave for a shorter wait elsewhere; nothing if it
+    /// Region that the request must not leave just for a shorter queue elsewhere; `None` if it
     /// may.
     pub pinned_region: Option<MemberHash>,
-    /// The mechanisms in use.
+    /// Enabled mechanisms.
     pub policy: DispatchPolicy,
 }
 
 impl PickLimits {
-    /// Returns how long the request may wait at a backend server, in seconds.
+    /// Returns how long the request may queue at a backend server, in seconds.
     ///
-    /// Where more is asked than can be served, queues grow to whatever bound they have. With
-    /// the deadline as the bound each answer would be late; with the latency objective as
-    /// many are given, and in time, and whoever is refused learns so at once.
+    /// Under overload, queues grow up to whatever limit they have. With the deadline as the
+    /// limit, every response would be late. With the latency objective as the limit, the same
+    /// number of responses is sent in time, and callers that are refused learn so immediately.
     fn longest_wait(&self, candidate: &Candidate) -> f64 {
         if !self.policy.waits_by_objective {
             return self.time_left * self.wait_share;
@@ -102,7 +105,7 @@
     }
 }
 
-/// Picks a backend server; nothing if the request would wait too long wherever it went.
+/// Selects a backend server; `None` if the request would queue too long at every candidate.
 #[must_use]
 pub fn pick(candidates: &[Candidate], limits: &PickLimits) -> Option<Candidate> {
     let (warm, cold): (Vec<Candidate>, Vec<Candidate>) =
@@ -115,7 +118,8 @@
         (Some(_), None) => false,
     };
     if prefers_cold {
-        // Whoever has the data fails, hangs or is slow; waits don't count here.
+        // Servers with the data cached fail, hang or are slow; queueing times are not
+        // considered here.
         return cheapest(&with_room(candidates, limits), Candidate::cost);
     }
     let copy = limits
@@ -131,11 +135,11 @@
         pinned_region.is_none_or(|region| candidate.region == region)
     };
     let pinned: Vec<Candidate> = fitting.iter().filter(is_pinned).copied().collect();
-    // To move is better than to be refused.
+    // Moving to another region is better than a refusal.
     cheapest(&pinned, Candidate::cost).or_else(|| cheapest(&fitting, Candidate::cost))
 }
 
-/// Returns the region that a request would go to if it had to wait nowhere.
+/// Returns the region that a request would go to without any queueing.
 #[must_use]
 pub fn preferred_region(candidates: &[Candidate]) -> Option<MemberHash> {
     let cost = |candidate: &Candidate| candidate.base_cost() + candidate.risk_penalty;
@@ -144,9 +148,9 @@
     best.map(|candidate| candidate.region)
 }
 
-/// Picks where a further copy is made: anywhere if all that have one are busy; else, ahead of
-/// need, in the entry VM's own region if there is none. A way to another region and back takes
-/// a third to a half of the users' latency objectives.
+/// Selects where an additional copy is made: at any server if all servers with a copy are busy;
+/// otherwise, ahead of need, in the entry VM's own region if that has no copy. A round trip to
+/// another region takes a third to a half of the users' latency objectives.
 fn copy(warm: &[Candidate], cold: &[Candidate], limits: &PickLimits) -> Option<Candidate> {
     let busy = warm
         .iter()
--- a/lib/src/dispatch_policy.rs
+++ b/lib/src/dispatch_policy.rs
@@ -1,49 +1,50 @@
-//! Which mechanisms of direct dispatch are in use.
+//! Switches for the mechanisms of direct dispatch.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Switches the mechanisms of direct dispatch off one by one, to measure what each is worth.
+/// Disables mechanisms of direct dispatch individually, to measure their effect.
 ///
-/// Experimental: what each does may change, and all of them belong on in a deployment.
-/// Mechanisms that keep a promise rather than gain something have no switch: the rate that a
-/// cold backend server bears, doubt about places while control is out of reach, the budget of
-/// resends.
+/// Experimental: the effect of each switch may change, and all of them should stay enabled in a
+/// deployment. Mechanisms that uphold a guarantee rather than improve performance have no
+/// switch: the rate limit of cold backend servers, treating places as cold while control is
+/// unreachable, and the resend budget.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 #[expect(clippy::struct_excessive_bools, reason = "one switch a mechanism")]
 pub struct DispatchPolicy {
-    /// Objects are kept to few backend servers.
+    /// Assigns each object to few backend servers.
     pub homes: bool,
-    /// A region without a copy of an object makes one while backend servers have room.
+    /// Copies an object to a region without a copy while backend servers there have spare
+    /// capacity.
     pub copies_ahead: bool,
-    /// A further copy is made where all that have one are busy.
+    /// Makes an additional copy of an object when all backend servers with a copy are busy.
     pub copies_when_busy: bool,
-    /// Copies are bounded by a share of the requests.
+    /// Limits the making of copies to a share of the requests.
     pub bounded_copies: bool,
-    /// Waits are bounded by the latency objective rather than by the deadline.
+    /// Limits queueing times by the latency objective rather than by the deadline.
     pub waits_by_objective: bool,
-    /// Less urgent requests may wait for a smaller share of the time.
+    /// Limits less urgent requests to a smaller share of the available queueing time.
     pub shares_by_priority: bool,
-    /// Backend servers that take longer than expected are avoided.
+    /// Avoids backend servers that take longer than expected.
     pub slow_marks: bool,
-    /// Backend servers that fail, hang or turn requests away are avoided.
+    /// Avoids backend servers that fail, hang or reject requests.
     pub fault_marks: bool,
-    /// Requests are sent to a second backend server.
+    /// Resends requests to a second backend server.
     pub resends: bool,
-    /// Callers that are refused together are told to come back apart.
+    /// Spreads the retry delays of callers that are refused together.
     pub spread_returns: bool,
-    /// As a report ages, others are taken to have there what reports tell of them on average.
+    /// Lets the reported load of other senders converge to its average as a report ages.
     pub usual_loads: bool,
-    /// Each route has its own times.
+    /// Keeps separate latency estimates for each route.
     pub routes_apart: bool,
-    /// Requests wait a little for the first view after a start.
+    /// Lets requests wait briefly for the first view after a start.
     pub first_view_wait: bool,
 }
 
 impl Default for DispatchPolicy {
-    /// Everything is in use.
+    /// Enables all mechanisms.
     fn default() -> Self {
         Self {
             homes: true,
--- a/lib/src/dispatch_request.rs
+++ b/lib/src/dispatch_request.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is asked, what it answers, and what it is told afterwards.
+//! Input and result of a dispatch decision, and the report on how the request ended.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 use crate::request_rank::RequestRank;
 use crate::service_latency::RouteLatencyKey;
 
-/// When a caller is told to come back that another entry VM can serve at once. It has yet to
-/// pick that one, and connects anew.
+/// Retry delay for a caller that another entry VM can serve immediately. The caller has to
+/// select that entry VM and open a new connection.
 pub const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(100);
 
 new_key_type! {
@@ -25,105 +25,107 @@
     pub struct BackendKey;
 }
 
-/// Asks for a backend server.
+/// A request for which a backend server is to be selected.
 #[derive(Clone, Copy, Debug)]
 pub struct DispatchRequest<'a> {
-    /// The service.
+    /// Name of the service.
     pub service: &'a ServiceName,
-    /// The route that the request came by.
+    /// Route that the request matched.
     pub route: &'a RouteName,
-    /// The route's latency objective.
+    /// Latency objective of the route.
     pub latency_objective: Duration,
-    /// The object that the request concerns, if its data may be at hand somewhere.
+    /// Object that the request refers to, if its data may be cached at a backend server.
     pub object: Option<ObjectHash>,
-    /// Which requests it comes after.
+    /// Priority rank of the request.
     pub rank: RequestRank,
-    /// When the answer must be there.
+    /// Time by which the response is required.
     pub deadline: Instant,
-    /// When the answer should be there: the route's latency objective, from its arrival.
+    /// Time by which the response is desired: the arrival plus the latency objective of the
+    /// route.
     pub objective: Instant,
-    /// When this entry VM, which stops, passes on its last answers; nothing if it doesn't.
+    /// When this entry VM, if it is stopping, forwards its last responses; `None` if it is not
+    /// stopping.
     pub answers_until: Option<Instant>,
-    /// Regions that the request must stay in; empty allows all.
+    /// Regions that the request must stay in; empty if all are allowed.
     pub homes: &'a [RegionName],
-    /// Backend servers that the request was sent to before.
+    /// Backend servers that the request was already sent to.
     pub tried: &'a [BackendKey],
-    /// Whether one of them received it.
+    /// Whether one of those received it.
     pub resend: bool,
 }
 
 impl DispatchRequest<'_> {
-    /// Returns when the answer must be there to reach its caller.
+    /// Returns the time by which the response has to arrive here to reach the caller.
     #[must_use]
     pub fn answer_by(&self) -> Instant {
         self.answers_until
             .map_or(self.deadline, |until| until.min(self.deadline))
     }
 
-    /// Returns whether the request may go to a region.
+    /// Returns whether the request may be sent to a region.
     #[must_use]
     pub fn allows(&self, region: &RegionName) -> bool {
         self.homes.is_empty() || self.homes.contains(region)
     }
 }
 
-/// Holds the backend server that was picked. The request counts as in flight there.
+/// The selected backend server, where the request counts as in flight.
 #[derive(Clone, Debug)]
 pub struct Choice {
-    /// The backend server.
+    /// Key of the backend server.
     pub backend: BackendKey,
-    /// The times of its route.
+    /// Latency estimates of the route.
     pub latency_key: RouteLatencyKey,
-    /// The request in flight.
+    /// Key of the request in flight.
     pub send: SendKey,
-    /// Its name.
+    /// Name of the backend server.
     pub name: BackendName,
-    /// When its process started; tells its lives apart.
+    /// When its process started; distinguishes process instances of one name.
     pub born: u64,
-    /// Where it is.
+    /// Address of the backend server.
     pub address: SocketAddr,
-    /// Connections to it that are allowed.
+    /// Maximum number of connections to it.
     pub max_connections: u32,
-    /// Whether its data are expected to be at hand.
+    /// Whether the data of the object are expected to be cached there.
     pub warm: bool,
-    /// When the answer is expected, in time from now.
+    /// Expected time until the response.
     pub expected: Duration,
-    /// How long the request is expected to wait there.
+    /// Expected queueing time at the backend server.
     pub wait: Duration,
-    /// How old the backend server's latest report of its load is; nothing without one.
+    /// Age of the backend server's latest load report; `None` without one.
     pub report_age: Option<Duration>,
 }
 
-/// Tells why no backend server was picked, and when it makes sense to come back.
+/// Refusal: the reason and the retry delay.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refused {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusedReason,
-    /// When to come back.
+    /// Delay after which a retry is useful.
     pub retry_after: Duration,
-    /// Backend servers that are taken to have the data.
+    /// Number of backend servers that were assumed to have the data cached.
     pub considered: usize,
-    /// Shortest wait that one of them offered.
+    /// Shortest expected queueing time among those.
     pub shortest_wait: Option<Duration>,
 }
 
-/// Names the reason of a refusal.
+/// Reason why no backend server was selected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RefusedReason {
-    /// No backend server of the service may be used.
+    /// No backend server of the service is usable.
     NoBackend,
-    /// None would answer in time.
+    /// No backend server would respond in time.
     NoRoom,
-    /// One would, but this entry VM ends before.
+    /// A backend server would respond in time, but this entry VM stops before.
     Leaving,
-    /// This entry VM's own link is full.
+    /// This entry VM's own network link is congested.
     LinkFull,
-    /// The budget of resends is used up.
+    /// The resend budget is exhausted.
     NoResend,
 }
 
 impl RefusedReason {
-    /// Returns the reason as logs and metrics name it.
+    /// Returns the name of the reason in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -136,29 +138,30 @@
     }
 }
 
-/// Tells how a request at a backend server ended.
+/// How a request at a backend server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SendOutcome {
-    /// With an answer of the backend server.
+    /// The backend server responded.
     Answered,
-    /// With an answer that tells of a fault of the backend server.
+    /// The response indicates a fault of the backend server.
     Faulty,
-    /// It was turned away without being run.
+    /// The backend server rejected the request without running it.
     Shed,
-    /// Another backend server has that address.
+    /// A different backend server answered at that address.
     Misdirected,
-    /// No connection could be had.
+    /// No connection could be established.
     Unreachable,
-    /// It wasn't sent: the backend server may not be sent to any more.
+    /// The request was not sent because the backend server may no longer be used.
     Withdrawn,
-    /// The connection or the answer broke.
+    /// The connection or the response broke off.
     Broken,
-    /// The caller left or the time was over; tells nothing but that no answer came.
+    /// The caller disconnected or the deadline passed; says nothing about the backend server
+    /// except that it had not responded.
     Abandoned,
 }
 
 impl SendOutcome {
-    /// Returns the outcome as logs and metrics name it.
+    /// Returns the name of the outcome in logs and metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -174,17 +177,17 @@
     }
 }
 
-/// Reports the end of a request at a backend server.
+/// Report of the end of a request at a backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct SendEnd {
-    /// The backend server.
+    /// Key of the backend server.
     pub backend: BackendKey,
-    /// The request.
+    /// Key of the request in flight.
     pub send: SendKey,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: SendOutcome,
-    /// What the backend server said of its load.
+    /// Load report of the backend server; `None` if it sent none.
     pub load: Option<LoadReport>,
-    /// The object.
+    /// Object that the request referred to; `None` if it referred to none.
     pub object: Option<ObjectHash>,
 }
--- a/lib/src/dispatch_service.rs
+++ b/lib/src/dispatch_service.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher knows of one service.
+//! State of one service within a dispatcher.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,20 +11,19 @@
 use crate::route_manifest::RouteService;
 use crate::service_latency::ServiceLatency;
 
-/// Share of the requests that may make a further copy of their object. Each takes three times
-/// the room of a request whose data are at hand. Without a bound, all entry VMs copy what is
-/// asked for whenever backend servers are busy: at the highest loads of the users' sites 20 in
-/// 100 requests did, with a half of all room, which kept the backend servers busy. Mean payoff
-/// on their days, one score each, where backend servers have 3 slots and regions are 70 ms
-/// apart, and where they have 6 and are 110 ms apart: unbounded 0.571 and 0.507, a tenth 0.618
+/// Share of the requests that may make an additional copy of their object. Such a request takes
+/// three times the capacity of one whose data are cached. Without a limit, all entry VMs copy
+/// whatever is requested while backend servers are busy: at the peak loads of the users' sites
+/// 20 in 100 requests did so, took half of the capacity, and thereby kept the backend servers
+/// busy. Mean payoff over their days, one score each, with 3 slots per backend server and
+/// regions 70 ms apart, and with 6 slots and 110 ms: unlimited 0.571 and 0.507, a tenth 0.618
 /// and 0.553, a twentieth 0.626 and 0.560.
 const COPY_SHARE: f64 = 0.05;
 
-/// Reports over which others' requests are averaged: a second or so at the rates of one entry
-/// VM, long enough not to follow single reports.
+/// Number of reports that the average of other senders' requests spans: about one second at the
+/// request rate of one entry VM, long enough not to follow individual reports.
 const OTHERS_WINDOW: f64 = 16.0;
 
-/// Holds what a dispatcher knows of one service.
 #[derive(Debug)]
 pub(crate) struct Service {
     pub backends: Vec<BackendKey>,
@@ -32,17 +31,17 @@
     pub latency: ServiceLatency,
     pub budget: ResendBudget,
     pub objects: ObjectCount,
-    /// Objects that a further copy is being made of.
+    /// Objects of which an additional copy is being made.
     pub warming: BTreeSet<ObjectHash>,
-    /// Copies that may be made now.
+    /// Number of copies that may be made now; at most 1.
     pub copy_credit: f64,
-    /// Requests that others had at a backend server, on average over the last [`OTHERS_WINDOW`]
-    /// reports; none before the first.
+    /// Average number of other senders' requests at a backend server over the last
+    /// [`OTHERS_WINDOW`] reports; 0 before the first report.
     pub average_others: f64,
 }
 
 impl Service {
-    /// Starts without backend servers, with a share of the budget of resends.
+    /// Creates a service without backend servers; `senders` entry VMs share its resend budget.
     pub fn new(
         definition: Arc<RouteService>,
         resend_ratio: f64,
@@ -61,18 +60,20 @@
         }
     }
 
-    /// Notes how many requests of others a report told of, at any of the backend servers.
+    /// Records a reported number of other senders' requests, at any backend server of the
+    /// service.
     pub fn note_others(&mut self, others: f64) {
         self.average_others += (others - self.average_others) / OTHERS_WINDOW;
     }
 
-    /// Returns whether a further copy of an object may be made.
+    /// Returns whether an additional copy of an object may be made.
     pub fn may_copy(&self, object: Option<ObjectHash>, bounded: bool) -> bool {
         let has_credit = !bounded || self.copy_credit >= 1.0;
         object.is_some_and(|object| has_credit && !self.warming.contains(&object))
     }
 
-    /// Notes where a request for an object goes.
+    /// Records a request for an object, and whether its data are expected to be cached at the
+    /// selected server.
     pub fn note_object(&mut self, now: Instant, object: ObjectHash, warm: bool) {
         self.objects.note(now, object);
         self.copy_credit = (self.copy_credit + COPY_SHARE).min(1.0);
--- a/lib/src/object_copies.rs
+++ b/lib/src/object_copies.rs
@@ -1,17 +1,19 @@
-//! To how many backend servers an object is kept.
+//! Number of backend servers that an object is assigned to.
 
 use crate::affinity::MemberHash;
 use crate::affinity::ObjectHash;
 use crate::id::RegionName;
 
-/// Objects that one backend server is given to keep. The users' keep 35 to 50; some room
-/// is left for objects that come over when another one fails.
+/// Number of objects assigned to one backend server. The users' servers cache 35 to 50; some
+/// room is left for objects that are taken over when another server fails.
 const OBJECTS_PER_SERVER: u32 = 28;
 
-/// Backend servers in one region that an object is kept to at most.
+/// Maximum number of backend servers in one region that an object is assigned to.
 pub const MAX_COPIES: usize = 4;
 
-/// Returns to how many of a region's backend servers an object is kept.
+/// Returns the number of a region's backend servers that an object is assigned to. The hash of
+/// the object decides whether a fractional number is rounded up, so that the copies of all
+/// objects together fill the available room.
 #[must_use]
 pub fn copies(object: ObjectHash, region: &RegionName, members: usize, objects: usize) -> usize {
     let members = u32::try_from(members).unwrap_or(u32::MAX);
--- a/lib/src/object_count.rs
+++ b/lib/src/object_count.rs
@@ -1,4 +1,4 @@
-//! How many objects a service's requests concern.
+//! Estimates the number of distinct objects that a service's requests refer to.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,18 +6,18 @@
 
 use crate::affinity::ObjectHash;
 
-/// Time after which an object that nobody asked for doesn't count any more.
+/// Time after which an object without requests is no longer counted.
 const FORGET_AFTER: Duration = Duration::from_secs(20);
 
-/// Objects that are told apart at most. With more, each backend server keeps but a few of
-/// them at hand anyway.
+/// Maximum number of objects counted. With more objects, each backend server can cache only a
+/// few of them anyway.
 const MAX_TRACKED: usize = 8_192;
 
-/// Objects that are assumed before as many were seen: with too few, each would be spread
-/// over more backend servers than it will stay at.
+/// Minimum number assumed until all objects have been seen. If the number were too low, each
+/// object would be assigned to more backend servers than it will stay at.
 const ASSUMED_COUNT: usize = 100;
 
-/// Counts the objects that were asked for lately.
+/// Counts the objects with recent requests.
 #[derive(Debug, Default)]
 pub struct ObjectCount {
     seen: HashMap<ObjectHash, Instant>,
@@ -26,7 +26,7 @@
 }
 
 impl ObjectCount {
-    /// Notes a request for an object.
+    /// Records a request for an object.
     pub fn note(&mut self, now: Instant, object: ObjectHash) {
         let last_sweep = *self.last_sweep.get_or_insert(now);
         if now.saturating_duration_since(last_sweep) >= FORGET_AFTER {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Returns the number of objects; at least a hundred until enough time has passed to
-    /// have seen them all.
+    /// Returns the number of objects; at least 100 until enough time has passed to have seen
+    /// all of them.
     #[must_use]
     pub fn count(&self) -> usize {
         if self.settled {
--- a/lib/src/object_rank.rs
+++ b/lib/src/object_rank.rs
@@ -1,4 +1,5 @@
-//! Which backend servers an object is kept to, and which of them are taken to have it.
+//! Ranking of the backend servers that an object is assigned to, and which of them are assumed
+//! to have it cached.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,32 +9,35 @@
 use crate::id::RegionName;
 use crate::object_copies::copies;
 
-/// Part of an even share of the backend servers from which on the entry VMs of a region take
-/// the first of its own to have an object, as they do the home. Each entry VM learns by its
-/// own answers only who has an object; with many of them most went to the home in another
-/// region, and homes were the only ones used. In a region short of room the first seconds
-/// would move a third of the requests there and back again. Mean payoff on the users' days,
-/// one score each, with none, with all and with regions of that room: 0.626, 0.657 and 0.648
-/// with 32 backend servers, regions 70 ms apart; 0.560, 0.571 and 0.581 with 44, 110 ms apart;
-/// 0.584, 0.535 (moves too much) and 0.625 with 450 of the latter.
+/// Minimum size of a region, as a share of an even split of the backend servers, from which its
+/// entry VMs assume that the first server of their own region has an object cached, as they do
+/// for the home. An entry VM learns only from its own responses where an object is cached. With
+/// many entry VMs, most requests went to the home in another region, and homes were the only
+/// servers in use. In a region short of capacity, the first seconds would move a third of the
+/// requests to the region and back again. Mean payoff over the users' days, one score each, if
+/// no region, all regions or regions of this size do so: 0.626, 0.657 and 0.648 with 32 backend
+/// servers and regions 70 ms apart; 0.560, 0.571 and 0.581 with 44 and 110 ms; 0.584, 0.535
+/// (too many moves) and 0.625 with 450 and 110 ms.
 const MIN_LOCAL_SHARE: f64 = 0.75;
 
-/// Holds a backend server to be ranked.
+/// A backend server to be ranked.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Member<'a> {
     pub backend: BackendKey,
-    /// Its weight for the object; the heaviest of all is the object's home.
+    /// Rendezvous weight for the object; the server with the greatest weight of all is the home
+    /// of the object.
     pub weight: u64,
     pub region: &'a RegionName,
 }
 
-/// Returns the backend servers that an object is kept to with their ranks, the heaviest first.
-/// Those of rank 0 are taken to have it. The ranking is the same on every entry VM, but that
-/// the first of the own region ranks like the home if that region has room.
+/// Returns the backend servers that an object is assigned to with their ranks, in descending
+/// order of weight. Servers of rank 0 are assumed to have the object cached. The ranking is the
+/// same on every entry VM, except that the first server of the own region ranks like the home
+/// if that region has enough capacity.
 ///
-/// A region's backend servers together keep as many objects at hand as there is room
-/// for: with room for two copies and a half of each object, half of the objects, drawn
-/// by their hash, have a third one there.
+/// The backend servers of a region together cache as many objects as they have room for. For
+/// example, with room for two and a half copies of each object, half of the objects, selected
+/// by hash, have a third copy there.
 pub(crate) fn rank<'a>(
     members: impl Iterator<Item = Member<'a>>,
     object: ObjectHash,
@@ -73,8 +77,8 @@
         .collect()
 }
 
-/// Returns whether a region with `members` backend servers serves its callers itself, where
-/// `even_share` would be its part if all regions had as many.
+/// Returns whether a region with `members` backend servers has enough capacity for its own
+/// callers; `even_share` is the number that it would have in an even split.
 fn has_capacity(members: usize, even_share: usize) -> bool {
     #[expect(clippy::cast_precision_loss, reason = "counts far below 2^52")]
     let (members, even_share) = (members as f64, even_share as f64);
--- a/lib/src/region_moves.rs
+++ b/lib/src/region_moves.rs
@@ -1,33 +1,35 @@
-//! How many requests leave the region that they would go to if nobody had to wait.
+//! Limits how quickly requests move away from the region that they would go to without any
+//! queueing.
 //!
-//! Waits say where a request ends soonest. When loads become known, as after a start, they say
-//! so to all entry VMs of a region and for all objects at once, and a quarter of its requests
-//! move to backend servers elsewhere that expect nothing of the kind. So an entry VM lets the
-//! share of its requests that moves grow by a bounded part; a region whose entry VMs all keep
-//! to that does so too: of the requests of a region at its peak 23 in 100 moved from one window
-//! to the next after a start, and 13 do. Where a request would be refused otherwise it moves at
-//! any rate, since nothing is worse for its caller.
+//! Queueing times tell where a request completes soonest. When loads become known, as after a
+//! start, all entry VMs of a region learn this at the same time and for all objects, and a
+//! quarter of the region's requests move to backend servers elsewhere that are not prepared for
+//! them. Each entry VM therefore limits the growth of the share of its requests that move,
+//! which limits the growth for the whole region. Of the requests of a region at its peak, 23 in
+//! 100 moved from one window to the next after a start without this limit, and 13 with it. A
+//! request that would otherwise be refused moves in any case, since a refusal is the worst
+//! result for its caller.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Length of one step of counting. The window moves by it.
+/// Duration of one step of the sliding window.
 const STEP: Duration = Duration::from_millis(500);
 
-/// Steps of a window of 2 s, the span over which shifts between regions are capped.
+/// Steps in a window of 2 s, the interval over which shifts between regions are capped.
 const WINDOW: usize = 4;
 
-/// Part of the requests by which the share that moves may grow from one window to the next.
-/// At most 15 in 100 may change their region; the rest is left for what differs by chance from
-/// one window to the next, and for requests that have no room where they would stay.
+/// Maximum growth of the share of requests that move, from one window to the next. At most 15
+/// in 100 may change their region; the difference allows for random variation between windows,
+/// and for requests that cannot be served where they would stay.
 const MAX_GROWTH: f64 = 0.1;
 
-/// Counts requests and those that moved over the last two windows.
+/// Counts all requests and those that moved over the last two windows.
 #[derive(Debug, Default)]
 pub struct RegionMoves {
-    /// The latest step last.
+    /// Counts per step, latest step last.
     steps: [Counts; 2 * WINDOW],
-    /// When the latest step began.
+    /// Start of the latest step.
     began: Option<Instant>,
 }
 
@@ -48,7 +50,7 @@
         f64::from(recent.moved + 1) <= allowed
     }
 
-    /// Notes a request, and whether it moved.
+    /// Records a request, and whether it moved.
     pub fn note(&mut self, now: Instant, moved: bool) {
         self.advance(now);
         let latest = &mut self.steps[2 * WINDOW - 1];
--- a/lib/src/resend_budget.rs
+++ b/lib/src/resend_budget.rs
@@ -1,14 +1,14 @@
-//! How often requests of one service may be sent to a second backend server.
+//! Limits how often requests of one service are sent to a second backend server.
 //!
-//! The bound holds for all entry VMs together and over any window: a share of the requests
-//! and a fixed number besides. Each entry VM takes its share of both, so that they keep to
-//! the sum without telling each other.
+//! The limit holds for all entry VMs together and over any window: a share of the requests plus
+//! a fixed number. Each entry VM uses its part of both, so that the total stays within the
+//! limit without any coordination.
 
-/// Part of the bound that is used. Requests are counted where callers sent them, some of
-/// which never arrive here, and entry VMs that restart begin a new share.
+/// Part of the limit that is used. Requests are counted where callers send them, and some never
+/// arrive here; entry VMs that restart begin with a full budget again.
 const USED_PART: f64 = 0.7;
 
-/// Bounds the requests that are sent again.
+/// Token bucket for resends.
 #[derive(Clone, Copy, Debug)]
 pub struct ResendBudget {
     tokens: f64,
@@ -17,9 +17,9 @@
 }
 
 impl ResendBudget {
-    /// Allows `ratio` of the requests, and a share of `slack` besides when `senders`
-    /// share it. What is saved up never exceeds that share: a window that begins with it
-    /// full and uses all that is earned meanwhile stays within the bound.
+    /// Allows resends for the share `ratio` of the requests, plus a part of `slack`, which is
+    /// split among `senders`. The number of tokens never exceeds that part. A window that
+    /// begins with a full bucket and uses all tokens earned meanwhile stays within the limit.
     #[must_use]
     pub fn new(ratio: f64, slack: f64, senders: usize) -> Self {
         let mut budget = Self {
@@ -32,7 +32,7 @@
         budget
     }
 
-    /// Shares the slack among another number of senders.
+    /// Splits the slack among a new number of senders.
     pub fn share(&mut self, slack: f64, senders: usize) {
         #[expect(clippy::cast_precision_loss)]
         let senders = senders.max(1) as f64;
@@ -40,12 +40,12 @@
         self.tokens = self.tokens.min(self.capacity);
     }
 
-    /// Notes a request that is sent for the first time.
+    /// Records a request that is sent for the first time, which earns a part of a token.
     pub fn note_request(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.capacity);
     }
 
-    /// Takes one resend out of the budget, if there is one.
+    /// Takes a token for one resend; returns whether there was one.
     pub fn try_take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/lib/src/retry_advice.rs
+++ b/lib/src/retry_advice.rs
@@ -1,4 +1,4 @@
-//! When a refused caller is told to come back.
+//! Retry delays for refused callers.
 
 use std::time::Duration;
 
@@ -6,24 +6,24 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Least time after which a refused caller is told to come back.
+/// Lower bound of the retry delay.
 const MIN_WAIT: Duration = Duration::from_millis(100);
 
-/// Longest time after which a refused caller is told to come back.
+/// Upper bound of the retry delay.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// Spreads the return of refused callers.
+/// Spreads the retries of refused callers.
 ///
-/// Callers who were refused together and told the same time come back together, and are
-/// refused together again; that shows as waves of refusals. So the time is spread over
-/// an interval that grows with the number of refused ones for each one that is served.
+/// Callers that are refused together and given the same delay return together and are refused
+/// again, which shows as waves of refusals. The delay is therefore randomized over an interval
+/// that grows with the number of refused requests per served request.
 #[derive(Debug)]
 pub struct RetryAdvice {
     rng: ChaCha8Rng,
 }
 
 impl RetryAdvice {
-    /// Starts from a seed.
+    /// Creates a generator of delays from a seed.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Returns the time to tell when there may be room after `wait` and `refused`
-    /// requests a second share in what `served` a second leave.
+    /// Returns a retry delay, given that capacity is expected after `wait`, and that `refused`
+    /// requests a second compete for the capacity of `served` requests a second.
     pub fn after(&mut self, wait: Duration, refused: f64, served: f64) -> Duration {
         let base = wait.clamp(MIN_WAIT, MAX_WAIT);
         let competitors = refused / served.max(1.0);
--- a/lib/src/retry_budget.rs
+++ b/lib/src/retry_budget.rs
@@ -1,25 +1,25 @@
-//! How many proved refusals an entry may answer by asking another owner.
+//! Limits how many confirmed refusals an entry VM may answer by trying another owner.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Tries that one request may take in all, the first one included.
+/// Maximum number of attempts per request, including the first.
 pub const MAX_TRIES: usize = 3;
 
-/// Further tries for each 100 requests.
+/// Retries earned per request.
 const RETRIES_PER_REQUEST: f64 = 0.1;
 
-/// Further tries a second that are always allowed, so that a quiet entry can retry.
+/// Retries a second that are always allowed, so that an entry VM with little traffic can retry.
 const FLOOR_PER_SECOND: f64 = 2.0;
 
-/// Further tries that may be saved up.
+/// Maximum number of accumulated retries.
 const MAX_TOKENS: f64 = 20.0;
 
-/// Bounds the further tries of an entry to a share of its requests.
+/// Limits the retries of an entry VM to a share of its requests.
 ///
-/// Without a bound, refusals under overload turn into two more requests each, so that
-/// load grows exactly when there is too much of it; that shows as a refusal rate that
-/// stays high after the cause is gone.
+/// Without a limit, each refusal under overload would cause two more requests, so that the load
+/// grows exactly when it is already too high. This shows as a refusal rate that stays high
+/// after its cause is gone.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens: f64,
@@ -36,13 +36,13 @@
 }
 
 impl RetryBudget {
-    /// Notes a request of a caller.
+    /// Records a request of a caller.
     pub fn note_request(&mut self, now: Instant) {
         self.refill(now);
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Takes one further try out of the budget, if there is one.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn try_take(&mut self, now: Instant) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
--- a/lib/src/service_latency.rs
+++ b/lib/src/service_latency.rs
@@ -1,12 +1,12 @@
-//! How long the requests of one route take, with and without their data at hand.
+//! Run times of the requests of a service by route, with their data cached and without.
 //!
-//! A service may serve routes whose work differs by a factor of six; one estimate for all of
-//! them is right for none. Waits behind others are made of the mean over the service, since
-//! whatever stands there is of any route.
+//! A service may serve routes whose work differs by a factor of six, so a single estimate for
+//! all of them would be right for none. Queueing times are based on the mean over the service,
+//! since queued requests may be of any route.
 //!
-//! Whether a request found its data at hand isn't told; another entry VM may have asked for
-//! the same object, or the backend server may have dropped it. So each observation counts
-//! for the kind whose estimate it is nearer to.
+//! Responses do not tell whether a request found its data cached: a different entry VM may have
+//! requested the same object, or the backend server may have evicted it. Each observation is
+//! therefore attributed to the kind, warm or cold, whose estimate is closer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,44 +16,45 @@
 
 use crate::id::RouteName;
 
-/// Step by which an estimate moves with each observation; about the last 30 count.
+/// Relative step by which an observation moves an estimate; about the last 30 observations
+/// count.
 const STEP: f64 = 0.05;
 
-/// Observations of one kind from whose mean its estimate starts. What is assumed before is
-/// off by a factor of up to five, and steps of [`STEP`] would take ten seconds to make up
-/// for it at twenty requests a second.
+/// Number of observations of one kind whose mean initializes its estimate. The value assumed
+/// before is off by a factor of up to five, and steps of [`STEP`] would take ten seconds to
+/// correct that at twenty requests a second.
 const INITIAL_OBSERVATIONS: u32 = 8;
 
-/// Times the estimate that one of the first observations counts for at most, so that an
-/// outlier among them doesn't stand for long.
+/// Upper bound of an initial observation, as a multiple of the estimate, so that an early
+/// outlier does not distort the estimate for long.
 const MAX_RISE: f64 = 4.0;
 
-/// Share of the observations that lie below the estimates. Some requests have waited without
-/// it being known; a mean would follow these, and a service under load would look slow for
-/// good.
+/// Quantile that the estimates track. Some requests have queued without this being known; a
+/// mean would include these, and a service under load would permanently look slow.
 const QUANTILE: f64 = 0.4;
 
-/// What is assumed before the first answers, as parts of the route's latency objective. An
-/// operator sets it so that a request with its data at hand makes it, with time for the way
-/// and some wait, and one without them doesn't.
+/// Values assumed before the first responses, relative to the route's latency objective.
+/// Operators choose an objective that a request with cached data meets, including the network
+/// delay and some queueing, and that one without cached data misses.
 const INITIAL_WARM: f64 = 0.5;
 const INITIAL_COLD: f64 = 1.5;
 
-/// Times that a request may take as long without its data as with them, at most. Where all
-/// requests were of one kind so far, this bounds how wrong the other estimate may be.
+/// Maximum ratio of the cold to the warm run time. While all requests have been of one kind,
+/// this limits the error of the other estimate.
 const MAX_COLD_RATIO: f64 = 5.0;
 
-/// Times that it takes as long at least. Without it the estimates would meet once requests
-/// with their data at hand take longer than was assumed without: then backend servers
-/// without the data look as good as any, and half of a region's requests change regions.
+/// Minimum ratio of the cold to the warm run time. Without it, the estimates would meet once
+/// requests with cached data take longer than the value assumed for cold ones. Backend servers
+/// without the data would then look as good as any, and half of a region's requests would
+/// change their region.
 const MIN_COLD_RATIO: f64 = 2.0;
 
-/// Follows the times of one route at one service.
+/// Run-time estimates of one route of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteLatency {
     warm: Estimate,
     cold: Estimate,
-    /// Time that half of the requests stay below, whatever was expected of them.
+    /// Median run time of all requests, warm or cold.
     median: Estimate,
     tail: Tail,
 }
@@ -73,7 +74,7 @@
         self.observed >= INITIAL_OBSERVATIONS
     }
 
-    /// Moves towards the time that `share` of the observations lie below.
+    /// Moves the estimate towards the quantile `share` of the observations.
     fn observe(&mut self, took: f64, share: f64) {
         if !self.is_settled() {
             self.observed += 1;
@@ -87,8 +88,8 @@
     }
 }
 
-/// Follows the mean time from the head of an answer to its last byte; zero for most routes,
-/// whose answers are read whole before they are passed on.
+/// Mean time from the head of a response to its last byte; zero for most routes, whose
+/// responses are buffered completely before they are forwarded.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tail {
     mean: f64,
@@ -96,7 +97,7 @@
 }
 
 impl Tail {
-    /// Answers that the mean is of, the latest ones.
+    /// Number of latest responses that the mean covers.
     const MAX_ANSWERS: f64 = 20.0;
 
     fn note_head(&mut self) {
@@ -104,14 +105,14 @@
         self.mean -= self.mean / self.answers;
     }
 
-    /// Notes how long the answer took from a head that was noted.
+    /// Records the time to the end of a response whose head was recorded before.
     fn note_end(&mut self, took: f64) {
         self.mean += took / self.answers.max(1.0);
     }
 }
 
 impl RouteLatency {
-    /// Starts from the route's latency objective.
+    /// Creates initial estimates from the route's latency objective.
     #[must_use]
     pub fn new(objective: Duration) -> Self {
         let objective = objective.as_secs_f64();
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Returns the time that a request is expected to run, in seconds.
+    /// Returns the expected run time of a request, in seconds.
     #[must_use]
     pub const fn expected(&self, warm: bool) -> f64 {
         if warm {
@@ -133,18 +134,18 @@
         }
     }
 
-    /// Returns the time that half of the requests stay below until the last byte of their
-    /// answers, in seconds.
+    /// Returns the median time to the last byte of a response, in seconds.
     ///
-    /// [`Self::expected`] ranks backend servers: where all requests take alike, they count as
-    /// those without their data, and half of their time is expected with them; and it ends at the
-    /// head of an answer. Whoever must know whether a request can end goes by this one besides.
+    /// [`Self::expected`] serves to rank backend servers and is not a bound on the run time: if
+    /// all requests take equally long, they count as cold, and half of that is expected of warm
+    /// ones. Moreover, it ends at the head of a response. To decide whether a request can still
+    /// complete, use this estimate as well.
     #[must_use]
     pub fn time_to_last_byte(&self) -> f64 {
         self.median.value + self.tail.mean
     }
 
-    /// Notes how long a request ran that didn't have to wait.
+    /// Records the run time of a request that did not queue.
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.median.observe(took, 0.5);
@@ -164,15 +165,15 @@
 }
 
 new_key_type! {
-    /// Identifies the times of one route among those of a service.
+    /// Identifies the estimates of one route within a service.
     pub struct RouteLatencyKey;
 }
 
-/// Routes whose times one service keeps. Names of routes change with the manifest; the one
-/// that nobody has asked for for longest goes.
+/// Maximum number of routes with estimates per service. Route names change with the manifest;
+/// the least recently used route is evicted.
 const MAX_ROUTES: usize = 64;
 
-/// Follows the times of all routes of one service.
+/// Run-time estimates of all routes of one service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceLatency {
     routes: SlotMap<RouteLatencyKey, RouteEntry>,
@@ -185,12 +186,13 @@
 struct RouteEntry {
     name: RouteName,
     latency: RouteLatency,
-    /// Number of the latest request.
+    /// Sequence number of the latest request of the route.
     last_used: u64,
 }
 
 impl ServiceLatency {
-    /// Returns the times of a route; they start from its latency objective.
+    /// Returns the key of the estimates of a route. New estimates are initialized from its
+    /// latency objective.
     pub fn route(&mut self, name: &RouteName, objective: Duration) -> RouteLatencyKey {
         self.request_number += 1;
         if let Some(key) = self.by_name.get(name) {
@@ -221,8 +223,8 @@
         }
     }
 
-    /// Returns the time that a request of a route is expected to run, in seconds; the mean of
-    /// the service for a route that was dropped.
+    /// Returns the expected run time of a request of a route, in seconds; the mean of the
+    /// service if the route was evicted.
     #[must_use]
     pub fn expected(&self, route: RouteLatencyKey, warm: bool) -> f64 {
         let route_entry = self.routes.get(route);
@@ -232,8 +234,8 @@
         )
     }
 
-    /// Returns the time that half of a route's requests stay below until the last byte of their
-    /// answers, in seconds; the mean of the service for a route that was dropped.
+    /// Returns the median time to the last byte of a response of a route, in seconds; the mean
+    /// of the service if the route was evicted.
     #[must_use]
     pub fn time_to_last_byte(&self, route: RouteLatencyKey) -> f64 {
         let route_entry = self.routes.get(route);
@@ -243,15 +245,15 @@
         )
     }
 
-    /// Notes how long an answer that was passed on as it came took from its head to its end.
+    /// Records the time from the head to the end of a streamed response.
     pub fn observe_tail(&mut self, route: RouteLatencyKey, took: Duration) {
         if let Some(route_entry) = self.routes.get_mut(route) {
             route_entry.latency.tail.note_end(took.as_secs_f64());
         }
     }
 
-    /// Returns the mean time that a request of any route runs, in seconds. Before the first
-    /// answer that is what is assumed of the routes that were asked for.
+    /// Returns the mean run time over all routes, in seconds. Before the first response, this
+    /// is the mean of the values assumed for the routes requested so far.
     #[must_use]
     pub fn mean(&self) -> f64 {
         self.mean.unwrap_or_else(|| {
@@ -265,7 +267,7 @@
         })
     }
 
-    /// Notes how long a request ran that didn't have to wait.
+    /// Records the run time of a request that did not queue.
     pub fn observe(&mut self, route: RouteLatencyKey, took: Duration) {
         let before = self.mean();
         let Some(route_entry) = self.routes.get_mut(route) else {
--- a/lib/src/service_time.rs
+++ b/lib/src/service_time.rs
@@ -1,29 +1,29 @@
-//! How long requests take at the backend servers, by operation.
+//! Time that requests take at the backend servers, by operation.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Weight of a new sample in the average.
+/// Weight of a new sample in the mean.
 const MEAN_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Weight of a new sample in the average deviation.
+/// Weight of a new sample in the mean deviation.
 const DEVIATION_WEIGHT: f64 = 1.0 / 8.0;
 
-/// Deviations added to the average to say what a request needs to be in time. More would
-/// refuse requests that more likely than not are in time; fewer would run ones that
-/// are late under overload (figures in docs/design/admission.md).
+/// Number of deviations added to the mean to get the time that a request needs. A higher number
+/// would refuse requests that would more likely than not be in time; a lower one would run
+/// requests that are late under overload (figures in docs/design/admission.md).
 const DEVIATIONS: f64 = 1.0;
 
-/// Time without samples after which an estimate begins to fade. An estimate that is too
-/// high lets no request through, and without requests there are no samples that could
-/// correct it; that would show as a service that refuses everything for ever.
+/// Time without samples after which an estimate begins to decay. An estimate that is too high
+/// admits no requests, and without requests there are no samples to correct it; the service
+/// would refuse everything forever.
 const DECAY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time in which a fading estimate halves.
+/// Half-life of a decaying estimate.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// Estimates the time of one kind of requests by moving averages of the samples and of
-/// their deviation, as TCP estimates its round trips (RFC 6298).
+/// Estimates the time of one kind of requests by moving averages of the samples and their
+/// deviation, like the round-trip estimate of TCP (RFC 6298).
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
     mean: f64,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Holds the estimates of one group.
+/// Estimates of one group.
 #[derive(Debug, Default)]
 pub struct ServiceTimes {
     operations: Vec<Estimate>,
@@ -72,23 +72,23 @@
 }
 
 impl ServiceTimes {
-    /// Takes the time of a whole answer.
+    /// Records the time until a complete response.
     pub fn add(&mut self, now: Instant, operation: usize, latency: Duration) {
         let seconds = latency.as_secs_f64();
         self.operation(operation).add(now, seconds);
         self.all.add(now, seconds);
     }
 
-    /// Takes the time after which a request was given up, which it would at least have
-    /// needed. Without this, only the quick ones would count when many are too slow.
+    /// Records the time after which a request was abandoned, which is a lower bound of the time
+    /// it needed. Without this, only the fast requests would count when many are too slow.
     pub fn add_at_least(&mut self, now: Instant, operation: usize, elapsed: Duration) {
         if elapsed > self.operation(operation).mean() {
             self.add(now, operation, elapsed);
         }
     }
 
-    /// Returns the time that a request of `operation` should be given; zero while
-    /// nothing is known.
+    /// Returns the time that a request of `operation` should be given; zero before the first
+    /// sample.
     #[must_use]
     pub fn needed(&self, now: Instant, operation: usize) -> Duration {
         self.operations
@@ -96,7 +96,7 @@
             .map_or(Duration::ZERO, |estimate| estimate.needed(now))
     }
 
-    /// Returns the average time of all requests; zero while nothing is known.
+    /// Returns the mean time of all requests; zero before the first sample.
     #[must_use]
     pub fn mean(&self) -> Duration {
         self.all.mean()
--- a/lib/src/start_wait.rs
+++ b/lib/src/start_wait.rs
@@ -1,15 +1,15 @@
-//! How long a request waits for what an entry VM that has just started lacks: its first view,
-//! or its first session.
+//! How long a request waits at an entry VM that has just started for its first view or its
+//! first session.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Share of a caller's time that goes for that wait at most. What it waits for may not come, and
-/// the caller must have time left to ask elsewhere.
+/// Maximum share of the caller's time-out spent on this wait. The view or session may not
+/// arrive, and the caller must have time left to try another entry VM.
 const SHARE: f64 = 0.25;
 
-/// Returns until when a request that came at `arrived` waits, for `longest` at most, if its
-/// caller waits for `caller_timeout`.
+/// Returns until when a request that arrived at `arrived` waits: for at most `longest`, and for
+/// at most a share of `caller_timeout`, after which its caller gives up.
 #[must_use]
 pub fn wait_until(
     arrived: Instant,
--- a/lib/src/warm_up.rs
+++ b/lib/src/warm_up.rs
@@ -1,10 +1,10 @@
-//! How fast load may grow on what is cold.
+//! Limits how quickly load may grow on cold caches.
 //!
-//! A backend server that has just started, and a place that meets callers whose data it
-//! hasn't cached, answer slowly at first. Full load at once would fill its slots with
-//! slow requests and make everything behind them late; that shows as latency that rises
-//! by the time of a cache miss whenever traffic shifts. So load is let up to its limit
-//! over the service's warm-up time.
+//! A backend server that has just started responds slowly at first, and so does a place that
+//! serves callers whose data it has not cached. Full load at once would fill its slots with
+//! slow requests and delay everything queued behind them; whenever traffic shifts, the latency
+//! would rise by the time of a cache miss. The load is therefore raised to its limit over the
+//! warm-up time of the service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 
 use crate::id::PlaceName;
 
-/// Share of the slots with which a ramp starts.
+/// Share of the slots at the start of a ramp.
 const INITIAL_SHARE: f64 = 1.0 / 3.0;
 
-/// Time without requests from a place after which its callers' data counts as cold.
+/// Time without requests from a place after which its callers' data count as cold.
 const COLD_AFTER: Duration = Duration::from_mins(1);
 
-/// Follows the ramp of one backend server or one origin.
+/// Ramp-up state of one backend server or one origin.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ramp {
     /// It may take its full load.
     Warm,
-    /// It is on its way since this time.
+    /// It has been ramping up since this time.
     Since(Instant),
 }
 
 impl Ramp {
-    /// Returns the share of the full load that may be put on it, above 0 and up to 1.
+    /// Returns the share of the full load that is allowed now, above 0 and up to 1.
     #[must_use]
     pub fn share(self, now: Instant, over: Duration) -> f64 {
         match self {
@@ -43,14 +43,14 @@
         }
     }
 
-    /// Returns how many of `slots` may be used; at least one, if there is any.
+    /// Returns how many of `slots` may be used; at least one unless `slots` is 0.
     #[must_use]
     pub fn slots(self, now: Instant, over: Duration, slots: u32) -> u32 {
         share_of(slots, self.share(now, over))
     }
 }
 
-/// Follows which origins' callers a group has served lately.
+/// Ramp-up state of the origins (places of callers) that a group serves.
 #[derive(Debug, Default)]
 pub struct OriginRamps {
     origins: BTreeMap<PlaceName, OriginRamp>,
@@ -64,10 +64,11 @@
 }
 
 impl OriginRamps {
-    /// Tells whether one more request from `origin` may run beside those that do.
+    /// Returns whether one more request from `origin` may run in addition to those already
+    /// running.
     ///
-    /// `new_is_warm` says that an origin not known yet counts as warm, as just after a
-    /// change of owner: the old owner has served it.
+    /// `new_is_warm` tells that an unknown origin counts as warm, as just after a change of
+    /// owner: the previous owner has already served it.
     pub fn admits(
         &mut self,
         now: Instant,
@@ -78,8 +79,8 @@
     ) -> bool {
         let known = self.entry(now, origin, new_is_warm);
         let share = known.ramp.share(now, over);
-        // What runs on servers that take nothing new isn't in `slots`, so a warm origin
-        // isn't held to that.
+        // Requests on servers that accept no new work are not covered by `slots`, so a warm
+        // origin is not limited by it.
         share >= 1.0 || known.in_flight < share_of(slots, share)
     }
 
@@ -90,7 +91,7 @@
         known.last = now;
     }
 
-    /// Counts a request from `origin` as done.
+    /// Counts a request from `origin` as finished.
     pub fn end(&mut self, now: Instant, origin: &PlaceName) {
         if let Some(known) = self.origins.get_mut(origin) {
             known.in_flight = known.in_flight.saturating_sub(1);
--- a/lib/src/weighted_round_robin.rs
+++ b/lib/src/weighted_round_robin.rs
@@ -1,17 +1,18 @@
-//! Splits requests by weight with little deviation: smooth weighted round robin.
+//! Splits requests by weight with minimal deviation: smooth weighted round robin.
 
-/// Holds whose turn it is among the parts of one split.
+/// State of one weighted split.
 ///
-/// Each part earns its weight with every request, and the richest one pays the total for
-/// being picked. Over any number of requests a part is off its share by less than one,
-/// where drawing by lot would be off by the square root of the number.
+/// With every request, each part earns credit equal to its weight, and the part with the most
+/// credit is selected and pays the total weight. Over any number of requests, each part
+/// deviates from its share by less than one request, whereas a random selection would deviate
+/// by the square root of that number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WeightedRoundRobin {
     credit: Vec<f64>,
 }
 
 impl WeightedRoundRobin {
-    /// Returns the index of the part that is next, or nothing if no weight is above 0.
+    /// Returns the index of the next part, or `None` if no weight is above 0.
     pub fn next(&mut self, weights: &[f64]) -> Option<usize> {
         let total: f64 = weights.iter().sum();
         if total <= 0.0 {
--- a/lib/tests/dispatch_model/mod.rs
+++ b/lib/tests/dispatch_model/mod.rs
@@ -1,7 +1,7 @@
-//! A model of entry VMs that dispatch directly to backend servers, in simulated time.
+//! Simulation of entry VMs that dispatch directly to backend servers.
 //!
-//! Backend servers run a few requests at a time and queue some more. A request takes less
-//! time where its object was handled lately; each server keeps a number of objects.
+//! A backend server runs a few requests concurrently and queues some more. A request takes less
+//! time where its object was handled recently; each server caches a limited number of objects.
 
 #![allow(dead_code)]
 
@@ -51,26 +51,26 @@
 #[allow(unused_imports, reason = "each test file uses a part of the model")]
 pub use scenario::Scenario;
 
-/// Holds what callers got.
+/// Results as seen by the callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Result {
-    /// Requests asked in the counted part.
+    /// Requests sent in the measured part.
     pub asked: u32,
-    /// Answered within the objective.
+    /// Responses within the latency objective.
     pub in_objective: u32,
-    /// Answered later, within the deadline.
+    /// Later responses, within the deadline.
     pub late: u32,
-    /// Refused.
+    /// Refused requests.
     pub refused: u32,
-    /// Arrivals at cold data.
+    /// Requests that ran without cached data.
     pub cold_runs: u32,
-    /// Largest part of one region's requests that went to other regions than in the 2 s
-    /// before.
+    /// Largest shift of one region's requests to other regions within 2 s, as a share of its
+    /// requests.
     pub max_shift: f64,
 }
 
 impl Result {
-    /// Returns the share of requests that were answered within the objective.
+    /// Returns the share of requests answered within the latency objective.
     pub fn share(&self) -> f64 {
         f64::from(self.in_objective) / f64::from(self.asked.max(1))
     }
@@ -88,7 +88,7 @@
 
 struct Request {
     entry: usize,
-    /// Number of the entry VM's start.
+    /// Number of restarts of the entry VM before the request.
     generation: u32,
     server: usize,
     object: u32,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Plays one plan.
+/// Runs one scenario.
 pub struct Model {
     scenario: Scenario,
     origin: Instant,
@@ -123,12 +123,12 @@
     sequence: u64,
     rng: ChaCha8Rng,
     dispatchers: Vec<Dispatcher>,
-    /// How often each entry VM has started again.
+    /// Number of restarts of each entry VM.
     generations: Vec<u32>,
     servers: Vec<Server>,
     by_name: BTreeMap<BackendName, usize>,
     requests: Vec<Request>,
-    /// When each request was sent, from which region and to which.
+    /// Time, origin region and target region of each request sent.
     sends: Vec<(Duration, usize, usize)>,
     result: Result,
 }
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Plays to the end; the last half counts.
+    /// Runs the scenario to its end; only requests in `Scenario::counted` are measured.
     pub fn run(mut self) -> Result {
         for region in 0..self.scenario.servers.len() {
             self.schedule_arrival(region);
@@ -252,7 +252,7 @@
         self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    /// Spreads the starts over the regions, one region after the other.
+    /// Distributes the restarts over the regions round-robin.
     fn schedule_restarts(&mut self) {
         let regions = self.scenario.servers.len();
         let mut at = self.scenario.length / 4;
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Has an entry VM start again: it knows the fleet, and nothing that it had learned.
+    /// Restarts an entry VM: it knows the fleet, but has lost everything it had learned.
     fn restart(&mut self, entry: usize) {
         let now = self.at();
         let view = view(&self.scenario);
@@ -449,7 +449,7 @@
     }
 }
 
-/// Returns an entry VM that starts at `now`.
+/// Creates the dispatcher of an entry VM that starts at `now`.
 fn dispatcher(scenario: &Scenario, view: &FleetView, entry: usize, now: Instant) -> Dispatcher {
     let places = (0..scenario.servers.len())
         .map(|index| (place(index), region(index)))
@@ -471,7 +471,7 @@
     BackendName::new(format!("server-{region}-{number}"))
 }
 
-/// Returns the view that all entry VMs of a plan have.
+/// Returns the fleet view shared by all entry VMs of a scenario.
 pub fn view(scenario: &Scenario) -> FleetView {
     let mut backends = Vec::new();
     for (region, count) in scenario.servers.iter().enumerate() {
--- a/lib/tests/dispatch_model/probe.rs
+++ b/lib/tests/dispatch_model/probe.rs
@@ -1,4 +1,4 @@
-//! One entry VM that is asked request by request.
+//! A single entry VM that dispatches requests one at a time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 use super::service;
 use super::view;
 
-/// Asks one dispatcher for one request after the other.
+/// Drives one dispatcher request by request.
 pub struct Probe {
     dispatcher: Dispatcher,
     now: Instant,
@@ -64,12 +64,12 @@
         self.dispatcher.note_control_contact(self.now);
     }
 
-    /// Has the entry VM stop.
+    /// Makes the entry VM stop.
     pub fn stop(&mut self, stop: impl FnOnce(Instant) -> PlannedStop) {
         self.answers_until = Some(stop(self.now).answers_until());
     }
 
-    /// Has all backend servers start again under their names.
+    /// Restarts all backend servers under the same names.
     pub fn restart_backends(&mut self, born: u64) {
         let mut view = view(&Scenario::look_up());
         for record in view.backends.values_mut() {
@@ -108,7 +108,7 @@
         self.dispatcher.choose(self.now, &request)
     }
 
-    /// Says that the connection for a choice took `took` until it was there.
+    /// Reports that it took `took` to establish the connection for a choice.
     pub fn connected(&mut self, choice: &Choice, took: Duration) {
         self.dispatcher.note_connected(choice.backend, took);
     }
--- a/lib/tests/dispatch_model/scenario.rs
+++ b/lib/tests/dispatch_model/scenario.rs
@@ -1,54 +1,55 @@
-//! What is played: a service, its callers, and what happens to them.
+//! Scenarios: a service, its callers, and the events of a simulation.
 
 use std::time::Duration;
 
-/// Holds the parameters of a model.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Backend servers in each region.
+    /// Number of backend servers in each region.
     pub servers: Vec<usize>,
-    /// Entry VMs in each region.
+    /// Number of entry VMs in each region.
     pub entries: usize,
-    /// Requests that a backend server runs at a time.
+    /// Number of requests that a backend server runs concurrently.
     pub slots: u32,
-    /// Requests that it queues.
+    /// Maximum number of requests that a backend server queues.
     pub queue: usize,
-    /// Objects that it keeps at hand.
+    /// Number of objects that a backend server caches.
     pub keeps: usize,
-    /// Objects that requests concern.
+    /// Number of objects that requests refer to.
     pub objects: u32,
-    /// Time that a request takes without its object at hand.
+    /// Run time of a request without cached data.
     pub work: Duration,
-    /// Part of that time which it takes with it.
+    /// Run time with cached data, relative to the time without.
     pub warm_part: f64,
-    /// Way to another region and back.
+    /// Round-trip time to another region.
     pub delay: Duration,
     /// Requests a second in each region.
     pub rate: f64,
-    /// Factor on that for each region; one where it isn't given.
+    /// Factor on `rate` for each region; 1 for regions without an entry.
     pub rate_parts: Vec<f64>,
-    /// Time within which an answer counts.
+    /// Latency objective.
     pub objective: Duration,
-    /// Time that callers wait.
+    /// Callers' time-out.
     pub deadline: Duration,
-    /// Length of the play.
+    /// Duration of the simulation.
     pub length: Duration,
-    /// Backend servers in each region that join after a half of the play.
+    /// Number of backend servers that join in each region halfway through the simulation.
     pub joining: usize,
-    /// Part of the play that counts, in eighths.
+    /// Start and end of the measured part, in eighths of the simulation.
     pub counted: (u32, u32),
-    /// Factor on the rate between a quarter and a half of the play.
+    /// Factor on `rate` during the second quarter of the simulation.
     pub burst: f64,
-    /// Entry VMs that start again one after the other from a quarter of the play on.
+    /// Number of entry VMs that restart one after another, beginning after the first quarter of
+    /// the simulation.
     pub restarting: usize,
-    /// Time between two of these starts.
+    /// Interval between two restarts.
     pub restart_gap: Duration,
     /// Seed of arrivals and service times.
     pub seed: u64,
 }
 
 impl Scenario {
-    /// A look-up service: 32 servers of 6 slots, a tenth of them in one region.
+    /// A look-up service: 32 servers of 6 slots, of which one region has only an eighth.
     pub fn look_up() -> Self {
         Self {
             servers: vec![4, 12, 16],
@@ -74,8 +75,9 @@
         }
     }
 
-    /// A look-up service in whose second region callers ask most when it starts: enough room
-    /// once its data are at hand, less than half of what they ask for before.
+    /// A look-up service whose second region is at its peak when the service starts: its
+    /// capacity is sufficient once the data are cached, and less than half of the demand
+    /// before.
     pub fn peak() -> Self {
         Self {
             servers: vec![8, 34, 40],
@@ -95,8 +97,8 @@
         }
     }
 
-    /// A quarter of a large look-up service: longer work, more
-    /// entry VMs of fewer requests each, and fewer objects that a backend server keeps.
+    /// A quarter of a large look-up service: longer run times, more entry VMs with fewer
+    /// requests each, and fewer objects cached by each backend server.
     pub fn grown() -> Self {
         Self {
             servers: vec![10, 39, 47],
--- a/lib/tests/test_backend_life.rs
+++ b/lib/tests/test_backend_life.rs
@@ -1,5 +1,4 @@
-//! Backend servers that start again under the name that they had, and announcements that name
-//! none to use.
+//! Backend servers that restart under the same name, and validation of announcements.
 
 mod dispatch_model;
 
@@ -53,7 +52,7 @@
     }
 }
 
-/// A state and the log position that it has come to.
+/// Fleet state together with the index of its last log entry.
 struct Log {
     state: FleetState,
     index: u64,
@@ -83,7 +82,7 @@
         self.state.withdraw(index, &life("one", born));
     }
 
-    /// Goes through a snapshot, as at a restart or at a replica that lags.
+    /// Restores the state from a snapshot, as after a restart or at a lagging replica.
     fn restart(&mut self) {
         let snapshot = encoding::encode(1, &self.state).unwrap();
         self.state = encoding::decode(1, &snapshot).unwrap();
@@ -95,9 +94,9 @@
     }
 }
 
-/// Symptom: a backend server that was started again gets no requests for as long as it runs.
-/// Sequence: it crashes and starts under its name; its announcements count from 1. Cause: a
-/// lower number than the last one of its earlier life was taken for a late announcement.
+/// Guards against a restarted backend server that never receives requests again: announcements
+/// of the new process are numbered from 1, and a number lower than the last one of the previous
+/// process must not be mistaken for a delayed announcement.
 #[rstest]
 #[case::at_once(false)]
 #[case::through_a_snapshot(true)]
@@ -115,8 +114,8 @@
     assert_eq!(log.known("one"), Some((2_000, 1, BackendState::Ready)));
 }
 
-/// "Gone" binds the life that it was said of, and those before: a late announcement of these
-/// brings nothing back, and the next life is free.
+/// A withdrawal applies to the named process instance and to earlier ones: a delayed
+/// announcement of these restores nothing, and the next instance can register.
 #[rstest]
 #[case::at_once(false)]
 #[case::through_a_snapshot(true)]
@@ -135,9 +134,9 @@
     assert_eq!(log.known("one"), Some((2_000, 1, BackendState::Ready)));
 }
 
-/// Symptom: a backend server that has just started again isn't known. Sequence: its earlier
-/// life is found silent, it starts again, and the order to forget it is carried out. Cause:
-/// the order named no life.
+/// Guards against forgetting a backend server that has just restarted: its previous process is
+/// found silent, the server restarts, and only then is the command to forget it executed. The
+/// command has to name the process instance.
 #[test]
 fn test_an_earlier_life_is_forgotten_alone() {
     let mut log = Log::new();
@@ -152,9 +151,10 @@
     assert!(log.known("one").is_none());
 }
 
-/// Symptom: a backend server gets no requests for a heartbeat or two. Sequence: it starts at
-/// the address of one that crashed; that one's last announcement, held up by a cut, comes
-/// after its first. Cause: an address went to whoever was announced there last.
+/// Guards against a backend server without requests for one or two heartbeats: it starts at the
+/// address of a crashed server whose last announcement, delayed by a network partition, arrives
+/// after its own first one. The address must not go to the server that was announced there
+/// last.
 #[test]
 fn test_a_late_announcement_takes_no_address_from_one_born_later() {
     let mut log = Log::new();
@@ -166,8 +166,9 @@
     assert_eq!(log.known("two").unwrap().2, BackendState::Superseded);
 }
 
-/// Symptom: a backend server that was started again is spared as slow or hanging, or is sent
-/// requests for data that it no longer has. Cause: what was learned was kept by name.
+/// Guards against a restarted backend server that is avoided as slow or hanging, or that
+/// receives requests for data it no longer has cached, because observations were kept by name
+/// across the restart.
 #[test]
 fn test_nothing_learned_of_an_earlier_life_is_believed() {
     let mut probe = Probe::new();
@@ -181,17 +182,17 @@
     let fresh = probe.choose("17");
     assert_eq!((&fresh.name, fresh.born), (&first.name, 1_000));
     assert_eq!(fresh.wait, Duration::ZERO);
-    // A request of before that ends now tells nothing of the new life.
+    // A request of the previous process that ends now says nothing about the new one.
     probe.end(&in_flight, SendOutcome::Broken);
     probe.end(&first, SendOutcome::Broken);
     assert_eq!(probe.choose("17").name, first.name);
 }
 
-/// Symptom: for 3 s after a loss of all power, most backend servers get next to no requests,
-/// and the rest are crowded. Sequence: backend servers start during the traffic and say that
-/// they are cold for 3 s; that is committed. Long after, every entry VM starts anew, takes the
-/// records over, and counts the 3 s from its own start. Cause: nobody committed that the cold
-/// spell was over.
+/// Guards against entry VMs that treat warm backend servers as cold for 3 s after a restart of
+/// all VMs, so that most servers receive next to no requests and the rest are overloaded.
+/// Backend servers that start under traffic announce that they are cold for 3 s, and this is
+/// committed. Entry VMs that start long afterwards apply these records and count the 3 s from
+/// their own start, unless the end of the cold period was committed as well.
 #[rstest]
 #[case::nothing_new(|_: &mut BackendRecord| {}, false)]
 #[case::later_announcement(|r: &mut BackendRecord| r.sequence = 9, false)]
@@ -233,8 +234,8 @@
 }
 
 proptest! {
-    /// Whatever order announcements and withdrawals come in, the latest life that wasn't
-    /// withdrawn is known by its highest number.
+    /// In whatever order announcements and withdrawals arrive, the latest process instance that
+    /// was not withdrawn is known with its highest sequence number.
     #[test]
     fn test_the_order_in_which_announcements_come_makes_no_difference(
         mut said in proptest::collection::vec((1_u64..4, 1_u64..6), 1..12),
--- a/lib/tests/test_cold_tracker.rs
+++ b/lib/tests/test_cold_tracker.rs
@@ -1,4 +1,4 @@
-//! Entry VMs that control has left, and backend servers that become cold meanwhile.
+//! Entry VMs that have lost control while backend servers become cold.
 
 mod dispatch_model;
 
@@ -28,15 +28,15 @@
 use heatherring_lib::request_rank::RequestRank;
 
 const STEP: Duration = Duration::from_millis(5);
-/// Time from a question until its answer is known: a wait for a slot and the way.
+/// Time from a query to its reply: the wait for a slot and the network delay.
 const ANSWER_AFTER: Duration = Duration::from_millis(100);
-/// Time that a request takes.
+/// Run time of a request.
 const RUN: Duration = Duration::from_millis(180);
-/// Objects that the region's callers ask for: few, so that one backend server gets most of
-/// the requests.
+/// Number of objects that the region's callers request: few, so that one backend server
+/// receives most of the requests.
 const OBJECTS: u32 = 8;
 
-/// Entry VMs of one region, cut off from control, and the backend servers there.
+/// Entry VMs of one region without contact to control, and the backend servers there.
 struct Region {
     origin: Instant,
     now: Instant,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Plays for `length`, with 100 requests a second over all senders.
+    /// Runs for `length`, with 100 requests a second over all senders.
     fn run(&mut self, length: Duration) {
         const EVERY: u32 = 2;
         let end = self.now + length;
@@ -164,7 +164,8 @@
         self.arrivals.entry(choice.name).or_default().push(self.now);
     }
 
-    /// Returns the most requests that a backend server got within a second of its being cold.
+    /// Returns the maximum number of requests that a backend server received within any second
+    /// while cold.
     fn most_while_cold(&self) -> usize {
         let cold_from = self.cold_from.unwrap();
         let windows = self.arrivals.values().flat_map(|arrivals| {
@@ -184,13 +185,10 @@
     }
 }
 
-/// Symptom: backend servers of an evacuated place crash under requests of a few entry VMs.
-///
-/// Sequence: entry VMs of one region are cut off from control. A place there is evacuated,
-/// its backend servers become cold, and these entry VMs go on at the rate of before.
-///
-/// Cause: control's word was their only source on evacuations and on what is cold. 76
-/// requests reached a backend server within a second; it bears 16.
+/// Guards against crashes of backend servers in an evacuated place: entry VMs of its region
+/// have lost control, the backend servers become cold, and the entry VMs keep sending at the
+/// previous rate. While control was their only source of evacuations and cold backend servers,
+/// 76 requests reached a backend server within a second; it can handle 16.
 #[test]
 fn test_cold_tracker_finds_cold_backend_servers_without_control() {
     let mut region = Region::new(4);
@@ -202,7 +200,7 @@
     assert!(most <= 16, "{most} requests within a second");
 }
 
-/// With control in reach nobody is asked, and nothing is held back.
+/// While control is reachable, no queries are sent and no requests are held back.
 #[test]
 fn test_cold_tracker_asks_nobody_while_control_is_in_reach() {
     let mut region = Region::new(4);
@@ -217,7 +215,7 @@
     assert!(region.now > region.origin);
 }
 
-/// Nobody answers the questions: all that is left is what cold backend servers bear.
+/// Without any replies, only the rate that cold backend servers can handle is used.
 #[test]
 fn test_cold_tracker_is_careful_without_a_word() {
     let mut region = Region::new(4);
@@ -232,13 +230,10 @@
     assert!(most <= 16, "{most} requests within a second");
 }
 
-/// Symptom: an entry VM that control has left uses up its core and answers late.
-///
-/// Sequence: a place is asked; then none of its backend servers can be reached any more, and
-/// nobody there is asked again.
-///
-/// Cause: the next questions were due a quarter of a second after the oldest one, for ever in
-/// the past: the task that asks never paused.
+/// Guards against a busy loop in the querying task: a place is queried, then none of its
+/// backend servers is reachable, so that it is queried no more. Its next query was due a
+/// quarter of a second after the last one and stayed due in the past, so the task never slept,
+/// used up its core, and responses were late.
 #[test]
 fn test_cold_tracker_pauses_where_a_place_is_asked_no_more() {
     let began = Instant::now();
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -1,4 +1,4 @@
-//! Plays loads against direct dispatch and checks what callers get.
+//! Simulates loads on direct dispatch and checks the results for callers.
 
 mod dispatch_model;
 
@@ -14,17 +14,13 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Symptom: a burst makes requests late, and they stay late long after it is over.
-///
-/// Sequence: the burst fills the backend servers that have an object's data at hand. Its
-/// requests go elsewhere, take three times as long there and push other objects out, whose
-/// requests then take three times as long too. The load is three times as heavy from then
-/// on, so that all backend servers stay full.
-///
-/// Cause: a long wait where the data are at hand was reason enough to go elsewhere. Waits
-/// don't count for that any more. At 190 requests a second and region and twice that in the
-/// burst, the share within the objective after it was 0.13, and is 0.96; there were 4072
-/// runs without the data at hand, and are 652.
+/// Guards against a burst after which requests stay late for good. The burst fills the backend
+/// servers that have the data of an object cached. If its requests then go elsewhere, they take
+/// three times as long and evict other objects, whose requests take three times as long too,
+/// and the tripled load keeps all servers full. A long queue is therefore no reason to leave
+/// the servers with the data. At 190 requests a second per region and twice that in the burst,
+/// this raised the share within the objective afterwards from 0.13 to 0.96 and lowered the
+/// number of cold runs from 4072 to 652.
 #[test]
 fn test_direct_dispatch_recovers_from_a_burst() {
     for seed in 1..=3 {
@@ -40,9 +36,9 @@
     }
 }
 
-/// An ordinary load doesn't spread objects further than they can be kept: at most once for
-/// each of the up to nine backend servers that 88 objects are kept to is one run without
-/// its data at hand. There were 904 such runs without the bound, and are 485 with it.
+/// Under ordinary load, objects are not spread over more servers than can keep them: one cold
+/// run for each of the up to nine backend servers that each of the 88 objects is assigned to.
+/// There were 904 cold runs without the limit on copies, and 485 with it.
 #[test]
 fn test_direct_dispatch_keeps_objects_together() {
     let result = Model::new(Scenario {
@@ -54,7 +50,7 @@
     assert!(result.share() > 0.97, "{result:?}");
 }
 
-/// A region with a tenth of the backend servers and a third of the callers: a third of its
+/// A region has an eighth of the backend servers and a third of the callers: a third of its
 /// requests must be served elsewhere, and all in time.
 #[test]
 fn test_direct_dispatch_serves_a_region_short_of_room() {
@@ -62,12 +58,9 @@
     assert!(result.share() > 0.97, "{result:?}");
 }
 
-/// Symptom: on days with some lost answers, many requests take three times as long.
-///
-/// Sequence: one request to the home of an object breaks; those that follow go elsewhere.
-///
-/// Cause: one failure in a row of three was taken for a fault of the backend server. Only
-/// more than one in a short time is.
+/// Guards against cold runs after individual lost responses: if a single failure at the home of
+/// an object counts as a fault of the backend server, the requests that follow go elsewhere and
+/// take three times as long. Only several failures within a short time count as a fault.
 #[test]
 fn test_direct_dispatch_stays_where_one_request_failed() {
     let mut probe = dispatch_model::Probe::new();
@@ -80,12 +73,9 @@
     assert_ne!(after_two.name, home.name);
 }
 
-/// Symptom: under load objects go to backend servers where they aren't at hand.
-///
-/// Sequence: a request waits at its home, unseen by this entry VM, for longer than it would
-/// take without its data.
-///
-/// Cause: no answer for that long was taken for a backend server that hangs.
+/// Guards against moving objects under load to backend servers that do not have them cached: a
+/// request that is queued at its home, without this being known to the entry VM, for longer
+/// than a cold run must not be taken for a sign that the server hangs.
 #[test]
 fn test_direct_dispatch_stays_where_a_request_waits() {
     let mut probe = dispatch_model::Probe::new();
@@ -98,15 +88,12 @@
     assert_ne!(hanging.name, home.name);
 }
 
-/// Symptom: in the first seconds of a day three quarters of a region's requests move to
-/// backend servers of that region, and back.
-///
-/// Sequence: requests at home take longer than is assumed at the start, so that the estimate
-/// for requests whose data are at hand rises above the one for those without, which nothing
-/// has corrected yet. Backend servers without the data look better, all the more near ones.
-///
-/// Cause: the two estimates didn't know of each other. 0.33 of a region's requests changed
-/// their region within 2 s, and 0.14 do; the share in time was 0.88, and is 0.92.
+/// Guards against a start at which three quarters of a region's requests move to backend
+/// servers of that region, and back. If warm requests take longer than initially assumed, the
+/// warm estimate rises above the cold one, which nothing has corrected yet, and servers without
+/// the data look better, nearby ones most of all. With a minimum ratio between the two
+/// estimates, the share of a region's requests that moved within 2 s fell from 0.33 to 0.14,
+/// and the share in time rose from 0.88 to 0.92.
 #[test]
 fn test_direct_dispatch_starts_without_moving_regions() {
     for seed in 1..=3 {
@@ -121,19 +108,18 @@
     }
 }
 
-/// Symptom: right after a start, a quarter of a region's requests move to another region within
-/// 2 s and come back a few seconds later; there they take longer than those that stay.
+/// Guards against a start at which a quarter of a region's requests move to another region
+/// within 2 s and come back a few seconds later, taking longer there than those that stay.
+/// Nothing is cached yet, so each request takes three times as long, and the region at its peak
+/// exceeds its capacity. For a second its entry VMs know of no load, and all requests go to the
+/// first backend server of their own region. Then reports of queues arrive, and within a second
+/// each entry VM sends every request whose home is in another region there, since a round trip
+/// of 24 ms costs less than the wait.
 ///
-/// Sequence: nothing is at hand yet, so each request takes three times as long, and a region
-/// whose callers ask most is asked for more than it has room for. For a second its entry VMs
-/// know of no load, and all requests go to the first backend server of their own region. Then
-/// reports of queues come, and within a second each entry VM sends whatever has its home
-/// in another region there, since a way of 24 ms costs less than the wait.
-///
-/// Cause: waits decide between regions, and nothing bounds how many requests they move at a
-/// time. On twelve seeds 0.15 to 0.24 of the region's requests moved within 2 s. It isn't that
-/// the other region's load is unknown: taken for idle, it draws 0.25 to 0.30. Nor are copies
-/// made there: three in a hundred of those that moved were expected to find no data.
+/// Without a limit on how many requests move at a time, 0.15 to 0.24 of the region's requests
+/// moved within 2 s on twelve seeds. Unknown load in the other region is not the cause: when
+/// assumed to be idle, it attracts 0.25 to 0.30. Neither are copies made there: three in a
+/// hundred of the requests that moved were expected to find no data.
 #[test]
 fn test_direct_dispatch_starts_at_a_peak_without_moving_regions() {
     for seed in 1..=3 {
@@ -148,13 +134,11 @@
     }
 }
 
-/// Symptom: while twice as much is asked as can be served, next to no answer is in time.
-///
-/// Sequence: two thirds of the backend servers are gone. Queues grow until a request waits for
-/// almost its whole deadline, four times the latency objective; each answer comes, but late.
-///
-/// Cause: the deadline was the only bound on waits. With the latency objective as the bound,
-/// 0.10 of the answers are in time where 0.04 were, and as many come in all.
+/// Guards against next to no response being in time at twice the capacity: two thirds of the
+/// backend servers are gone, queues grow until requests wait for almost their whole deadline,
+/// four times the latency objective, and each response arrives late. With the latency objective
+/// instead of the deadline as the limit, 0.10 instead of 0.04 of the responses are in time, and
+/// the total number is the same.
 #[test]
 fn test_direct_dispatch_keeps_queues_short_under_overload() {
     for seed in 1..=2 {
@@ -177,13 +161,10 @@
     }
 }
 
-/// Symptom: at high load backend servers stay full, and a fifth of the requests run where their
-/// data aren't at hand.
-///
-/// Sequence: those that have an object are busy, so a further copy is made; all entry VMs do so
-/// for all objects, which takes three times the room and keeps everybody busy.
-///
-/// Cause: only copies ahead of need were bounded. Now all are, to one request in twenty.
+/// Guards against backend servers that stay full at high load while a fifth of the requests are
+/// cold runs: when the servers with an object are busy, all entry VMs make additional copies of
+/// all objects, which takes three times the capacity and keeps all servers busy. Such copies
+/// have to be limited like those made ahead of need, to one request in twenty.
 #[test]
 fn test_direct_dispatch_copies_for_few_requests_when_all_are_busy() {
     const OBJECTS: u32 = 30;
@@ -199,14 +180,11 @@
     assert!(copies <= OBJECTS * EACH / 20 + 1, "{copies} copies");
 }
 
-/// Symptom: of 384 backend servers some run four times as many requests as the mean, and most
-/// answers take a way to another region and back.
-///
-/// Sequence: each of many entry VMs asks for an object every 20 s or so, and thus never learns
-/// who else has it. It goes to the home, wherever that is.
-///
-/// Cause: only the home was taken to have an object before an answer said so. In a region with
-/// room the first of that region is too, which all entry VMs there agree on.
+/// Guards against an uneven load: of 384 backend servers, some ran four times as many requests
+/// as the mean, and most responses took a round trip to another region. Each of many entry VMs
+/// requests a given object only every 20 s or so and thus never learns which other servers have
+/// it, so all requests went to the home. In a region with enough capacity, its first server is
+/// therefore assumed to have the object as well; all entry VMs of the region agree on it.
 #[rstest]
 #[case::with_room(2, true)]
 #[case::short_of_room(0, false)]
@@ -223,11 +201,11 @@
     assert_eq!(all_near, stays);
 }
 
-/// Symptom: a request was passed on when its entry VM had next to no time left, and was cut off
-/// with the process. Sequence: a stop is asked for; the request waits behind another one, for
-/// its body or for a second try; it is passed on right before the end. Cause: the time left was
-/// counted to the caller's deadline only. Work at hand takes half of the objective of 0.5 s at the
-/// start, and 0.95 of the grace time is there for it.
+/// Guards against forwarding a request that is then cut off by the end of the process: a stop
+/// is requested while the request waits for another one, for its body or for a second attempt,
+/// and it is forwarded just before the end, because only the caller's deadline limited it. A
+/// warm request is initially expected to take half of the objective of 0.5 s, and 0.95 of the
+/// grace period is available for it.
 #[rstest]
 #[case::time_enough(Duration::from_secs(6), Duration::from_secs(4), None)]
 #[case::too_late(
@@ -255,23 +233,23 @@
     assert!(retry_after.is_none_or(|time| time < Duration::from_millis(200)));
 }
 
-/// Symptom: with a crowd there while half of the entry VMs stop and start again in turn, two in
-/// three requests are late or unserved, and for ten seconds after the last of them is back.
-///
-/// Sequence: the callers of those that stop go to the rest, whose requests double. The link of
-/// each of the rest is full; connections to all backend servers take ever longer, end at their
-/// bound of 0.4 s, and are tried at the next one. What isn't refused after 0.4 to 1.6 s is late,
-/// since its answer stands at the link too, and an entry VM that has just started and answers 98
-/// in 100 in time gets a third of the requests that it could serve.
+/// Guards against congestion of an entry VM's own network link. With a crowd of callers while
+/// half of the entry VMs restart in turn, two in three requests were late or not served, until
+/// ten seconds after the last restart. The callers of the stopped entry VMs go to the remaining
+/// ones, whose requests double and whose links are full. Connecting to any backend server takes
+/// longer and longer, times out after 0.4 s and is tried at the next server. A request that is
+/// not refused after 0.4 to 1.6 s is late, since its response queues at the link too. Meanwhile
+/// an entry VM that has just started answers 98 in 100 requests in time and gets a third of
+/// those that it could serve.
 ///
-/// Cause: an entry VM knew how busy backend servers were, and nothing of its own link. Of the
-/// requests at entry VMs with 160 or more a second a fifth were answered, at those with up to 60
-/// 97 in 100, in the same seconds.
+/// Entry VMs knew the load of the backend servers but not that of their own link. Of the
+/// requests at entry VMs with 160 or more a second, a fifth were answered; at those with up to
+/// 60, 97 in 100, in the same seconds.
 #[test]
 fn test_direct_dispatch_turns_requests_away_while_its_own_link_is_full() {
     const WAY: Duration = Duration::from_millis(2);
     let mut probe = Probe::new();
-    // Each request that is sent ends after the time in which 60 more come.
+    // Each request ends after another 60 have arrived.
     let mut in_flight = VecDeque::from(vec![None; 60]);
     let mut refused_with = |probe: &mut Probe, took: Duration| {
         let mut refused = Vec::new();
@@ -296,19 +274,19 @@
         full.len() < 400,
         "nothing tells when the link has room again"
     );
-    // Others have room; whoever comes back soon may still be answered in time, and those refused
-    // together don't come back together.
+    // Other entry VMs have capacity. A caller that returns soon may still be served in time,
+    // and callers refused together do not return together.
     let soon = RETRY_ELSEWHERE_AFTER.mul_f64(0.75)..=RETRY_ELSEWHERE_AFTER.mul_f64(1.25);
     let times: BTreeSet<Duration> = full.iter().map(|no_choice| no_choice.retry_after).collect();
     assert!(times.iter().all(|time| soon.contains(time)), "{times:?}");
     assert!(times.len() > full.len() / 2, "{times:?}");
-    // The link is as it was.
+    // The link is no longer congested.
     refused_with(&mut probe, WAY);
     assert_eq!(refused_with(&mut probe, WAY), []);
 }
 
-/// A region that is cut off, or backend servers that are dark together, say nothing of the entry
-/// VM's own link: others are reached as fast as ever.
+/// A partitioned region or a group of unreachable backend servers does not indicate congestion
+/// of the entry VM's own link: other servers are reached as quickly as before.
 #[test]
 fn test_direct_dispatch_takes_requests_while_most_backend_servers_are_dark() {
     let mut probe = Probe::new();
@@ -325,9 +303,10 @@
     }
 }
 
-/// What an entry VM learned goes with it. That half of them start anew in a burst, one each half
-/// second, costs the callers next to nothing: homes need no learning, and loads are told anew by
-/// the first answers. So it isn't this that makes a crowd late while entry VMs stop in turn.
+/// An entry VM that restarts loses everything it has learned. The restart of half of them
+/// during a burst, one every half second, costs callers next to nothing: homes need no
+/// learning, and the first responses report the loads again. The loss of what was learned is
+/// thus not what makes requests late when entry VMs restart in turn under a crowd of callers.
 #[test]
 fn test_direct_dispatch_bears_entry_vms_that_start_anew() {
     let calm = Scenario {
--- a/lib/tests/test_region_moves.rs
+++ b/lib/tests/test_region_moves.rs
@@ -1,4 +1,4 @@
-//! How fast the share of requests that move to another region may grow.
+//! Growth of the share of requests that move to another region.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,8 +7,8 @@
 
 const WINDOW: Duration = Duration::from_secs(2);
 
-/// Asks `count` times over one window, and moves as often as may be if `wanted`; returns the
-/// share that moved.
+/// Sends `count` requests over one window, and moves as many as allowed if `wanted`; returns
+/// the share that moved.
 fn run_window(moves: &mut RegionMoves, from: Instant, count: u32, wanted: bool) -> f64 {
     let mut count_moved = 0;
     for number in 0..count {
@@ -33,7 +33,8 @@
     }
 }
 
-/// Nothing moves in the first window, and few do in the one after it however many want to.
+/// After a window without any moves, only few requests may move in the next one, however many
+/// would.
 #[test]
 fn test_region_moves_begin_at_nothing() {
     let start = Instant::now();
@@ -43,7 +44,7 @@
     assert!((0.06..=0.1).contains(&share), "{share}");
 }
 
-/// An entry VM that is asked a dozen times in a window may move requests too.
+/// An entry VM with a dozen requests per window can move requests too.
 #[test]
 fn test_region_moves_are_possible_with_few_requests() {
     let start = Instant::now();
@@ -52,7 +53,7 @@
     assert!(shares.sum::<f64>() / 40.0 > 0.1);
 }
 
-/// What was moved before a pause is no reason to move as many after it.
+/// The share that moved before a pause does not allow as many moves after it.
 #[test]
 fn test_region_moves_forget_after_a_pause() {
     let start = Instant::now();
--- a/lib/tests/test_service_latency.rs
+++ b/lib/tests/test_service_latency.rs
@@ -1,4 +1,4 @@
-//! Estimates of how long requests take.
+//! Run-time estimates by route.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use heatherring_lib::service_latency::ServiceLatency;
 use rstest::rstest;
 
-/// The latency objective of the routes here; their times differ from it in both directions.
+/// Latency objective of the routes here; their run times lie on both sides of it.
 const OBJECTIVE: Duration = Duration::from_millis(500);
 
 fn observe(latency: &mut RouteLatency, millis: u64, times: u32) {
@@ -16,8 +16,8 @@
     }
 }
 
-/// Both kinds are told apart by their times alone, also where every request of the first
-/// seconds finds nothing at hand.
+/// Warm and cold requests are distinguished by their run times alone, even if all requests of
+/// the first seconds are cold.
 #[rstest]
 #[case::short(72, 240)]
 #[case::middle(192, 640)]
@@ -36,11 +36,9 @@
     }
 }
 
-/// Symptom: requests go where their data aren't at hand.
-///
-/// Sequence: all requests take longer than is assumed for those without their data.
-///
-/// Cause: the estimate with data at hand rose above the one without, which nothing corrected.
+/// Guards against requests being sent to servers without their data: if all requests take
+/// longer than initially assumed for cold ones, the warm estimate rose above the cold one,
+/// which nothing corrected.
 #[test]
 fn test_service_latency_expects_more_without_data() {
     let mut latency = RouteLatency::new(OBJECTIVE);
@@ -50,7 +48,7 @@
     }
 }
 
-/// One outlier doesn't move an estimate far once there have been some observations.
+/// A single outlier after some observations does not change an estimate much.
 #[test]
 fn test_service_latency_bears_an_outlier() {
     let mut latency = RouteLatency::new(OBJECTIVE);
@@ -59,10 +57,10 @@
     assert!(latency.expected(true) < 0.1, "{latency:?}");
 }
 
-/// Symptom: backend servers of a service with two kinds of requests look slow, and waits are
-/// expected wrongly. Sequence: one route's requests take 120 ms, the other's 680 ms, in turn.
-/// Cause: one estimate for both lay at 180 ms, so that the slower ones were four times as slow
-/// as expected, always.
+/// Guards against a single estimate for a service with different routes: with one route at 120
+/// ms and another at 680 ms in turn, it lay at 180 ms, so that the slower requests always took
+/// four times as long as expected. Backend servers looked slow, and queueing times were
+/// estimated wrongly.
 #[test]
 fn test_service_latency_keeps_routes_apart() {
     let mut latency = ServiceLatency::default();
@@ -80,8 +78,8 @@
     assert!((0.35..0.45).contains(&latency.mean()), "{}", latency.mean());
 }
 
-/// Many names come and go with the manifest; what is kept stays bounded, and a request under
-/// way whose route was dropped meanwhile does no harm.
+/// Route names come and go with the manifest; the number of estimates stays bounded, and a
+/// request in flight whose route was evicted does no harm.
 #[test]
 fn test_service_latency_keeps_a_bounded_number_of_routes() {
     let mut latency = ServiceLatency::default();
--- a/lib/tests/test_stop_estimate.rs
+++ b/lib/tests/test_stop_estimate.rs
@@ -1,4 +1,4 @@
-//! Direct dispatch: what a planned stop takes an estimate of time for.
+//! Direct dispatch: run-time estimates during a planned stop.
 
 mod dispatch_model;
 
@@ -10,15 +10,15 @@
 use heatherring_lib::planned_stop::PlannedStop;
 use rstest::rstest;
 
-/// Time that is left when a request is asked for.
+/// Time left when a request arrives.
 const LEFT: Duration = Duration::from_millis(400);
 
-/// Symptom: requests are passed on at the end of a stop of which all are cut off. Sequence: each
-/// of 200 requests of a route, for one object and one after the other, took about its latency
-/// objective of 0.5 s; the next one begins 0.4 s before the last answers must be there. Cause:
-/// times above 0.87 of the objective count as those of requests without their data at hand, and
-/// half of them is expected of one with them. That ranks backend servers; as the time that a
-/// request takes it is too short by half, and a stop goes by it.
+/// Guards against forwarding requests at the end of a stop that are then all cut off. 200
+/// consecutive requests of a route for one object take about its latency objective of 0.5 s
+/// each, and the next one arrives 0.4 s before the last responses are due. Run times above 0.87
+/// of the objective count as cold, and half of that is expected of a warm request. That is
+/// suited to ranking backend servers but too short by half as a run time, and must not decide
+/// whether a request can complete before the stop.
 #[rstest]
 #[case::alike([500, 500, 500, 500])]
 #[case::differing_a_little([450, 480, 520, 550])]
