--- a/lib/src/direct_dispatch.rs
+++ b/lib/src/direct_dispatch.rs
@@ -244,12 +244,12 @@
             // A record written by a different release may refer to a place that is unknown
             // here.
             let places = &self.cfg.places;
-            let is_sound = backend
+            let is_valid = backend
                 .record
                 .check(&backend.name, |place| places.contains_key(place))
                 .is_ok();
             let is_ready = backend.record.state == BackendState::Ready;
-            backend.usable = is_ready && is_sound && !evacuated;
+            backend.usable = is_ready && is_valid && !evacuated;
             if let Some(service) = self.services.get_mut(&backend.record.service) {
                 service.backends.push(key);
             }
@@ -282,7 +282,7 @@
             .get(key)
             .map(|backend| &backend.record.service);
         if let Some(service) = service.and_then(|name| self.services.get_mut(name)) {
-            service.latency.observe_tail(latency_key, took);
+            service.latency.observe_body(latency_key, took);
         }
     }
 
--- a/lib/src/dispatch_pick.rs
+++ b/lib/src/dispatch_pick.rs
@@ -120,7 +120,7 @@
     if prefers_cold {
         // Servers with the data cached fail, hang or are slow; queueing times are not
         // considered here.
-        return cheapest(&with_room(candidates, limits), Candidate::cost);
+        return cheapest(&within_limits(candidates, limits), Candidate::cost);
     }
     let copy = limits
         .may_copy
@@ -129,7 +129,7 @@
     if copy.is_some() {
         return copy;
     }
-    let fitting = with_room(&warm, limits);
+    let fitting = within_limits(&warm, limits);
     let is_pinned = |candidate: &&Candidate| {
         let pinned_region = limits.pinned_region;
         pinned_region.is_none_or(|region| candidate.region == region)
@@ -177,7 +177,7 @@
     cheapest(&idle, Candidate::cost)
 }
 
-fn with_room(candidates: &[Candidate], limits: &PickLimits) -> Vec<Candidate> {
+fn within_limits(candidates: &[Candidate], limits: &PickLimits) -> Vec<Candidate> {
     let fits = |candidate: &&Candidate| {
         candidate.load <= 1.0 + QUEUE_LIMIT
             && candidate.time() <= limits.time_left
--- a/lib/src/region_moves.rs
+++ b/lib/src/region_moves.rs
@@ -30,12 +30,12 @@
     /// Counts per step, latest step last.
     steps: [Counts; 2 * WINDOW],
     /// Start of the latest step.
-    began: Option<Instant>,
+    step_start: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    asked: u32,
+    total: u32,
     moved: u32,
 }
 
@@ -45,8 +45,8 @@
         self.advance(now);
         let (before, recent) = self.steps.split_at(WINDOW);
         let (before, recent) = (sum(before), sum(recent));
-        let share = f64::from(before.moved) / f64::from(before.asked.max(1));
-        let allowed = (share + MAX_GROWTH) * f64::from(recent.asked + 1);
+        let share = f64::from(before.moved) / f64::from(before.total.max(1));
+        let allowed = (share + MAX_GROWTH) * f64::from(recent.total + 1);
         f64::from(recent.moved + 1) <= allowed
     }
 
@@ -54,13 +54,13 @@
     pub fn note(&mut self, now: Instant, moved: bool) {
         self.advance(now);
         let latest = &mut self.steps[2 * WINDOW - 1];
-        latest.asked += 1;
+        latest.total += 1;
         latest.moved += u32::from(moved);
     }
 
     fn advance(&mut self, now: Instant) {
-        let began = *self.began.get_or_insert(now);
-        let passed = now.saturating_duration_since(began).as_millis() / STEP.as_millis();
+        let step_start = *self.step_start.get_or_insert(now);
+        let passed = now.saturating_duration_since(step_start).as_millis() / STEP.as_millis();
         let passed = usize::try_from(passed).unwrap_or(usize::MAX);
         if passed == 0 {
             return;
@@ -70,13 +70,15 @@
         let first_new = self.steps.len() - kept;
         self.steps[first_new..].fill(Counts::default());
         let whole = u32::try_from(passed).unwrap_or(u32::MAX);
-        self.began = began.checked_add(STEP.saturating_mul(whole)).or(Some(now));
+        self.step_start = step_start
+            .checked_add(STEP.saturating_mul(whole))
+            .or(Some(now));
     }
 }
 
 fn sum(steps: &[Counts]) -> Counts {
     steps.iter().fold(Counts::default(), |sum, step| Counts {
-        asked: sum.asked + step.asked,
+        total: sum.total + step.total,
         moved: sum.moved + step.moved,
     })
 }
--- a/lib/src/service_latency.rs
+++ b/lib/src/service_latency.rs
@@ -56,7 +56,7 @@
     cold: Estimate,
     /// Median run time of all requests, warm or cold.
     median: Estimate,
-    tail: Tail,
+    body: BodyTime,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -91,12 +91,12 @@
 /// Mean time from the head of a response to its last byte; zero for most routes, whose
 /// responses are buffered completely before they are forwarded.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tail {
+struct BodyTime {
     mean: f64,
     answers: f64,
 }
 
-impl Tail {
+impl BodyTime {
     /// Number of latest responses that the mean covers.
     const MAX_ANSWERS: f64 = 20.0;
 
@@ -120,7 +120,7 @@
             warm: Estimate::new(objective * INITIAL_WARM),
             cold: Estimate::new(objective * INITIAL_COLD),
             median: Estimate::new(objective * INITIAL_WARM),
-            tail: Tail::default(),
+            body: BodyTime::default(),
         }
     }
 
@@ -142,14 +142,14 @@
     /// complete, use this estimate as well.
     #[must_use]
     pub fn time_to_last_byte(&self) -> f64 {
-        self.median.value + self.tail.mean
+        self.median.value + self.body.mean
     }
 
     /// Records the run time of a request that did not queue.
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.median.observe(took, 0.5);
-        self.tail.note_head();
+        self.body.note_head();
         let boundary = (self.warm.value * self.cold.value).sqrt();
         if took < boundary {
             self.warm.observe(took, QUANTILE);
@@ -246,9 +246,9 @@
     }
 
     /// Records the time from the head to the end of a streamed response.
-    pub fn observe_tail(&mut self, route: RouteLatencyKey, took: Duration) {
+    pub fn observe_body(&mut self, route: RouteLatencyKey, took: Duration) {
         if let Some(route_entry) = self.routes.get_mut(route) {
-            route_entry.latency.tail.note_end(took.as_secs_f64());
+            route_entry.latency.body.note_end(took.as_secs_f64());
         }
     }
 
--- a/lib/tests/test_backend_life.rs
+++ b/lib/tests/test_backend_life.rs
@@ -45,7 +45,7 @@
     }
 }
 
-fn life(name: &str, born: u64) -> BackendIncarnation {
+fn incarnation(name: &str, born: u64) -> BackendIncarnation {
     BackendIncarnation {
         backend: BackendName::new(name),
         born,
@@ -79,7 +79,7 @@
 
     fn withdraw(&mut self, born: u64) {
         let index = self.next();
-        self.state.withdraw(index, &life("one", born));
+        self.state.withdraw(index, &incarnation("one", born));
     }
 
     /// Restores the state from a snapshot, as after a restart or at a lagging replica.
@@ -98,9 +98,9 @@
 /// of the new process are numbered from 1, and a number lower than the last one of the previous
 /// process must not be mistaken for a delayed announcement.
 #[rstest]
-#[case::at_once(false)]
+#[case::directly(false)]
 #[case::through_a_snapshot(true)]
-fn test_a_later_birth_counts_anew(#[case] restart: bool) {
+fn test_announcements_of_a_restarted_process_number_anew(#[case] restart: bool) {
     let mut log = Log::new();
     log.announce("one", 1_000, 7, BackendState::Draining);
     if restart {
@@ -117,9 +117,9 @@
 /// A withdrawal applies to the named process instance and to earlier ones: a delayed
 /// announcement of these restores nothing, and the next instance can register.
 #[rstest]
-#[case::at_once(false)]
+#[case::directly(false)]
 #[case::through_a_snapshot(true)]
-fn test_gone_binds_one_life(#[case] restart: bool) {
+fn test_withdrawal_applies_to_one_process_instance(#[case] restart: bool) {
     let mut log = Log::new();
     log.announce("one", 1_000, 7, BackendState::Ready);
     log.withdraw(1_000);
@@ -138,16 +138,16 @@
 /// found silent, the server restarts, and only then is the command to forget it executed. The
 /// command has to name the process instance.
 #[test]
-fn test_an_earlier_life_is_forgotten_alone() {
+fn test_forgetting_an_earlier_instance_keeps_the_current_one() {
     let mut log = Log::new();
     log.announce("one", 2_000, 1, BackendState::Ready);
     log.state
-        .forget_backends(Revision(5), &[life("one", 1_000)]);
+        .forget_backends(Revision(5), &[incarnation("one", 1_000)]);
     assert!(log.known("one").is_some());
     log.withdraw(1_000);
     assert!(log.known("one").is_some());
     log.state
-        .forget_backends(Revision(6), &[life("one", 2_000)]);
+        .forget_backends(Revision(6), &[incarnation("one", 2_000)]);
     assert!(log.known("one").is_none());
 }
 
@@ -156,7 +156,7 @@
 /// after its own first one. The address must not go to the server that was announced there
 /// last.
 #[test]
-fn test_a_late_announcement_takes_no_address_from_one_born_later() {
+fn test_a_delayed_announcement_takes_no_address_from_a_later_instance() {
     let mut log = Log::new();
     log.announce("two", 2_000, 1, BackendState::Ready);
     log.announce("one", 1_000, 7, BackendState::Ready);
@@ -170,7 +170,7 @@
 /// receives requests for data it no longer has cached, because observations were kept by name
 /// across the restart.
 #[test]
-fn test_nothing_learned_of_an_earlier_life_is_believed() {
+fn test_observations_of_an_earlier_instance_are_dropped() {
     let mut probe = Probe::new();
     let first = probe.choose("17");
     probe.end(&first, SendOutcome::Broken);
@@ -197,15 +197,18 @@
 #[case::nothing_new(|_: &mut BackendRecord| {}, false)]
 #[case::later_announcement(|r: &mut BackendRecord| r.sequence = 9, false)]
 #[case::less_cold(|r: &mut BackendRecord| r.cold_for = Duration::from_secs(1), false)]
-#[case::cold_no_more(|r: &mut BackendRecord| r.cold_for = Duration::ZERO, true)]
+#[case::no_longer_cold(|r: &mut BackendRecord| r.cold_for = Duration::ZERO, true)]
 #[case::leaving(|r: &mut BackendRecord| r.state = BackendState::Draining, true)]
-#[case::born_again(|r: &mut BackendRecord| r.born = 2, true)]
-fn test_what_an_announcement_adds(#[case] alter: fn(&mut BackendRecord), #[case] more: bool) {
+#[case::restarted(|r: &mut BackendRecord| r.born = 2, true)]
+fn test_announcement_differs_materially(
+    #[case] alter: fn(&mut BackendRecord),
+    #[case] differs: bool,
+) {
     let mut known = record(1, 1, BackendState::Ready);
     known.cold_for = Duration::from_secs(3);
-    let mut said = known.clone();
-    alter(&mut said);
-    assert_eq!(said.differs_materially_from(&known), more);
+    let mut announced = known.clone();
+    alter(&mut announced);
+    assert_eq!(announced.differs_materially_from(&known), differs);
 }
 
 fn check(record: &BackendRecord, name: &str) -> Result<(), RecordProblem> {
@@ -213,7 +216,7 @@
 }
 
 #[rstest]
-#[case::sound(|_: &mut BackendRecord| {}, "one", true)]
+#[case::valid(|_: &mut BackendRecord| {}, "one", true)]
 #[case::no_name(|_: &mut BackendRecord| {}, "", false)]
 #[case::long_name(|_: &mut BackendRecord| {}, &"x".repeat(300), false)]
 #[case::no_service(|r: &mut BackendRecord| r.service = ServiceName::new(""), "one", false)]
@@ -222,15 +225,15 @@
 #[case::no_address(|r: &mut BackendRecord| r.address.set_ip([0, 0, 0, 0].into()), "one", false)]
 #[case::no_slots(|r: &mut BackendRecord| r.slots = 0, "one", false)]
 #[case::odd_slots(|r: &mut BackendRecord| r.slots = u32::MAX, "one", false)]
-#[case::for_ever_cold(|r: &mut BackendRecord| r.cold_for = Duration::MAX, "one", false)]
-fn test_what_names_no_backend_server_to_use(
+#[case::endless_cold(|r: &mut BackendRecord| r.cold_for = Duration::MAX, "one", false)]
+fn test_record_check(
     #[case] alter: fn(&mut BackendRecord),
     #[case] name: &str,
-    #[case] is_sound: bool,
+    #[case] is_valid: bool,
 ) {
     let mut record = record(1, 1, BackendState::Ready);
     alter(&mut record);
-    assert_eq!(check(&record, name).is_ok(), is_sound);
+    assert_eq!(check(&record, name).is_ok(), is_valid);
 }
 
 proptest! {
@@ -238,17 +241,17 @@
     /// was not withdrawn is known with its highest sequence number.
     #[test]
     fn test_the_order_in_which_announcements_come_makes_no_difference(
-        mut said in proptest::collection::vec((1_u64..4, 1_u64..6), 1..12),
+        mut announced in proptest::collection::vec((1_u64..4, 1_u64..6), 1..12),
         order in any::<u64>(),
-        gone in proptest::option::of(1_u64..4),
+        withdrawn in proptest::option::of(1_u64..4),
     ) {
-        let latest = said.iter().filter(|(born, _)| gone.is_none_or(|gone| *born > gone)).max().copied();
-        let count = said.len();
-        said.rotate_left(usize::try_from(order % 64).unwrap() % count);
+        let latest = announced.iter().filter(|(born, _)| withdrawn.is_none_or(|last| *born > last)).max().copied();
+        let count = announced.len();
+        announced.rotate_left(usize::try_from(order % 64).unwrap() % count);
         let mut log = Log::new();
-        for (number, (born, sequence)) in said.into_iter().enumerate() {
-            if let Some(gone) = gone.filter(|_| number == count / 2) {
-                log.withdraw(gone);
+        for (number, (born, sequence)) in announced.into_iter().enumerate() {
+            if let Some(withdrawn) = withdrawn.filter(|_| number == count / 2) {
+                log.withdraw(withdrawn);
             }
             log.announce("one", born, sequence, BackendState::Ready);
         }
--- a/lib/tests/test_cold_tracker.rs
+++ b/lib/tests/test_cold_tracker.rs
@@ -193,7 +193,10 @@
 fn test_cold_tracker_finds_cold_backend_servers_without_control() {
     let mut region = Region::new(4);
     region.run(Duration::from_secs(5));
-    assert_eq!(region.refused, 0, "a good word lets requests through");
+    assert_eq!(
+        region.refused, 0,
+        "requests are refused despite warm replies"
+    );
     region.cold_from = Some(region.now);
     region.run(Duration::from_secs(4));
     let most = region.most_while_cold();
@@ -202,7 +205,7 @@
 
 /// While control is reachable, no queries are sent and no requests are held back.
 #[test]
-fn test_cold_tracker_asks_nobody_while_control_is_in_reach() {
+fn test_cold_tracker_queries_nobody_while_control_is_reachable() {
     let mut region = Region::new(4);
     for _ in 0..10 {
         region.run(Duration::from_millis(800));
@@ -217,7 +220,7 @@
 
 /// Without any replies, only the rate that cold backend servers can handle is used.
 #[test]
-fn test_cold_tracker_is_careful_without_a_word() {
+fn test_cold_tracker_assumes_cold_without_a_reply() {
     let mut region = Region::new(4);
     region.run(Duration::from_secs(2));
     region.cold_from = Some(region.now + Duration::from_millis(250));
@@ -235,7 +238,7 @@
 /// quarter of a second after the last one and stayed due in the past, so the task never slept,
 /// used up its core, and responses were late.
 #[test]
-fn test_cold_tracker_pauses_where_a_place_is_asked_no_more() {
+fn test_cold_tracker_sleeps_after_a_place_becomes_unreachable() {
     let began = Instant::now();
     let mut tracker = ColdTracker::new(began);
     let sent_at = began + CONTROL_LOST_AFTER;
@@ -245,14 +248,11 @@
         let next = tracker.next_due(now);
         assert!(
             next > now,
-            "no pause {:?} after the question",
+            "next query not due later than now, {:?} after the last one",
             now - sent_at
         );
         now = next;
         tracker.try_query(now, &place(1));
     }
-    assert!(
-        now <= sent_at + Duration::from_secs(5),
-        "questions are late"
-    );
+    assert!(now <= sent_at + Duration::from_secs(5), "queries are late");
 }
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -53,7 +53,7 @@
 /// A region has an eighth of the backend servers and a third of the callers: a third of its
 /// requests must be served elsewhere, and all in time.
 #[test]
-fn test_direct_dispatch_serves_a_region_short_of_room() {
+fn test_direct_dispatch_serves_a_region_short_of_capacity() {
     let result = Model::new(Scenario::look_up()).run();
     assert!(result.share() > 0.97, "{result:?}");
 }
@@ -186,9 +186,9 @@
 /// it, so all requests went to the home. In a region with enough capacity, its first server is
 /// therefore assumed to have the object as well; all entry VMs of the region agree on it.
 #[rstest]
-#[case::with_room(2, true)]
-#[case::short_of_room(0, false)]
-fn test_direct_dispatch_stays_in_a_region_with_room(#[case] own: usize, #[case] stays: bool) {
+#[case::with_capacity(2, true)]
+#[case::short_of_capacity(0, false)]
+fn test_direct_dispatch_stays_in_a_region_with_capacity(#[case] own: usize, #[case] stays: bool) {
     let mut probe = dispatch_model::Probe::in_region(own);
     let near = format!("server-{own}-");
     let mut all_near = true;
@@ -246,8 +246,8 @@
 /// requests at entry VMs with 160 or more a second, a fifth were answered; at those with up to
 /// 60, 97 in 100, in the same seconds.
 #[test]
-fn test_direct_dispatch_turns_requests_away_while_its_own_link_is_full() {
-    const WAY: Duration = Duration::from_millis(2);
+fn test_direct_dispatch_refuses_requests_while_its_own_link_is_congested() {
+    const ROUND_TRIP: Duration = Duration::from_millis(2);
     let mut probe = Probe::new();
     // Each request ends after another 60 have arrived.
     let mut in_flight = VecDeque::from(vec![None; 60]);
@@ -267,12 +267,16 @@
         }
         refused
     };
-    assert_eq!(refused_with(&mut probe, WAY), []);
-    let full = refused_with(&mut probe, WAY + Duration::from_millis(350));
-    assert!(full.len() > 240, "{} of 400 are turned away", full.len());
+    assert_eq!(refused_with(&mut probe, ROUND_TRIP), []);
+    let full = refused_with(&mut probe, ROUND_TRIP + Duration::from_millis(350));
+    assert!(
+        full.len() > 240,
+        "only {} of 400 requests refused",
+        full.len()
+    );
     assert!(
         full.len() < 400,
-        "nothing tells when the link has room again"
+        "all requests refused: a recovery of the link can't be detected"
     );
     // Other entry VMs have capacity. A caller that returns soon may still be served in time,
     // and callers refused together do not return together.
@@ -281,14 +285,14 @@
     assert!(times.iter().all(|time| soon.contains(time)), "{times:?}");
     assert!(times.len() > full.len() / 2, "{times:?}");
     // The link is no longer congested.
-    refused_with(&mut probe, WAY);
-    assert_eq!(refused_with(&mut probe, WAY), []);
+    refused_with(&mut probe, ROUND_TRIP);
+    assert_eq!(refused_with(&mut probe, ROUND_TRIP), []);
 }
 
 /// A partitioned region or a group of unreachable backend servers does not indicate congestion
 /// of the entry VM's own link: other servers are reached as quickly as before.
 #[test]
-fn test_direct_dispatch_takes_requests_while_most_backend_servers_are_dark() {
+fn test_direct_dispatch_accepts_requests_while_most_backend_servers_are_unreachable() {
     let mut probe = Probe::new();
     for object in 0..100 {
         probe.advance(Duration::from_millis(10));
@@ -308,7 +312,7 @@
 /// learning, and the first responses report the loads again. The loss of what was learned is
 /// thus not what makes requests late when entry VMs restart in turn under a crowd of callers.
 #[test]
-fn test_direct_dispatch_bears_entry_vms_that_start_anew() {
+fn test_direct_dispatch_tolerates_entry_vm_restarts() {
     let calm = Scenario {
         burst: 1.3,
         counted: (2, 7),
@@ -322,6 +326,6 @@
     let after = Model::new(restarting).run().share();
     assert!(
         after > before - 0.03,
-        "{before} in time, {after} with starts"
+        "{before} in time, {after} with restarts"
     );
 }
--- a/lib/tests/test_region_moves.rs
+++ b/lib/tests/test_region_moves.rs
@@ -36,7 +36,7 @@
 /// After a window without any moves, only few requests may move in the next one, however many
 /// would.
 #[test]
-fn test_region_moves_begin_at_nothing() {
+fn test_region_moves_start_from_zero() {
     let start = Instant::now();
     let mut moves = RegionMoves::default();
     run_window(&mut moves, start, 200, false);
--- a/lib/tests/test_service_latency.rs
+++ b/lib/tests/test_service_latency.rs
@@ -22,7 +22,7 @@
 #[case::short(72, 240)]
 #[case::middle(192, 640)]
 #[case::long(350, 1_400)]
-fn test_service_latency_tells_kinds_apart(#[case] warm: u64, #[case] cold: u64) {
+fn test_service_latency_distinguishes_warm_and_cold(#[case] warm: u64, #[case] cold: u64) {
     let mut latency = RouteLatency::new(OBJECTIVE);
     observe(&mut latency, cold, 20);
     for _ in 0..60 {
@@ -50,7 +50,7 @@
 
 /// A single outlier after some observations does not change an estimate much.
 #[test]
-fn test_service_latency_bears_an_outlier() {
+fn test_service_latency_tolerates_an_outlier() {
     let mut latency = RouteLatency::new(OBJECTIVE);
     observe(&mut latency, 90, 50);
     observe(&mut latency, 9_000, 1);
@@ -62,7 +62,7 @@
 /// four times as long as expected. Backend servers looked slow, and queueing times were
 /// estimated wrongly.
 #[test]
-fn test_service_latency_keeps_routes_apart() {
+fn test_service_latency_keeps_routes_separate() {
     let mut latency = ServiceLatency::default();
     let (check, proof) = (RouteName::new("check"), RouteName::new("proof"));
     for _ in 0..100 {
--- a/lib/tests/test_stop_estimate.rs
+++ b/lib/tests/test_stop_estimate.rs
@@ -22,7 +22,7 @@
 #[rstest]
 #[case::alike([500, 500, 500, 500])]
 #[case::differing_a_little([450, 480, 520, 550])]
-fn test_stop_refuses_what_never_took_so_little(#[case] took_ms: [u64; 4]) {
+fn test_stop_refuses_requests_that_take_longer_than_the_time_left(#[case] took_ms: [u64; 4]) {
     let mut probe = Probe::new();
     for took_ms in took_ms.iter().cycle().take(200) {
         let choice = probe.choose("17");
