--- a/lib/src/raft_membership.rs
+++ b/lib/src/raft_membership.rs
@@ -1,8 +1,8 @@
-//! Changes of the set of replicas, one replica at a time.
+//! Membership changes, one replica at a time.
 //!
-//! A membership is in force from when it is appended, and is rolled back if the entry
-//! is replaced. Two memberships that follow each other differ by one voter, so any two
-//! of their majorities share a replica.
+//! A membership is in force as soon as it is appended, and is rolled back if its entry is
+//! replaced. Consecutive memberships differ by at most one voter, so any majority of one
+//! and any majority of the other have a replica in common.
 
 use crate::id::ReplicaId;
 use crate::raft::Raft;
@@ -20,7 +20,7 @@
 use crate::raft_progress::LeaderCx;
 use crate::replica_plan;
 
-/// Names a change that the leader makes by itself.
+/// Represents a change that the leader makes automatically.
 #[derive(Clone, Copy, Debug)]
 enum DueChange {
     RemoveReplaced(ReplicaId),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns why no membership change can be taken now.
+    /// Returns why no membership change can be accepted now; `None` if one can.
     fn change_refusal(&self) -> Option<Refusal> {
         if let Some(reason) = self.proposal_refusal() {
             return Some(reason);
@@ -63,9 +63,9 @@
     /// Returns whether the last membership change is committed and the leader has
     /// committed an entry of its own term.
     ///
-    /// Without the second condition, a leader could change the membership while an
-    /// earlier leader's change, which it doesn't know, is committed by others; the two
-    /// differ by more than one voter and their majorities need not meet.
+    /// Without the second condition, a leader could change the membership while others
+    /// commit a change of an earlier leader that it does not know of. The two memberships
+    /// would differ by more than one voter and could have disjoint majorities.
     fn may_change_membership(&self) -> bool {
         let RoleState::Leader(leader) = &self.role else {
             return false;
@@ -85,14 +85,15 @@
         }
     }
 
-    /// Returns the membership without a replica, if enough voters that answer remain.
+    /// Returns the membership without a replica, provided that a majority of the remaining
+    /// voters is live.
     fn without(&mut self, id: ReplicaId) -> Result<Membership, ChangeProblem> {
-        let present = self.membership();
-        if !present.contains(id) {
+        let current = self.membership();
+        if !current.contains(id) {
             return Err(ChangeProblem::NotMember { id });
         }
-        let was_voter = present.voters.contains_key(&id);
-        let membership = without(present, id);
+        let was_voter = current.voters.contains_key(&id);
+        let membership = without(current, id);
         if !was_voter {
             return Ok(membership);
         }
@@ -107,7 +108,7 @@
     }
 
     fn check_live_majority(&mut self, membership: &Membership) -> Result<(), ChangeProblem> {
-        let live = self.lead(|leader, cx| leader.live_voters(membership, cx));
+        let live = self.with_leader(|leader, cx| leader.live_voters(membership, cx));
         let live = live.unwrap_or(0);
         let needed = membership.majority();
         if live < needed {
@@ -116,13 +117,13 @@
         Ok(())
     }
 
-    /// Makes the change that is due by itself, if there is one: the removal of a
-    /// replaced replica, else the promotion of a learner that has caught up.
+    /// Makes the automatic change that is due, if any: the removal of a replaced replica, or
+    /// else the promotion of a learner that has caught up.
     pub(crate) fn drive_membership(&mut self, fx: &mut Effects) {
         if !self.may_change_membership() || self.proposal_refusal().is_some() {
             return;
         }
-        let due = self.lead(due_change).flatten();
+        let due = self.with_leader(due_change).flatten();
         let membership = match due {
             None => return,
             Some(DueChange::Promote(id)) => self.promoted(id),
@@ -133,8 +134,8 @@
                 self.append_as_leader(LogPayload::Membership(membership), fx);
                 self.after_append(fx);
             }
-            Err(ChangeProblem::LeaderHandsOver) => self.hand_over_by_itself(fx),
-            // Tried again when the next answer arrives.
+            Err(ChangeProblem::LeaderHandsOver) => self.start_automatic_handover(fx),
+            // Retried when the next reply arrives.
             Err(_) => {}
         }
     }
@@ -148,8 +149,8 @@
         Ok(membership)
     }
 
-    fn hand_over_by_itself(&mut self, fx: &mut Effects) {
-        let paused = self.lead(|leader, cx| cx.now < leader.handover_pause);
+    fn start_automatic_handover(&mut self, fx: &mut Effects) {
+        let paused = self.with_leader(|leader, cx| cx.now < leader.handover_paused_until);
         if paused == Some(false) {
             self.start_handover(fx);
         }
@@ -157,21 +158,21 @@
 }
 
 fn with_learner(
-    present: &Membership,
+    current: &Membership,
     id: ReplicaId,
     info: ReplicaInfo,
     replaces: Option<ReplicaId>,
 ) -> Result<Membership, ChangeProblem> {
-    if present.contains(id) {
+    if current.contains(id) {
         return Err(ChangeProblem::AlreadyMember { id });
     }
-    let mut membership = present.clone();
+    let mut membership = current.clone();
     membership.learners.insert(id, info);
     if let Some(replaced) = replaces {
-        if !present.contains(replaced) {
+        if !current.contains(replaced) {
             return Err(ChangeProblem::NotMember { id: replaced });
         }
-        if present.replacements.values().any(|old| *old == replaced) {
+        if current.replacements.values().any(|old| *old == replaced) {
             return Err(ChangeProblem::AlreadyReplaced { id: replaced });
         }
         membership.replacements.insert(id, replaced);
@@ -179,8 +180,8 @@
     Ok(membership)
 }
 
-fn without(present: &Membership, id: ReplicaId) -> Membership {
-    let mut membership = present.clone();
+fn without(current: &Membership, id: ReplicaId) -> Membership {
+    let mut membership = current.clone();
     membership.voters.remove(&id);
     membership.learners.remove(&id);
     membership
@@ -197,16 +198,16 @@
         return Some(DueChange::RemoveReplaced(*old));
     }
     let full = membership.voters.len() >= cx.cfg.max_voters;
-    let lacks_since = *leader.voter_lacks_since.get_or_insert(cx.now);
+    let below_max_since = *leader.below_max_voters_since.get_or_insert(cx.now);
     if full {
-        leader.voter_lacks_since = None;
+        leader.below_max_voters_since = None;
     }
     let mut has_caught_up = |id: &&ReplicaId| {
         let progress = leader.peers.get_mut(id);
         progress.is_some_and(|progress| progress.has_caught_up(cx))
     };
-    let mut stand_ins = membership.replacements.keys();
-    if let Some(id) = stand_ins.find(&mut has_caught_up) {
+    let mut replacing = membership.replacements.keys();
+    if let Some(id) = replacing.find(&mut has_caught_up) {
         return Some(DueChange::Promote(*id));
     }
     if full {
@@ -215,7 +216,7 @@
     let caught_up = membership.learners.keys().filter(&mut has_caught_up);
     let caught_up: Vec<ReplicaId> = caught_up.copied().collect();
     let next = if cx.cfg.spread_voters {
-        let free_for = cx.now.saturating_duration_since(lacks_since);
+        let free_for = cx.now.saturating_duration_since(below_max_since);
         replica_plan::next_voter(
             membership,
             cx.regions,
@@ -227,7 +228,7 @@
         caught_up.first().copied()
     };
     if next.is_some() {
-        leader.voter_lacks_since = None;
+        leader.below_max_voters_since = None;
     }
     next.map(DueChange::Promote)
 }
