--- a/lib/tests/test_backend_life.rs
+++ b/lib/tests/test_backend_life.rs
@@ -1,5 +1,4 @@
-//! Backend servers that start again under the name that they had, and announcements that name
-//! none to use.
+//! Backend servers that restart under the same name, and validation of announcements.
 
 mod dispatch_model;
 
@@ -46,14 +45,14 @@
     }
 }
 
-fn life(name: &str, born: u64) -> BackendIncarnation {
+fn incarnation(name: &str, born: u64) -> BackendIncarnation {
     BackendIncarnation {
         backend: BackendName::new(name),
         born,
     }
 }
 
-/// A state and the log position that it has come to.
+/// Fleet state together with the index of its last log entry.
 struct Log {
     state: FleetState,
     index: u64,
@@ -80,10 +79,10 @@
 
     fn withdraw(&mut self, born: u64) {
         let index = self.next();
-        self.state.withdraw(index, &life("one", born));
+        self.state.withdraw(index, &incarnation("one", born));
     }
 
-    /// Goes through a snapshot, as at a restart or at a replica that lags.
+    /// Restores the state from a snapshot, as after a restart or at a lagging replica.
     fn restart(&mut self) {
         let snapshot = encoding::encode(1, &self.state).unwrap();
         self.state = encoding::decode(1, &snapshot).unwrap();
@@ -95,13 +94,13 @@
     }
 }
 
-/// Symptom: a backend server that was started again gets no requests for as long as it runs.
-/// Sequence: it crashes and starts under its name; its announcements count from 1. Cause: a
-/// lower number than the last one of its earlier life was taken for a late announcement.
+/// Guards against a restarted backend server that never receives requests again: announcements
+/// of the new process are numbered from 1, and a number lower than the last one of the previous
+/// process must not be mistaken for a delayed announcement.
 #[rstest]
-#[case::at_once(false)]
+#[case::directly(false)]
 #[case::through_a_snapshot(true)]
-fn test_a_later_birth_counts_anew(#[case] restart: bool) {
+fn test_announcements_of_a_restarted_process_number_anew(#[case] restart: bool) {
     let mut log = Log::new();
     log.announce("one", 1_000, 7, BackendState::Draining);
     if restart {
@@ -115,12 +114,12 @@
     assert_eq!(log.known("one"), Some((2_000, 1, BackendState::Ready)));
 }
 
-/// "Gone" binds the life that it was said of, and those before: a late announcement of these
-/// brings nothing back, and the next life is free.
+/// A withdrawal applies to the named process instance and to earlier ones: a delayed
+/// announcement of these restores nothing, and the next instance can register.
 #[rstest]
-#[case::at_once(false)]
+#[case::directly(false)]
 #[case::through_a_snapshot(true)]
-fn test_gone_binds_one_life(#[case] restart: bool) {
+fn test_withdrawal_applies_to_one_process_instance(#[case] restart: bool) {
     let mut log = Log::new();
     log.announce("one", 1_000, 7, BackendState::Ready);
     log.withdraw(1_000);
@@ -135,28 +134,29 @@
     assert_eq!(log.known("one"), Some((2_000, 1, BackendState::Ready)));
 }
 
-/// Symptom: a backend server that has just started again isn't known. Sequence: its earlier
-/// life is found silent, it starts again, and the order to forget it is carried out. Cause:
-/// the order named no life.
+/// Guards against forgetting a backend server that has just restarted: its previous process is
+/// found silent, the server restarts, and only then is the command to forget it executed. The
+/// command has to name the process instance.
 #[test]
-fn test_an_earlier_life_is_forgotten_alone() {
+fn test_forgetting_an_earlier_instance_keeps_the_current_one() {
     let mut log = Log::new();
     log.announce("one", 2_000, 1, BackendState::Ready);
     log.state
-        .forget_backends(Revision(5), &[life("one", 1_000)]);
+        .forget_backends(Revision(5), &[incarnation("one", 1_000)]);
     assert!(log.known("one").is_some());
     log.withdraw(1_000);
     assert!(log.known("one").is_some());
     log.state
-        .forget_backends(Revision(6), &[life("one", 2_000)]);
+        .forget_backends(Revision(6), &[incarnation("one", 2_000)]);
     assert!(log.known("one").is_none());
 }
 
-/// Symptom: a backend server gets no requests for a heartbeat or two. Sequence: it starts at
-/// the address of one that crashed; that one's last announcement, held up by a cut, comes
-/// after its first. Cause: an address went to whoever was announced there last.
+/// Guards against a backend server without requests for one or two heartbeats: it starts at the
+/// address of a crashed server whose last announcement, delayed by a network partition, arrives
+/// after its own first one. The address must not go to the server that was announced there
+/// last.
 #[test]
-fn test_a_late_announcement_takes_no_address_from_one_born_later() {
+fn test_a_delayed_announcement_takes_no_address_from_a_later_instance() {
     let mut log = Log::new();
     log.announce("two", 2_000, 1, BackendState::Ready);
     log.announce("one", 1_000, 7, BackendState::Ready);
@@ -166,10 +166,11 @@
     assert_eq!(log.known("two").unwrap().2, BackendState::Superseded);
 }
 
-/// Symptom: a backend server that was started again is spared as slow or hanging, or is sent
-/// requests for data that it no longer has. Cause: what was learned was kept by name.
+/// Guards against a restarted backend server that is avoided as slow or hanging, or that
+/// receives requests for data it no longer has cached, because observations were kept by name
+/// across the restart.
 #[test]
-fn test_nothing_learned_of_an_earlier_life_is_believed() {
+fn test_observations_of_an_earlier_instance_are_dropped() {
     let mut probe = Probe::new();
     let first = probe.choose("17");
     probe.end(&first, SendOutcome::Broken);
@@ -181,30 +182,33 @@
     let fresh = probe.choose("17");
     assert_eq!((&fresh.name, fresh.born), (&first.name, 1_000));
     assert_eq!(fresh.wait, Duration::ZERO);
-    // A request of before that ends now tells nothing of the new life.
+    // A request of the previous process that ends now says nothing about the new one.
     probe.end(&in_flight, SendOutcome::Broken);
     probe.end(&first, SendOutcome::Broken);
     assert_eq!(probe.choose("17").name, first.name);
 }
 
-/// Symptom: for 3 s after a loss of all power, most backend servers get next to no requests,
-/// and the rest are crowded. Sequence: backend servers start during the traffic and say that
-/// they are cold for 3 s; that is committed. Long after, every entry VM starts anew, takes the
-/// records over, and counts the 3 s from its own start. Cause: nobody committed that the cold
-/// spell was over.
+/// Guards against entry VMs that treat warm backend servers as cold for 3 s after a restart of
+/// all VMs, so that most servers receive next to no requests and the rest are overloaded.
+/// Backend servers that start under traffic announce that they are cold for 3 s, and this is
+/// committed. Entry VMs that start long afterwards apply these records and count the 3 s from
+/// their own start, unless the end of the cold period was committed as well.
 #[rstest]
 #[case::nothing_new(|_: &mut BackendRecord| {}, false)]
 #[case::later_announcement(|r: &mut BackendRecord| r.sequence = 9, false)]
 #[case::less_cold(|r: &mut BackendRecord| r.cold_for = Duration::from_secs(1), false)]
-#[case::cold_no_more(|r: &mut BackendRecord| r.cold_for = Duration::ZERO, true)]
+#[case::no_longer_cold(|r: &mut BackendRecord| r.cold_for = Duration::ZERO, true)]
 #[case::leaving(|r: &mut BackendRecord| r.state = BackendState::Draining, true)]
-#[case::born_again(|r: &mut BackendRecord| r.born = 2, true)]
-fn test_what_an_announcement_adds(#[case] alter: fn(&mut BackendRecord), #[case] more: bool) {
+#[case::restarted(|r: &mut BackendRecord| r.born = 2, true)]
+fn test_announcement_differs_materially(
+    #[case] alter: fn(&mut BackendRecord),
+    #[case] differs: bool,
+) {
     let mut known = record(1, 1, BackendState::Ready);
     known.cold_for = Duration::from_secs(3);
-    let mut said = known.clone();
-    alter(&mut said);
-    assert_eq!(said.differs_materially_from(&known), more);
+    let mut announced = known.clone();
+    alter(&mut announced);
+    assert_eq!(announced.differs_materially_from(&known), differs);
 }
 
 fn check(record: &BackendRecord, name: &str) -> Result<(), RecordProblem> {
@@ -212,7 +216,7 @@
 }
 
 #[rstest]
-#[case::sound(|_: &mut BackendRecord| {}, "one", true)]
+#[case::valid(|_: &mut BackendRecord| {}, "one", true)]
 #[case::no_name(|_: &mut BackendRecord| {}, "", false)]
 #[case::long_name(|_: &mut BackendRecord| {}, &"x".repeat(300), false)]
 #[case::no_service(|r: &mut BackendRecord| r.service = ServiceName::new(""), "one", false)]
@@ -221,33 +225,33 @@
 #[case::no_address(|r: &mut BackendRecord| r.address.set_ip([0, 0, 0, 0].into()), "one", false)]
 #[case::no_slots(|r: &mut BackendRecord| r.slots = 0, "one", false)]
 #[case::odd_slots(|r: &mut BackendRecord| r.slots = u32::MAX, "one", false)]
-#[case::for_ever_cold(|r: &mut BackendRecord| r.cold_for = Duration::MAX, "one", false)]
-fn test_what_names_no_backend_server_to_use(
+#[case::endless_cold(|r: &mut BackendRecord| r.cold_for = Duration::MAX, "one", false)]
+fn test_record_check(
     #[case] alter: fn(&mut BackendRecord),
     #[case] name: &str,
-    #[case] is_sound: bool,
+    #[case] is_valid: bool,
 ) {
     let mut record = record(1, 1, BackendState::Ready);
     alter(&mut record);
-    assert_eq!(check(&record, name).is_ok(), is_sound);
+    assert_eq!(check(&record, name).is_ok(), is_valid);
 }
 
 proptest! {
-    /// Whatever order announcements and withdrawals come in, the latest life that wasn't
-    /// withdrawn is known by its highest number.
+    /// In whatever order announcements and withdrawals arrive, the latest process instance that
+    /// was not withdrawn is known with its highest sequence number.
     #[test]
     fn test_the_order_in_which_announcements_come_makes_no_difference(
-        mut said in proptest::collection::vec((1_u64..4, 1_u64..6), 1..12),
+        mut announced in proptest::collection::vec((1_u64..4, 1_u64..6), 1..12),
         order in any::<u64>(),
-        gone in proptest::option::of(1_u64..4),
+        withdrawn in proptest::option::of(1_u64..4),
     ) {
-        let latest = said.iter().filter(|(born, _)| gone.is_none_or(|gone| *born > gone)).max().copied();
-        let count = said.len();
-        said.rotate_left(usize::try_from(order % 64).unwrap() % count);
+        let latest = announced.iter().filter(|(born, _)| withdrawn.is_none_or(|last| *born > last)).max().copied();
+        let count = announced.len();
+        announced.rotate_left(usize::try_from(order % 64).unwrap() % count);
         let mut log = Log::new();
-        for (number, (born, sequence)) in said.into_iter().enumerate() {
-            if let Some(gone) = gone.filter(|_| number == count / 2) {
-                log.withdraw(gone);
+        for (number, (born, sequence)) in announced.into_iter().enumerate() {
+            if let Some(withdrawn) = withdrawn.filter(|_| number == count / 2) {
+                log.withdraw(withdrawn);
             }
             log.announce("one", born, sequence, BackendState::Ready);
         }
