--- a/lib/src/token_purse.rs
+++ b/lib/src/token_purse.rs
@@ -85,7 +85,7 @@
 
 /// Holds tokens of teams. `W` stands for a request that waits.
 #[derive(Debug)]
-pub struct TokenPurse<W> {
+pub struct TokenCache<W> {
     teams: BTreeMap<TeamName, Purse<W>>,
     /// Replicas that are asked at the moment.
     busy: BTreeSet<SocketAddr>,
@@ -166,7 +166,7 @@
     pub draws: Vec<Draw>,
 }
 
-impl<W> TokenPurse<W> {
+impl<W> TokenCache<W> {
     /// Starts without tokens; `seed` spreads the returns of refused callers.
     #[must_use]
     pub fn new(seed: u64) -> Self {
--- a/lib/tests/token_model/mod.rs
+++ b/lib/tests/token_model/mod.rs
@@ -15,7 +15,7 @@
 use heatherring_lib::team_share::LimitTolerance;
 use heatherring_lib::token_purse::Question;
 use heatherring_lib::token_purse::Ruling;
-use heatherring_lib::token_purse::TokenPurse;
+use heatherring_lib::token_purse::TokenCache;
 use heatherring_lib::token_shard::Drawn;
 use heatherring_lib::token_shard::Holder;
 use heatherring_lib::token_shard::TokenShard;
@@ -71,7 +71,7 @@
 }
 
 struct Vm {
-    purse: TokenPurse<usize>,
+    purse: TokenCache<usize>,
     equal: TokenShard,
     life: u64,
     up: bool,
@@ -151,7 +151,7 @@
         }
         for vm in 0..vms {
             model.vms.push(Vm {
-                purse: TokenPurse::new(vm as u64),
+                purse: TokenCache::new(vm as u64),
                 equal: TokenShard::new(model.origin),
                 life: 1,
                 up: true,
@@ -196,7 +196,7 @@
     pub fn restart_vm(&mut self, vm: usize) {
         let state = &mut self.vms[vm];
         state.life += 1;
-        state.purse = TokenPurse::new(state.life);
+        state.purse = TokenCache::new(state.life);
         state.equal = TokenShard::new(self.origin + self.now);
     }
 
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -17,7 +17,7 @@
 use heatherring_lib::team_share;
 use heatherring_lib::token_purse::Question;
 use heatherring_lib::token_purse::Ruling;
-use heatherring_lib::token_purse::TokenPurse;
+use heatherring_lib::token_purse::TokenCache;
 use heatherring_lib::token_shard::Drawn;
 use heatherring_lib::token_shard::Holder;
 use tokio::sync::mpsc;
@@ -87,7 +87,7 @@
         let (tx, rx) = mpsc::unbounded_channel();
         let (answers, answered) = mpsc::unbounded_channel();
         let task = TokenTask {
-            purse: TokenPurse::new(rand::random()),
+            purse: TokenCache::new(rand::random()),
             clients: HashMap::new(),
             answers,
             setup,
@@ -115,7 +115,7 @@
 
 struct TokenTask {
     setup: TokenSetup,
-    purse: TokenPurse<oneshot::Sender<Ruling>>,
+    purse: TokenCache<oneshot::Sender<Ruling>>,
     clients: HashMap<SocketAddr, FleetClient<Channel>>,
     answers: mpsc::UnboundedSender<Answer>,
 }
