--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -26,7 +26,7 @@
 use heatherring_lib::team::KeyDigest;
 use heatherring_lib::team::TeamLimit;
 use heatherring_lib::team_directory::TeamDirectory;
-use heatherring_lib::token_purse::Ruling;
+use heatherring_lib::token_cache::Ruling;
 use http::HeaderMap;
 use http::Request;
 use http::Uri;
--- a/server/src/metric.rs
+++ b/server/src/metric.rs
@@ -11,7 +11,7 @@
 
 use heatherring_lib::clock::Clock;
 use heatherring_lib::dispatch_request::SendOutcome;
-use heatherring_lib::token_purse::Ruling;
+use heatherring_lib::token_cache::Ruling;
 use http::Request;
 use http::Response;
 use http::header;
