--- a/lib/src/token_cache.rs
+++ b/lib/src/token_cache.rs
@@ -68,7 +68,7 @@
 
 /// Says what becomes of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ruling {
+pub enum LimitDecision {
     /// It has its token.
     Run,
     /// The limit is reached.
@@ -188,7 +188,7 @@
         limit: &TeamLimit,
         find_sharers: impl FnOnce() -> Vec<SocketAddr>,
         waiter: W,
-    ) -> Vec<(W, Ruling)> {
+    ) -> Vec<(W, LimitDecision)> {
         let purse = self
             .teams
             .entry(team.clone())
@@ -200,7 +200,7 @@
         purse.last = now;
         purse.demand.note(now);
         if purse.spend(now) {
-            return vec![(waiter, Ruling::Run)];
+            return vec![(waiter, LimitDecision::Run)];
         }
         purse.waiting.push_back((waiter, now));
         purse.give_up(now, &self.silent, &mut self.advice)
@@ -256,7 +256,7 @@
         now: Instant,
         question: &Question,
         answer: Option<&[Drawn]>,
-    ) -> Vec<(W, Ruling)> {
+    ) -> Vec<(W, LimitDecision)> {
         self.busy.remove(&question.replica);
         if answer.is_some() {
             self.silent.remove(&question.replica);
@@ -444,14 +444,16 @@
         self.used.remove(&replica).map_or(0, |used| used.count)
     }
 
-    fn serve(&mut self, now: Instant, count: u32) -> Vec<(W, Ruling)> {
+    fn serve(&mut self, now: Instant, count: u32) -> Vec<(W, LimitDecision)> {
         let count = usize::try_from(count).unwrap_or(usize::MAX);
         let count = count.min(self.waiting.len());
         for _ in 0..count {
             self.served.note(now);
         }
         let served = self.waiting.drain(..count);
-        served.map(|(waiter, _)| (waiter, Ruling::Run)).collect()
+        served
+            .map(|(waiter, _)| (waiter, LimitDecision::Run))
+            .collect()
     }
 
     /// Puts tokens into stock, which may be as old as the question, and notes what lacks.
@@ -492,7 +494,7 @@
         now: Instant,
         silent: &BTreeMap<SocketAddr, Silent>,
         advice: &mut RetryAdvice,
-    ) -> Vec<(W, Ruling)> {
+    ) -> Vec<(W, LimitDecision)> {
         let awake = self.sharers.iter();
         let awake = awake.filter(|replica| is_awake(now, silent, replica));
         let ready_at = awake.map(|replica| self.ready_at.get(replica).copied().unwrap_or(now));
@@ -525,18 +527,23 @@
 
     /// Refuses a request. Those who are refused together are to come back when there are tokens
     /// for them all, and not together.
-    fn over_limit(&mut self, now: Instant, wait: Duration, advice: &mut RetryAdvice) -> Ruling {
+    fn over_limit(
+        &mut self,
+        now: Instant,
+        wait: Duration,
+        advice: &mut RetryAdvice,
+    ) -> LimitDecision {
         self.refused.note(now);
         let refused = self.refused.per_second(now);
         let served = self.served.per_second(now);
-        Ruling::OverLimit {
+        LimitDecision::OverLimit {
             retry_after: advice.after(wait, refused, served),
         }
     }
 
-    fn unconfirmed(&mut self, now: Instant, advice: &mut RetryAdvice) -> Ruling {
+    fn unconfirmed(&mut self, now: Instant, advice: &mut RetryAdvice) -> LimitDecision {
         self.refused.note(now);
-        Ruling::Unconfirmed {
+        LimitDecision::Unconfirmed {
             retry_after: advice.after(COME_BACK, 0.0, 1.0),
         }
     }
--- a/lib/tests/token_model/mod.rs
+++ b/lib/tests/token_model/mod.rs
@@ -13,8 +13,8 @@
 use heatherring_lib::team_share;
 use heatherring_lib::team_share::LimitShare;
 use heatherring_lib::team_share::LimitTolerance;
+use heatherring_lib::token_cache::LimitDecision;
 use heatherring_lib::token_cache::Question;
-use heatherring_lib::token_cache::Ruling;
 use heatherring_lib::token_cache::TokenCache;
 use heatherring_lib::token_shard::Drawn;
 use heatherring_lib::token_shard::Holder;
@@ -340,32 +340,32 @@
         let now = self.at(self.now);
         let drawn = self.vms[vm].equal.draw(now, &holder, &share, &draw);
         let ruling = if drawn.waiting == 1 {
-            Ruling::Run
+            LimitDecision::Run
         } else {
-            Ruling::OverLimit {
+            LimitDecision::OverLimit {
                 retry_after: drawn.retry_after,
             }
         };
         self.rule([(request, ruling)]);
     }
 
-    fn rule(&mut self, ruled: impl IntoIterator<Item = (usize, Ruling)>) {
+    fn rule(&mut self, ruled: impl IntoIterator<Item = (usize, LimitDecision)>) {
         for (request, ruling) in ruled {
             let (team, asked_at) = self.requests[request];
             let counted = &mut self.counted[team];
             let held = self.now.saturating_sub(asked_at);
-            if ruling != Ruling::Run && held > Duration::from_millis(400) {
+            if ruling != LimitDecision::Run && held > Duration::from_millis(400) {
                 counted.refused_late += 1;
             }
             match ruling {
-                Ruling::Run => {
+                LimitDecision::Run => {
                     let waited = self.now.saturating_sub(asked_at);
                     counted.run.push(self.now);
                     counted.waited += waited;
                     counted.longest_wait = counted.longest_wait.max(waited);
                 }
-                Ruling::OverLimit { .. } => counted.over += 1,
-                Ruling::Unconfirmed { .. } => counted.unconfirmed += 1,
+                LimitDecision::OverLimit { .. } => counted.over += 1,
+                LimitDecision::Unconfirmed { .. } => counted.unconfirmed += 1,
             }
         }
     }
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -15,8 +15,8 @@
 use heatherring_lib::replica_choice::ReplicaSite;
 use heatherring_lib::team::TeamLimit;
 use heatherring_lib::team_share;
+use heatherring_lib::token_cache::LimitDecision;
 use heatherring_lib::token_cache::Question;
-use heatherring_lib::token_cache::Ruling;
 use heatherring_lib::token_cache::TokenCache;
 use heatherring_lib::token_shard::Drawn;
 use heatherring_lib::token_shard::Holder;
@@ -71,7 +71,7 @@
 struct Ask {
     team: TeamName,
     limit: TeamLimit,
-    reply: oneshot::Sender<Ruling>,
+    reply: oneshot::Sender<LimitDecision>,
 }
 
 /// Reaches the task.
@@ -97,14 +97,14 @@
     }
 
     /// Takes a token for a request of `team`; waits for it if need be.
-    pub async fn take(&self, team: &TeamName, limit: TeamLimit) -> Ruling {
+    pub async fn take(&self, team: &TeamName, limit: TeamLimit) -> LimitDecision {
         let (reply, ruling) = oneshot::channel();
         let team = team.clone();
         // Sends fail only when the task has ended with its process.
         let _ = self.tx.send(Ask { team, limit, reply });
         match tokio::time::timeout(WAIT_WITHIN, ruling).await {
             Ok(Ok(ruling)) => ruling,
-            _ => Ruling::Unconfirmed {
+            _ => LimitDecision::Unconfirmed {
                 retry_after: COME_BACK,
             },
         }
@@ -115,7 +115,7 @@
 
 struct TokenTask {
     setup: TokenSetup,
-    purse: TokenCache<oneshot::Sender<Ruling>>,
+    purse: TokenCache<oneshot::Sender<LimitDecision>>,
     clients: HashMap<SocketAddr, FleetClient<Channel>>,
     answers: mpsc::UnboundedSender<Answer>,
 }
@@ -203,7 +203,7 @@
     }
 }
 
-fn tell(ruled: impl IntoIterator<Item = (oneshot::Sender<Ruling>, Ruling)>) {
+fn tell(ruled: impl IntoIterator<Item = (oneshot::Sender<LimitDecision>, LimitDecision)>) {
     for (waiter, ruling) in ruled {
         // Its caller has left.
         let _ = waiter.send(ruling);
