--- a/lib/src/token_cache.rs
+++ b/lib/src/token_cache.rs
@@ -157,7 +157,7 @@
 
 /// Asks a replica for tokens.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Question {
+pub struct TokenRequest {
     /// The replica.
     pub replica: SocketAddr,
     /// When it is asked.
@@ -214,7 +214,7 @@
     }
 
     /// Returns what replicas are to be asked now. Each must be answered for.
-    pub fn questions(&mut self, now: Instant) -> Vec<Question> {
+    pub fn questions(&mut self, now: Instant) -> Vec<TokenRequest> {
         let silent = &self.silent;
         self.teams.retain(|_, purse| !purse.is_over(now));
         let mut questions: BTreeMap<SocketAddr, Vec<Draw>> = BTreeMap::new();
@@ -241,7 +241,7 @@
         self.busy.extend(questions.keys());
         let questions = questions.into_iter();
         questions
-            .map(|(replica, draws)| Question {
+            .map(|(replica, draws)| TokenRequest {
                 replica,
                 asked_at: now,
                 draws,
@@ -254,7 +254,7 @@
     pub fn answered(
         &mut self,
         now: Instant,
-        question: &Question,
+        question: &TokenRequest,
         answer: Option<&[Drawn]>,
     ) -> Vec<(W, LimitDecision)> {
         self.busy.remove(&question.replica);
@@ -457,7 +457,7 @@
     }
 
     /// Puts tokens into stock, which may be as old as the question, and notes what lacks.
-    fn take_in(&mut self, now: Instant, question: &Question, draw: &Draw, drawn: &Drawn) {
+    fn take_in(&mut self, now: Instant, question: &TokenRequest, draw: &Draw, drawn: &Drawn) {
         if drawn.stock > 0 {
             self.stock.push_back(Stock {
                 replica: question.replica,
--- a/lib/tests/token_model/mod.rs
+++ b/lib/tests/token_model/mod.rs
@@ -14,8 +14,8 @@
 use heatherring_lib::team_share::LimitShare;
 use heatherring_lib::team_share::LimitTolerance;
 use heatherring_lib::token_cache::LimitDecision;
-use heatherring_lib::token_cache::Question;
 use heatherring_lib::token_cache::TokenCache;
+use heatherring_lib::token_cache::TokenRequest;
 use heatherring_lib::token_shard::Drawn;
 use heatherring_lib::token_shard::Holder;
 use heatherring_lib::token_shard::TokenShard;
@@ -46,12 +46,12 @@
     Asked {
         vm: usize,
         life: u64,
-        question: Question,
+        question: TokenRequest,
     },
     Answered {
         vm: usize,
         life: u64,
-        question: Question,
+        question: TokenRequest,
         drawn: Option<Vec<Drawn>>,
     },
     Look {
@@ -397,7 +397,7 @@
         self.vms[vm].cut_until > self.now || self.replicas[replica].cut_until > self.now
     }
 
-    fn draw(&mut self, vm: usize, life: u64, question: Question) {
+    fn draw(&mut self, vm: usize, life: u64, question: TokenRequest) {
         let number = self.replica(question.replica);
         let now = self.at(self.now);
         let mut answers = Vec::new();
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -16,8 +16,8 @@
 use heatherring_lib::team::TeamLimit;
 use heatherring_lib::team_share;
 use heatherring_lib::token_cache::LimitDecision;
-use heatherring_lib::token_cache::Question;
 use heatherring_lib::token_cache::TokenCache;
+use heatherring_lib::token_cache::TokenRequest;
 use heatherring_lib::token_shard::Drawn;
 use heatherring_lib::token_shard::Holder;
 use tokio::sync::mpsc;
@@ -111,7 +111,7 @@
     }
 }
 
-type Answer = (Question, Option<Vec<Drawn>>);
+type Answer = (TokenRequest, Option<Vec<Drawn>>);
 
 struct TokenTask {
     setup: TokenSetup,
@@ -214,7 +214,7 @@
 async fn draw(
     mut client: FleetClient<Channel>,
     holder: &Holder,
-    question: &Question,
+    question: &TokenRequest,
 ) -> Option<Vec<Drawn>> {
     let request = DrawTokensRequest {
         holder_encoded: postcard::to_stdvec(holder).ok()?,
