--- a/lib/src/token_cache.rs
+++ b/lib/src/token_cache.rs
@@ -249,37 +249,37 @@
             .collect()
     }
 
-    /// Takes a replica's answer to `question`; nothing if none came in time. Returns whom to
+    /// Takes a replica's answer to `token_request`; nothing if none came in time. Returns whom to
     /// tell what.
     pub fn answered(
         &mut self,
         now: Instant,
-        question: &TokenRequest,
+        token_request: &TokenRequest,
         answer: Option<&[Drawn]>,
     ) -> Vec<(W, LimitDecision)> {
-        self.busy.remove(&question.replica);
+        self.busy.remove(&token_request.replica);
         if answer.is_some() {
-            self.silent.remove(&question.replica);
+            self.silent.remove(&token_request.replica);
         } else {
-            let silent = Silent::next(self.silent.get(&question.replica), now);
-            self.silent.insert(question.replica, silent);
+            let silent = Silent::next(self.silent.get(&token_request.replica), now);
+            self.silent.insert(token_request.replica, silent);
         }
-        let is_fresh = now.saturating_duration_since(question.asked_at) <= USED_WITHIN;
+        let is_fresh = now.saturating_duration_since(token_request.asked_at) <= USED_WITHIN;
         let mut told = Vec::new();
-        for draw in &question.draws {
+        for draw in &token_request.draws {
             let Some(purse) = self.teams.get_mut(&draw.team) else {
                 continue;
             };
-            purse.asked.remove(&question.replica);
+            purse.asked.remove(&token_request.replica);
             let drawn = answer.and_then(|answer| answer.iter().find(|d| d.team == draw.team));
             if let Some(drawn) = drawn {
                 let count = if is_fresh { drawn.waiting } else { 0 };
                 told.extend(purse.serve(now, count));
-                purse.take_in(now, question, draw, drawn);
+                purse.take_in(now, token_request, draw, drawn);
             } else if answer.is_some() {
                 // It doesn't know the team yet.
                 let ready_at = now + SILENT_FOR;
-                purse.ready_at.insert(question.replica, ready_at);
+                purse.ready_at.insert(token_request.replica, ready_at);
             } else {
                 purse.wait_anew(now);
             }
@@ -457,12 +457,12 @@
     }
 
     /// Puts tokens into stock, which may be as old as the question, and notes what lacks.
-    fn take_in(&mut self, now: Instant, question: &TokenRequest, draw: &Draw, drawn: &Drawn) {
+    fn take_in(&mut self, now: Instant, token_request: &TokenRequest, draw: &Draw, drawn: &Drawn) {
         if drawn.stock > 0 {
             self.stock.push_back(Stock {
-                replica: question.replica,
+                replica: token_request.replica,
                 count: drawn.stock,
-                until: question.asked_at + HELD_FOR,
+                until: token_request.asked_at + HELD_FOR,
             });
         }
         if drawn.stock < draw.stock {
@@ -470,7 +470,7 @@
         }
         if drawn.waiting < draw.waiting {
             let pause = drawn.retry_after.max(LEAST_PAUSE);
-            self.ready_at.insert(question.replica, now + pause);
+            self.ready_at.insert(token_request.replica, now + pause);
         }
     }
 
--- a/lib/tests/token_model/mod.rs
+++ b/lib/tests/token_model/mod.rs
@@ -46,12 +46,12 @@
     Asked {
         vm: usize,
         life: u64,
-        question: TokenRequest,
+        token_request: TokenRequest,
     },
     Answered {
         vm: usize,
         life: u64,
-        question: TokenRequest,
+        token_request: TokenRequest,
         drawn: Option<Vec<Drawn>>,
     },
     Look {
@@ -234,8 +234,8 @@
             | Event::Look { vm }
             | Event::Ask { vm }
             | Event::Answered { vm, .. } => self.vms[*vm].frozen_until,
-            Event::Asked { question, .. } => {
-                let replica = self.replica(question.replica);
+            Event::Asked { token_request, .. } => {
+                let replica = self.replica(token_request.replica);
                 self.replicas[replica].frozen_until
             }
         };
@@ -253,11 +253,15 @@
                 self.ask(vm);
                 self.look_again(vm);
             }
-            Event::Asked { vm, life, question } => self.draw(vm, life, question),
+            Event::Asked {
+                vm,
+                life,
+                token_request,
+            } => self.draw(vm, life, token_request),
             Event::Answered {
                 vm,
                 life,
-                question,
+                token_request,
                 drawn,
             } => {
                 if self.vms[vm].life != life {
@@ -266,7 +270,7 @@
                 let now = self.at(self.now);
                 let ruled = self.vms[vm]
                     .purse
-                    .answered(now, &question, drawn.as_deref());
+                    .answered(now, &token_request, drawn.as_deref());
                 self.rule(ruled);
                 self.ask(vm);
             }
@@ -374,21 +378,28 @@
         let now = self.at(self.now);
         let questions = self.vms[vm].purse.questions(now);
         let life = self.vms[vm].life;
-        for question in questions {
+        for token_request in questions {
             self.questions += 1;
-            self.draws += u32::try_from(question.draws.len()).unwrap();
-            let replica = self.replica(question.replica);
+            self.draws += u32::try_from(token_request.draws.len()).unwrap();
+            let replica = self.replica(token_request.replica);
             let late = Event::Answered {
                 vm,
                 life,
-                question: question.clone(),
+                token_request: token_request.clone(),
                 drawn: None,
             };
             if self.is_cut(vm, replica) {
                 self.push(self.now + ANSWER_WITHIN, late);
             } else {
                 let delay = Self::delay(vm, replica);
-                self.push(self.now + delay, Event::Asked { vm, life, question });
+                self.push(
+                    self.now + delay,
+                    Event::Asked {
+                        vm,
+                        life,
+                        token_request,
+                    },
+                );
             }
         }
     }
@@ -397,11 +408,11 @@
         self.vms[vm].cut_until > self.now || self.replicas[replica].cut_until > self.now
     }
 
-    fn draw(&mut self, vm: usize, life: u64, question: TokenRequest) {
-        let number = self.replica(question.replica);
+    fn draw(&mut self, vm: usize, life: u64, token_request: TokenRequest) {
+        let number = self.replica(token_request.replica);
         let now = self.at(self.now);
         let mut answers = Vec::new();
-        for draw in &question.draws {
+        for draw in &token_request.draws {
             let team = (0..self.limits.len())
                 .find(|n| team(*n) == draw.team)
                 .unwrap();
@@ -410,7 +421,9 @@
             let tokens = &mut self.replicas[number].shard;
             answers.push(tokens.draw(now, &holder(vm, life), &share, draw));
         }
-        let asked = question.asked_at.saturating_duration_since(self.origin);
+        let asked = token_request
+            .asked_at
+            .saturating_duration_since(self.origin);
         let delay = Self::delay(vm, number);
         // An answer that comes too late is one that never comes.
         let in_time = self.now + delay <= asked + ANSWER_WITHIN;
@@ -425,7 +438,7 @@
             Event::Answered {
                 vm,
                 life,
-                question,
+                token_request,
                 drawn,
             },
         );
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -134,9 +134,9 @@
                     Some(ask) => self.take(ask),
                     None => return,
                 },
-                Some((question, answer)) = answered.recv() => {
+                Some((token_request, answer)) = answered.recv() => {
                     let now = self.setup.clock.now();
-                    let ruled = self.purse.answered(now, &question, answer.as_deref());
+                    let ruled = self.purse.answered(now, &token_request, answer.as_deref());
                     tell(ruled);
                 }
                 Ok(()) = self.setup.sites.changed() => self.follow_sites(),
@@ -162,17 +162,17 @@
 
     /// Asks replicas what is to be asked.
     fn ask(&mut self) {
-        for question in self.purse.questions(self.setup.clock.now()) {
+        for token_request in self.purse.questions(self.setup.clock.now()) {
             let answers = self.answers.clone();
             let holder = self.setup.holder.clone();
-            let client = self.client(question.replica);
+            let client = self.client(token_request.replica);
             tokio::spawn(async move {
                 let drawn = match client {
-                    Some(client) => draw(client, &holder, &question).await,
+                    Some(client) => draw(client, &holder, &token_request).await,
                     None => None,
                 };
                 // The task ends with its process.
-                let _ = answers.send((question, drawn));
+                let _ = answers.send((token_request, drawn));
             });
         }
     }
@@ -214,11 +214,11 @@
 async fn draw(
     mut client: FleetClient<Channel>,
     holder: &Holder,
-    question: &TokenRequest,
+    token_request: &TokenRequest,
 ) -> Option<Vec<Drawn>> {
     let request = DrawTokensRequest {
         holder_encoded: postcard::to_stdvec(holder).ok()?,
-        draws_encoded: postcard::to_stdvec(&question.draws).ok()?,
+        draws_encoded: postcard::to_stdvec(&token_request.draws).ok()?,
     };
     let call = client.draw_tokens(Request::new(request));
     let failed = match tokio::time::timeout(ANSWER_WITHIN, call).await {
@@ -229,6 +229,6 @@
         Ok(Err(status)) => status.message().to_owned(),
         Err(_) => "no answer in time".to_owned(),
     };
-    log::debug!(event = "tokens_not_drawn", replica:% = question.replica, error = failed.as_str(); "asking the next replica");
+    log::debug!(event = "tokens_not_drawn", replica:% = token_request.replica, error = failed.as_str(); "asking the next replica");
     None
 }
