--- a/lib/src/token_cache.rs
+++ b/lib/src/token_cache.rs
@@ -214,10 +214,10 @@
     }
 
     /// Returns what replicas are to be asked now. Each must be answered for.
-    pub fn questions(&mut self, now: Instant) -> Vec<TokenRequest> {
+    pub fn token_requests(&mut self, now: Instant) -> Vec<TokenRequest> {
         let silent = &self.silent;
         self.teams.retain(|_, purse| !purse.is_over(now));
-        let mut questions: BTreeMap<SocketAddr, Vec<Draw>> = BTreeMap::new();
+        let mut token_requests: BTreeMap<SocketAddr, Vec<Draw>> = BTreeMap::new();
         for (team, purse) in &mut self.teams {
             purse.lapse(now);
             let asked = purse
@@ -226,21 +226,21 @@
             if let Some(replica) = asked
                 && let Some(draw) = purse.draw(now, team, replica)
             {
-                questions.entry(replica).or_default().push(draw);
+                token_requests.entry(replica).or_default().push(draw);
             }
         }
         for (team, purse) in &mut self.teams {
-            let due = purse.unreported(now, |replica| questions.contains_key(replica));
+            let due = purse.unreported(now, |replica| token_requests.contains_key(replica));
             for replica in due {
                 if !self.busy.contains(&replica) {
                     let draw = purse.report_alone(team, replica);
-                    questions.entry(replica).or_default().push(draw);
+                    token_requests.entry(replica).or_default().push(draw);
                 }
             }
         }
-        self.busy.extend(questions.keys());
-        let questions = questions.into_iter();
-        questions
+        self.busy.extend(token_requests.keys());
+        let token_requests = token_requests.into_iter();
+        token_requests
             .map(|(replica, draws)| TokenRequest {
                 replica,
                 asked_at: now,
@@ -288,7 +288,7 @@
         told
     }
 
-    /// Returns when [`Self::questions`] is to be asked again at the latest; nothing while no team
+    /// Returns when [`Self::token_requests`] is to be asked again at the latest; nothing while no team
     /// has asked lately.
     #[must_use]
     pub fn next_look(&self, now: Instant) -> Option<Instant> {
--- a/lib/tests/test_team_tokens.rs
+++ b/lib/tests/test_team_tokens.rs
@@ -256,7 +256,7 @@
         others: others.0 / others.1,
         excess,
         refused_late: f64::from(counted.refused_late) / f64::from(counted.asked),
-        messages: f64::from(model.questions)
+        messages: f64::from(model.token_requests)
             / f64::from(model.counted.iter().map(|c| c.asked).sum::<u32>()),
     }
 }
--- a/lib/tests/token_model/mod.rs
+++ b/lib/tests/token_model/mod.rs
@@ -108,7 +108,7 @@
     /// Team and time of each request, by the number that waits in a purse.
     requests: Vec<(usize, Duration)>,
     /// Questions that were asked.
-    pub questions: u32,
+    pub token_requests: u32,
     pub draws: u32,
 }
 
@@ -137,7 +137,7 @@
             events: BTreeMap::new(),
             number: 0,
             requests: Vec::new(),
-            questions: 0,
+            token_requests: 0,
             draws: 0,
         };
         for replica in 0..replicas {
@@ -376,10 +376,10 @@
 
     fn ask(&mut self, vm: usize) {
         let now = self.at(self.now);
-        let questions = self.vms[vm].purse.questions(now);
+        let token_requests = self.vms[vm].purse.token_requests(now);
         let life = self.vms[vm].life;
-        for token_request in questions {
-            self.questions += 1;
+        for token_request in token_requests {
+            self.token_requests += 1;
             self.draws += u32::try_from(token_request.draws.len()).unwrap();
             let replica = self.replica(token_request.replica);
             let late = Event::Answered {
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -162,7 +162,7 @@
 
     /// Asks replicas what is to be asked.
     fn ask(&mut self) {
-        for token_request in self.purse.questions(self.setup.clock.now()) {
+        for token_request in self.purse.token_requests(self.setup.clock.now()) {
             let answers = self.answers.clone();
             let holder = self.setup.holder.clone();
             let client = self.client(token_request.replica);
