--- a/lib/src/token_cache.rs
+++ b/lib/src/token_cache.rs
@@ -291,7 +291,7 @@
     /// Returns when [`Self::token_requests`] is to be asked again at the latest; nothing while no team
     /// has asked lately.
     #[must_use]
-    pub fn next_look(&self, now: Instant) -> Option<Instant> {
+    pub fn next_poll_at(&self, now: Instant) -> Option<Instant> {
         if self.teams.is_empty() {
             return None;
         }
--- a/lib/tests/token_model/mod.rs
+++ b/lib/tests/token_model/mod.rs
@@ -208,7 +208,7 @@
     /// Has an entry VM look again when the purse says so.
     fn look_again(&mut self, vm: usize) {
         let now = self.at(self.now);
-        let next = self.vms[vm].purse.next_look(now);
+        let next = self.vms[vm].purse.next_poll_at(now);
         if let Some(next) = next.filter(|next| *next < now + LOOK_EVERY) {
             let at = next.saturating_duration_since(self.origin);
             self.push(at, Event::Ask { vm });
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -128,7 +128,7 @@
     ) {
         loop {
             let now = self.setup.clock.now();
-            let next_look = self.purse.next_look(now);
+            let next_poll_at = self.purse.next_poll_at(now);
             tokio::select! {
                 ask = rx.recv() => match ask {
                     Some(ask) => self.take(ask),
@@ -140,7 +140,7 @@
                     tell(ruled);
                 }
                 Ok(()) = self.setup.sites.changed() => self.follow_sites(),
-                () = until(next_look) => {}
+                () = until(next_poll_at) => {}
             }
             self.ask();
         }
