--- a/lib/src/team_directory.rs
+++ b/lib/src/team_directory.rs
@@ -56,7 +56,7 @@
     /// Says who sends a request on `route` with `key`. A key that some team has names it on
     /// public routes, too.
     #[must_use]
-    pub fn asker(&self, route: &RouteName, key: Option<KeyDigest>) -> CallerIdentity<'_> {
+    pub fn identify(&self, route: &RouteName, key: Option<KeyDigest>) -> CallerIdentity<'_> {
         if !self.keyed {
             return CallerIdentity::Anybody;
         }
--- a/lib/tests/test_teams.rs
+++ b/lib/tests/test_teams.rs
@@ -65,9 +65,9 @@
     change
 }
 
-fn asker<'a>(view: &'a FleetView, key: &str) -> CallerIdentity<'a> {
+fn identify<'a>(view: &'a FleetView, key: &str) -> CallerIdentity<'a> {
     let key = KeyDigest::of(key.as_bytes());
-    view.teams.asker(&RouteName::new("r"), Some(key))
+    view.teams.identify(&RouteName::new("r"), Some(key))
 }
 
 /// Applies changes one after the other, and has one view follow each and one take all at once.
@@ -108,21 +108,21 @@
     let moved = patch(3, 2, moved);
     let (_, view) = follow(std::slice::from_ref(&first));
     assert_eq!(
-        asker(&view, "k-1"),
+        identify(&view, "k-1"),
         CallerIdentity::Team(&TeamName::new("t-1"))
     );
     let (_, view) = follow(&[first.clone(), taken_away.clone()]);
-    assert_eq!(asker(&view, "k-1"), CallerIdentity::Unknown);
+    assert_eq!(identify(&view, "k-1"), CallerIdentity::Unknown);
     assert_eq!(
-        asker(&view, "k-2"),
+        identify(&view, "k-2"),
         CallerIdentity::Team(&TeamName::new("t-1"))
     );
     let (_, view) = follow(&[first, taken_away, moved]);
     assert_eq!(
-        asker(&view, "k-3"),
+        identify(&view, "k-3"),
         CallerIdentity::Team(&TeamName::new("t-3"))
     );
-    assert_eq!(asker(&view, "K-3"), CallerIdentity::Unknown);
+    assert_eq!(identify(&view, "K-3"), CallerIdentity::Unknown);
 }
 
 /// Symptom: whoever sends no key is served after the last team was removed. Cause: a manifest
@@ -133,11 +133,11 @@
     let mut none = teams(&[]);
     none.removed_teams.push(TeamName::new("t-1"));
     let (_, view) = follow(&[first.clone(), patch(2, 1, none)]);
-    assert_eq!(asker(&view, "k-1"), CallerIdentity::Unknown);
+    assert_eq!(identify(&view, "k-1"), CallerIdentity::Unknown);
     let route = RouteName::new("r");
-    assert_eq!(view.teams.asker(&route, None), CallerIdentity::Missing);
+    assert_eq!(view.teams.identify(&route, None), CallerIdentity::Missing);
     let (_, view) = follow(&[first, whole(2, 1, None)]);
-    assert_eq!(view.teams.asker(&route, None), CallerIdentity::Anybody);
+    assert_eq!(view.teams.identify(&route, None), CallerIdentity::Anybody);
 }
 
 #[test]
@@ -146,14 +146,14 @@
     let mut change = teams(&[("t-1", &["k-1"])]);
     change.public_routes = BTreeSet::from([route.clone()]);
     let (_, view) = follow(&[whole(1, 0, Some(change))]);
-    assert_eq!(view.teams.asker(&route, None), CallerIdentity::Anybody);
-    assert_eq!(asker(&view, "k-9"), CallerIdentity::Anybody);
+    assert_eq!(view.teams.identify(&route, None), CallerIdentity::Anybody);
+    assert_eq!(identify(&view, "k-9"), CallerIdentity::Anybody);
     assert_eq!(
-        asker(&view, "k-1"),
+        identify(&view, "k-1"),
         CallerIdentity::Team(&TeamName::new("t-1"))
     );
     let other = RouteName::new("other");
-    assert_eq!(view.teams.asker(&other, None), CallerIdentity::Missing);
+    assert_eq!(view.teams.identify(&other, None), CallerIdentity::Missing);
 }
 
 /// Symptom: two teams have one key, so that one is served in the other's name. Cause: only
@@ -174,7 +174,7 @@
     assert_eq!(answer, RouteAnswer::Invalid(problem));
     assert_eq!(state, before);
     assert_eq!(
-        asker(&view, "k-1"),
+        identify(&view, "k-1"),
         CallerIdentity::Team(&TeamName::new("t-1"))
     );
 }
--- a/server/src/known_asker.rs
+++ b/server/src/known_asker.rs
@@ -29,7 +29,7 @@
         route: &RouteName,
         key: Option<KeyDigest>,
     ) -> Result<Self, NotRunReason> {
-        let team = match teams.asker(route, key) {
+        let team = match teams.identify(route, key) {
             CallerIdentity::Anybody => None,
             CallerIdentity::Team(team) => Some(team.clone()),
             CallerIdentity::Missing => return Err(NotRunReason::CredentialMissing),
