--- a/lib/src/team_directory.rs
+++ b/lib/src/team_directory.rs
@@ -49,7 +49,7 @@
 impl TeamDirectory {
     /// Returns whether requests need a key, those on public routes aside.
     #[must_use]
-    pub const fn is_keyed(&self) -> bool {
+    pub const fn requires_keys(&self) -> bool {
         self.keyed
     }
 
--- a/lib/tests/test_teams.rs
+++ b/lib/tests/test_teams.rs
@@ -91,7 +91,7 @@
             .collect()
     };
     assert_eq!(known(&view), known(&at_once));
-    assert_eq!(view.teams.is_keyed(), at_once.teams.is_keyed());
+    assert_eq!(view.teams.requires_keys(), at_once.teams.requires_keys());
     (state, view)
 }
 
--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -110,7 +110,7 @@
         let mut headers = head.headers;
         let key = credential::read(&headers);
         let (asker, teams) = self.asker(arrived, marks.patience, name, key).await?;
-        if teams.is_keyed() {
+        if teams.requires_keys() {
             credential::remove(&mut headers);
         }
         trace.team.clone_from(&asker.team);
