--- a/lib/src/token_cache.rs
+++ b/lib/src/token_cache.rs
@@ -179,14 +179,14 @@
     }
 
     /// Takes a token for a request of `team`. Where it isn't known who shares its limit out,
-    /// `find_sharers` says so, nearest first. Returns whom to tell what; `waiter` has to wait if
+    /// `find_sharing_replicas` says so, nearest first. Returns whom to tell what; `waiter` has to wait if
     /// it isn't among them.
     pub fn take(
         &mut self,
         now: Instant,
         team: &TeamName,
         limit: &TeamLimit,
-        find_sharers: impl FnOnce() -> Vec<SocketAddr>,
+        find_sharing_replicas: impl FnOnce() -> Vec<SocketAddr>,
         waiter: W,
     ) -> Vec<(W, LimitDecision)> {
         let purse = self
@@ -195,7 +195,7 @@
             .or_insert_with(|| Purse::new(now));
         if purse.limit != Some(*limit) {
             purse.limit = Some(*limit);
-            purse.follow(find_sharers());
+            purse.follow(find_sharing_replicas());
         }
         purse.last = now;
         purse.demand.note(now);
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -156,8 +156,11 @@
     fn take(&mut self, ask: Ask) {
         let Ask { team, limit, reply } = ask;
         let now = self.setup.clock.now();
-        let find_sharers = || self.setup.sharers(&team, &limit);
-        tell(self.purse.take(now, &team, &limit, find_sharers, reply));
+        let find_sharing_replicas = || self.setup.sharers(&team, &limit);
+        tell(
+            self.purse
+                .take(now, &team, &limit, find_sharing_replicas, reply),
+        );
     }
 
     /// Asks replicas what is to be asked.
