--- a/lib/src/token_cache.rs
+++ b/lib/src/token_cache.rs
@@ -207,7 +207,7 @@
     }
 
     /// Forgets who shares limits out: the replicas have changed.
-    pub fn forget_sharers(&mut self) {
+    pub fn forget_sharing_replicas(&mut self) {
         for purse in self.teams.values_mut() {
             purse.limit = None;
         }
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -147,7 +147,7 @@
     }
 
     fn follow_sites(&mut self) {
-        self.purse.forget_sharers();
+        self.purse.forget_sharing_replicas();
         let sites = self.setup.sites.borrow_and_update();
         self.clients
             .retain(|address, _| sites.iter().any(|site| site.address == *address));
