--- a/lib/src/team_share.rs
+++ b/lib/src/team_share.rs
@@ -100,7 +100,11 @@
 /// Returns the replicas that share the limit of a team out: as many as leave each of them
 /// tokens enough, by rendezvous hashing.
 #[must_use]
-pub fn sharers(team: &TeamName, limit: &TeamLimit, replicas: &[SocketAddr]) -> Vec<SocketAddr> {
+pub fn sharing_replicas(
+    team: &TeamName,
+    limit: &TeamLimit,
+    replicas: &[SocketAddr],
+) -> Vec<SocketAddr> {
     let mut ranked: Vec<(u64, SocketAddr)> = replicas
         .iter()
         .map(|replica| {
--- a/lib/src/token_cache.rs
+++ b/lib/src/token_cache.rs
@@ -96,10 +96,10 @@
 
 #[derive(Debug)]
 struct Purse<W> {
-    /// The limit that `sharers` share out; nothing once they may be others.
+    /// The limit that `sharing_replicas` share out; nothing once they may be others.
     limit: Option<TeamLimit>,
     /// The replicas that share the limit out, nearest first.
-    sharers: Vec<SocketAddr>,
+    sharing_replicas: Vec<SocketAddr>,
     /// When those that had no token may have one again.
     ready_at: BTreeMap<SocketAddr, Instant>,
     /// When stock is asked for again.
@@ -310,7 +310,7 @@
     fn new(now: Instant) -> Self {
         Self {
             limit: None,
-            sharers: Vec::new(),
+            sharing_replicas: Vec::new(),
             ready_at: BTreeMap::new(),
             stock_at: now,
             waiting: VecDeque::new(),
@@ -324,9 +324,9 @@
         }
     }
 
-    fn follow(&mut self, sharers: Vec<SocketAddr>) {
-        if self.sharers != sharers {
-            self.sharers = sharers;
+    fn follow(&mut self, sharing_replicas: Vec<SocketAddr>) {
+        if self.sharing_replicas != sharing_replicas {
+            self.sharing_replicas = sharing_replicas;
             self.ready_at.clear();
         }
     }
@@ -376,7 +376,7 @@
             let ready_at = self.ready_at.get(*replica);
             is_awake(now, silent, replica) && ready_at.is_none_or(|at| *at <= now)
         };
-        self.sharers.iter().filter(is_ready).copied()
+        self.sharing_replicas.iter().filter(is_ready).copied()
     }
 
     /// Returns what to ask `replica` for, if anything.
@@ -495,7 +495,7 @@
         silent: &BTreeMap<SocketAddr, Silent>,
         advice: &mut RetryAdvice,
     ) -> Vec<(W, LimitDecision)> {
-        let awake = self.sharers.iter();
+        let awake = self.sharing_replicas.iter();
         let awake = awake.filter(|replica| is_awake(now, silent, replica));
         let ready_at = awake.map(|replica| self.ready_at.get(replica).copied().unwrap_or(now));
         let Some(ready_at) = ready_at.min() else {
@@ -508,7 +508,7 @@
         let may_wait = if wait.is_zero() {
             usize::MAX
         } else if wait <= PATIENCE && self.refused.per_second(now) < SHORT {
-            self.sharers.len()
+            self.sharing_replicas.len()
         } else {
             0
         };
--- a/lib/tests/test_team_tokens.rs
+++ b/lib/tests/test_team_tokens.rs
@@ -159,11 +159,11 @@
         let all: Vec<_> = (1_u8..=40)
             .map(|last| std::net::SocketAddr::from(([10, 0, 0, last], 7_000)))
             .collect();
-        let sharers = team_share::sharers(&team(1), &limit, &all[..replicas]);
-        prop_assert!((1..=replicas).contains(&sharers.len()));
+        let sharing_replicas = team_share::sharing_replicas(&team(1), &limit, &all[..replicas]);
+        prop_assert!((1..=replicas).contains(&sharing_replicas.len()));
         let tolerance = LimitTolerance::default();
-        let share = LimitShare::of(&limit, &tolerance, sharers.len());
-        let count = f64::from(u32::try_from(sharers.len()).unwrap());
+        let share = LimitShare::of(&limit, &tolerance, sharing_replicas.len());
+        let count = f64::from(u32::try_from(sharing_replicas.len()).unwrap());
         let window = tolerance.window.0.as_secs_f64();
         let late = team_share::USED_WITHIN.as_secs_f64();
         let most = count * (share.rate * (window + late) + share.burst + share.stock);
--- a/lib/tests/token_model/mod.rs
+++ b/lib/tests/token_model/mod.rs
@@ -102,7 +102,7 @@
     vms: Vec<Vm>,
     pub limits: Vec<TeamLimit>,
     pub counted: Vec<Counted>,
-    sharers: BTreeMap<usize, Vec<SocketAddr>>,
+    sharing_replicas: BTreeMap<usize, Vec<SocketAddr>>,
     events: BTreeMap<(Duration, u64), Event>,
     number: u64,
     /// Team and time of each request, by the number that waits in a purse.
@@ -133,7 +133,7 @@
             vms: Vec::new(),
             counted: vec![Counted::default(); limits.len()],
             limits,
-            sharers: BTreeMap::new(),
+            sharing_replicas: BTreeMap::new(),
             events: BTreeMap::new(),
             number: 0,
             requests: Vec::new(),
@@ -284,18 +284,20 @@
             .unwrap()
     }
 
-    fn sharers(&mut self, number: usize) -> Vec<SocketAddr> {
-        if let Some(known) = self.sharers.get(&number) {
+    fn sharing_replicas(&mut self, number: usize) -> Vec<SocketAddr> {
+        if let Some(known) = self.sharing_replicas.get(&number) {
             return known.clone();
         }
         let replicas = self.replicas.iter();
         let all: Vec<SocketAddr> = replicas.map(|replica| replica.address).collect();
-        let mut sharers = team_share::sharers(&team(number), &self.limits[number], &all);
+        let mut sharing_replicas =
+            team_share::sharing_replicas(&team(number), &self.limits[number], &all);
         if self.way == Way::One {
-            sharers.truncate(1);
+            sharing_replicas.truncate(1);
         }
-        self.sharers.insert(number, sharers.clone());
-        sharers
+        self.sharing_replicas
+            .insert(number, sharing_replicas.clone());
+        sharing_replicas
     }
 
     fn delay(vm: usize, replica: usize) -> Duration {
@@ -315,8 +317,8 @@
             self.take_equal(vm, number, request);
             return;
         }
-        let mut sharers = self.sharers(number);
-        sharers.sort_by_key(|sharer| {
+        let mut sharing_replicas = self.sharing_replicas(number);
+        sharing_replicas.sort_by_key(|sharer| {
             let replica = self.replica(*sharer);
             (
                 Self::delay(vm, replica),
@@ -326,7 +328,7 @@
         let now = self.at(self.now);
         let limit = self.limits[number];
         let purse = &mut self.vms[vm].purse;
-        let ruled = purse.take(now, &name, &limit, || sharers, request);
+        let ruled = purse.take(now, &name, &limit, || sharing_replicas, request);
         self.rule(ruled);
         self.ask(vm);
         self.look_again(vm);
@@ -416,8 +418,8 @@
             let team = (0..self.limits.len())
                 .find(|n| team(*n) == draw.team)
                 .unwrap();
-            let sharers = self.sharers(team);
-            let share = LimitShare::of(&self.limits[team], &self.tolerance, sharers.len());
+            let sharing_replicas = self.sharing_replicas(team);
+            let share = LimitShare::of(&self.limits[team], &self.tolerance, sharing_replicas.len());
             let tokens = &mut self.replicas[number].shard;
             answers.push(tokens.draw(now, &holder(vm, life), &share, draw));
         }
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -59,11 +59,17 @@
 
 impl TokenSetup {
     /// Returns the replicas that share a limit out, nearest first.
-    fn sharers(&self, team: &TeamName, limit: &TeamLimit) -> Vec<SocketAddr> {
+    fn sharing_replicas(&self, team: &TeamName, limit: &TeamLimit) -> Vec<SocketAddr> {
         let sites = self.sites.borrow();
         let replicas: Vec<SocketAddr> = sites.iter().map(|site| site.address).collect();
-        let sharers = team_share::sharers(team, limit, &replicas);
-        replica_choice::nearest_first(&self.holder.vm, &self.place, &self.places, &sites, &sharers)
+        let sharing_replicas = team_share::sharing_replicas(team, limit, &replicas);
+        replica_choice::nearest_first(
+            &self.holder.vm,
+            &self.place,
+            &self.places,
+            &sites,
+            &sharing_replicas,
+        )
     }
 }
 
@@ -156,7 +162,7 @@
     fn take(&mut self, ask: Ask) {
         let Ask { team, limit, reply } = ask;
         let now = self.setup.clock.now();
-        let find_sharing_replicas = || self.setup.sharers(&team, &limit);
+        let find_sharing_replicas = || self.setup.sharing_replicas(&team, &limit);
         tell(
             self.purse
                 .take(now, &team, &limit, find_sharing_replicas, reply),
