--- a/lib/src/team_share.rs
+++ b/lib/src/team_share.rs
@@ -32,7 +32,7 @@
 pub const USED_WITHIN: Duration = Duration::from_millis(500);
 
 /// Time for which a token may be held in stock.
-pub const HELD_FOR: Duration = Duration::from_secs(5);
+pub const STOCK_TTL: Duration = Duration::from_secs(5);
 
 /// Tokens that a share holds at least. A share that holds less than one can't ever give one.
 const LEAST_TOKENS: f64 = 2.0;
--- a/lib/src/token_cache.rs
+++ b/lib/src/token_cache.rs
@@ -16,7 +16,7 @@
 use crate::rate_meter::RateMeter;
 use crate::retry_advice::RetryAdvice;
 use crate::team::TeamLimit;
-use crate::team_share::HELD_FOR;
+use crate::team_share::STOCK_TTL;
 use crate::team_share::USED_WITHIN;
 use crate::token_shard::Draw;
 use crate::token_shard::Drawn;
@@ -462,7 +462,7 @@
             self.stock.push_back(Stock {
                 replica: token_request.replica,
                 count: drawn.stock,
-                until: token_request.asked_at + HELD_FOR,
+                until: token_request.asked_at + STOCK_TTL,
             });
         }
         if drawn.stock < draw.stock {
