--- a/lib/src/token_cache.rs
+++ b/lib/src/token_cache.rs
@@ -17,7 +17,7 @@
 use crate::retry_advice::RetryAdvice;
 use crate::team::TeamLimit;
 use crate::team_share::STOCK_TTL;
-use crate::team_share::USED_WITHIN;
+use crate::team_share::TOKEN_USE_TIMEOUT;
 use crate::token_shard::Draw;
 use crate::token_shard::Drawn;
 
@@ -264,7 +264,7 @@
             let silent = Silent::next(self.silent.get(&token_request.replica), now);
             self.silent.insert(token_request.replica, silent);
         }
-        let is_fresh = now.saturating_duration_since(token_request.asked_at) <= USED_WITHIN;
+        let is_fresh = now.saturating_duration_since(token_request.asked_at) <= TOKEN_USE_TIMEOUT;
         let mut told = Vec::new();
         for draw in &token_request.draws {
             let Some(purse) = self.teams.get_mut(&draw.team) else {
--- a/lib/tests/test_team_tokens.rs
+++ b/lib/tests/test_team_tokens.rs
@@ -165,7 +165,7 @@
         let share = LimitShare::of(&limit, &tolerance, sharing_replicas.len());
         let count = f64::from(u32::try_from(sharing_replicas.len()).unwrap());
         let window = tolerance.window.0.as_secs_f64();
-        let late = team_share::USED_WITHIN.as_secs_f64();
+        let late = team_share::TOKEN_USE_TIMEOUT.as_secs_f64();
         let most = count * (share.rate * (window + late) + share.burst + share.stock);
         let allowed = (rate * window + burst) * (1.0 + tolerance.over) + tolerance.slack;
         prop_assert!(most <= allowed + 1e-6, "{most} of {allowed}");
