--- a/lib/src/crash_evidence.rs
+++ b/lib/src/crash_evidence.rs
@@ -96,7 +96,7 @@
 }
 
 /// Knows of the lives of backend servers.
-pub trait BackendLives: Debug + Send + Sync {
+pub trait BackendIncarnations: Debug + Send + Sync {
     /// Returns whether another process has the address by now, or the same one began another
     /// life.
     fn was_replaced(&self, life: &BackendIncarnation) -> bool;
@@ -105,7 +105,7 @@
     fn leaves(&self, life: &BackendIncarnation) -> bool;
 }
 
-impl BackendLives for FleetView {
+impl BackendIncarnations for FleetView {
     fn was_replaced(&self, life: &BackendIncarnation) -> bool {
         let is_superseded = self
             .backends
@@ -167,7 +167,7 @@
     pub fn note_unanswered(
         &mut self,
         now: Instant,
-        lives: &dyn BackendLives,
+        lives: &dyn BackendIncarnations,
         life: &BackendIncarnation,
         stood: Stood,
     ) -> Option<Ended> {
@@ -191,7 +191,7 @@
     pub fn note_ended(
         &mut self,
         now: Instant,
-        lives: &dyn BackendLives,
+        lives: &dyn BackendIncarnations,
         life: &BackendIncarnation,
     ) -> Option<Ended> {
         if !self.ended.contains(life) {
@@ -247,7 +247,7 @@
     }
 
     /// Returns which backend servers have ended as a view has it.
-    pub fn apply_lives(&mut self, now: Instant, lives: &dyn BackendLives) -> Vec<Ended> {
+    pub fn apply_lives(&mut self, now: Instant, lives: &dyn BackendIncarnations) -> Vec<Ended> {
         self.forget_old(now);
         let stood_on = self.unanswered.iter().map(|unanswered| &unanswered.life);
         let replaced: Vec<BackendIncarnation> = stood_on
--- a/server/src/crash_watch.rs
+++ b/server/src/crash_watch.rs
@@ -15,7 +15,7 @@
 use std::time::Instant;
 
 use heatherring_lib::clock::Clock;
-use heatherring_lib::crash_evidence::BackendLives;
+use heatherring_lib::crash_evidence::BackendIncarnations;
 use heatherring_lib::crash_evidence::CrashEvidence;
 use heatherring_lib::crash_evidence::Treatment;
 use heatherring_lib::dispatch_request::Choice;
@@ -94,14 +94,14 @@
 #[derive(Debug)]
 struct State {
     key: FingerprintKey,
-    lives: Arc<dyn BackendLives>,
+    lives: Arc<dyn BackendIncarnations>,
     evidence: CrashEvidence,
     /// Backend servers that are being connected to.
     asked: BTreeSet<BackendIncarnation>,
 }
 
 impl State {
-    fn new(key: FingerprintKey, lives: Arc<dyn BackendLives>) -> Self {
+    fn new(key: FingerprintKey, lives: Arc<dyn BackendIncarnations>) -> Self {
         Self {
             key,
             lives,
@@ -115,7 +115,7 @@
 #[derive(Debug)]
 struct OwnedLives;
 
-impl BackendLives for OwnedLives {
+impl BackendIncarnations for OwnedLives {
     fn was_replaced(&self, _life: &BackendIncarnation) -> bool {
         false
     }
@@ -266,7 +266,7 @@
     /// Tells of the backend servers that are found to have ended by what `note` notes.
     fn learn<E: IntoIterator<Item = Ended>>(
         &self,
-        note: impl FnOnce(&mut CrashEvidence, Instant, &dyn BackendLives) -> E,
+        note: impl FnOnce(&mut CrashEvidence, Instant, &dyn BackendIncarnations) -> E,
     ) {
         let now = self.inner.clock.now();
         let mut state = self.state();
