--- a/lib/src/crash_evidence.rs
+++ b/lib/src/crash_evidence.rs
@@ -102,7 +102,7 @@
     fn was_replaced(&self, life: &BackendIncarnation) -> bool;
 
     /// Returns whether a backend server said that it leaves, or has left: its end was planned.
-    fn leaves(&self, life: &BackendIncarnation) -> bool;
+    fn is_leaving(&self, life: &BackendIncarnation) -> bool;
 }
 
 impl BackendIncarnations for FleetView {
@@ -114,7 +114,7 @@
         is_superseded || self.has_later_incarnation(&life.backend, life.born)
     }
 
-    fn leaves(&self, life: &BackendIncarnation) -> bool {
+    fn is_leaving(&self, life: &BackendIncarnation) -> bool {
         let known = self.backends.get(&life.backend);
         known.is_none_or(|record| record.drains_in(life))
     }
@@ -201,7 +201,7 @@
             self.ended.push_back(life.clone());
         }
         let requests = self.take_unanswered(life);
-        if requests.is_empty() || lives.leaves(life) {
+        if requests.is_empty() || lives.is_leaving(life) {
             return None;
         }
         // A request that is known to do it explains the end.
--- a/server/src/crash_watch.rs
+++ b/server/src/crash_watch.rs
@@ -120,7 +120,7 @@
         false
     }
 
-    fn leaves(&self, _life: &BackendIncarnation) -> bool {
+    fn is_leaving(&self, _life: &BackendIncarnation) -> bool {
         false
     }
 }
