--- a/lib/src/crash_evidence.rs
+++ b/lib/src/crash_evidence.rs
@@ -247,7 +247,11 @@
     }
 
     /// Returns which backend servers have ended as a view has it.
-    pub fn apply_lives(&mut self, now: Instant, lives: &dyn BackendIncarnations) -> Vec<Ended> {
+    pub fn apply_incarnations(
+        &mut self,
+        now: Instant,
+        lives: &dyn BackendIncarnations,
+    ) -> Vec<Ended> {
         self.forget_old(now);
         let stood_on = self.unanswered.iter().map(|unanswered| &unanswered.life);
         let replaced: Vec<BackendIncarnation> = stood_on
--- a/lib/tests/test_crash_evidence.rs
+++ b/lib/tests/test_crash_evidence.rs
@@ -142,7 +142,7 @@
                 let mut evidence = CrashEvidence::default();
                 let now = Instant::now();
                 evidence.note_unanswered(now, &ready(), &life(1), request(1));
-                let ended = evidence.apply_lives(now, &$view);
+                let ended = evidence.apply_incarnations(now, &$view);
                 assert_eq!(!ended.is_empty(), $is_evidence);
             }
         )*
@@ -173,12 +173,12 @@
     evidence.note_unanswered(now, &ready(), &life(1), request(1));
     let replaced = view(BackendState::Superseded, 10);
     let later = now + Duration::from_secs(15);
-    assert_eq!(evidence.apply_lives(later, &replaced), []);
+    assert_eq!(evidence.apply_incarnations(later, &replaced), []);
     // An address that takes connections is another process's for a shorter time.
     evidence.note_unanswered(later, &ready(), &life(2), request(1));
     evidence.note_alive(later, &life(2));
     let later = later + Duration::from_secs(3);
-    assert_eq!(evidence.apply_lives(later, &replaced), []);
+    assert_eq!(evidence.apply_incarnations(later, &replaced), []);
 }
 
 /// Symptom: without control a request ends one backend server after the other. Sequence: the
--- a/server/src/crash_watch.rs
+++ b/server/src/crash_watch.rs
@@ -198,7 +198,7 @@
     /// Follows a view of the fleet, by which backend servers may have ended.
     pub fn apply_view(&self, view: &Arc<FleetView>) {
         self.state().lives = Arc::clone(view) as Arc<_>;
-        self.learn(|evidence, now, lives| evidence.apply_lives(now, lives));
+        self.learn(|evidence, now, lives| evidence.apply_incarnations(now, lives));
     }
 
     /// Names a request that comes from `caller`.
