--- a/lib/src/crash_evidence.rs
+++ b/lib/src/crash_evidence.rs
@@ -224,7 +224,7 @@
 
     /// Returns the present life of a backend server that doesn't tell its lives apart itself.
     #[must_use]
-    pub fn life_of(&self, backend: &BackendName) -> BackendIncarnation {
+    pub fn incarnation_of(&self, backend: &BackendName) -> BackendIncarnation {
         let ended = self.ended.iter().filter(|life| life.backend == *backend);
         BackendIncarnation {
             backend: backend.clone(),
--- a/server/src/crash_watch.rs
+++ b/server/src/crash_watch.rs
@@ -250,8 +250,8 @@
 
     /// Returns the present life of a backend server that doesn't tell its lives apart itself.
     #[must_use]
-    pub fn life_of(&self, backend: &BackendName) -> BackendIncarnation {
-        self.state().evidence.life_of(backend)
+    pub fn incarnation_of(&self, backend: &BackendName) -> BackendIncarnation {
+        self.state().evidence.incarnation_of(backend)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
