--- a/lib/src/crash_evidence.rs
+++ b/lib/src/crash_evidence.rs
@@ -234,7 +234,7 @@
 
     /// Notes that connections are taken where a backend server was. It may be another process, or
     /// one that was started again under its name and doesn't tell its lives apart.
-    pub fn note_alive(&mut self, now: Instant, life: &BackendIncarnation) {
+    pub fn note_reachable(&mut self, now: Instant, life: &BackendIncarnation) {
         self.ended.retain(|ended| ended != life);
         let until = now + ANNOUNCED_WITHIN;
         let stood = self
--- a/lib/tests/test_crash_evidence.rs
+++ b/lib/tests/test_crash_evidence.rs
@@ -95,7 +95,7 @@
     for number in 1..=5 {
         let noted = evidence.note_unanswered(now, &ready(), &life(number), request(1));
         assert_eq!(noted, None);
-        evidence.note_alive(now, &life(number));
+        evidence.note_reachable(now, &life(number));
     }
     assert_eq!(evidence.treatment(&tag(1)), None);
 }
@@ -129,7 +129,7 @@
     let mut evidence = CrashEvidence::default();
     let now = Instant::now();
     end_under(&mut evidence, now, 1, &[1]);
-    evidence.note_alive(now, &life(1));
+    evidence.note_reachable(now, &life(1));
     let timed_out = evidence.note_unanswered(now, &ready(), &life(1), request(2));
     assert_eq!(timed_out, None);
 }
@@ -176,7 +176,7 @@
     assert_eq!(evidence.apply_incarnations(later, &replaced), []);
     // An address that takes connections is another process's for a shorter time.
     evidence.note_unanswered(later, &ready(), &life(2), request(1));
-    evidence.note_alive(later, &life(2));
+    evidence.note_reachable(later, &life(2));
     let later = later + Duration::from_secs(3);
     assert_eq!(evidence.apply_incarnations(later, &replaced), []);
 }
--- a/server/src/crash_watch.rs
+++ b/server/src/crash_watch.rs
@@ -299,7 +299,7 @@
                 Ok(connection) => {
                     pool.give_back(connection);
                     let now = watch.inner.clock.now();
-                    watch.state().evidence.note_alive(now, &life);
+                    watch.state().evidence.note_reachable(now, &life);
                 }
                 Err(error) if error.is_refused() => {
                     watch.learn(|evidence, now, lives| evidence.note_ended(now, lives, &life));
