--- a/lib/src/crash_evidence.rs
+++ b/lib/src/crash_evidence.rs
@@ -19,8 +19,8 @@
 use crate::fleet_update::FleetView;
 use crate::id::BackendName;
 use crate::quarantine::Ended;
+use crate::quarantine::InFlightRequest;
 use crate::quarantine::MOST_STANDING;
-use crate::quarantine::Stood;
 use crate::quarantine::Suspect;
 use crate::quarantine::SuspectNote;
 use crate::quarantine::Verdict;
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug)]
 struct Unanswered {
     life: BackendIncarnation,
-    stood: Stood,
+    stood: InFlightRequest,
     until: Instant,
 }
 
@@ -169,7 +169,7 @@
         now: Instant,
         lives: &dyn BackendIncarnations,
         life: &BackendIncarnation,
-        stood: Stood,
+        stood: InFlightRequest,
     ) -> Option<Ended> {
         self.forget_old(now);
         if self.unanswered.len() >= MOST_UNANSWERED {
@@ -336,7 +336,7 @@
         own
     }
 
-    fn take_unanswered(&mut self, life: &BackendIncarnation) -> Vec<Stood> {
+    fn take_unanswered(&mut self, life: &BackendIncarnation) -> Vec<InFlightRequest> {
         let mut requests = BTreeSet::new();
         self.unanswered.retain(|unanswered| {
             let stood = unanswered.life == *life;
--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -80,7 +80,7 @@
 
 /// Names a request that stood on a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Stood {
+pub struct InFlightRequest {
     /// The request.
     pub tag: RequestTag,
     /// Whether it was sent while its entry VM knew that it is watched.
@@ -93,7 +93,7 @@
     /// The backend server.
     pub life: BackendIncarnation,
     /// The requests, each named once.
-    pub requests: Vec<Stood>,
+    pub requests: Vec<InFlightRequest>,
 }
 
 /// Says what an entry VM saw of requests.
@@ -158,7 +158,7 @@
     }
 
     /// Notes that a backend server ended under a request of this content.
-    pub fn note_end(&mut self, life: &BackendIncarnation, stood: &Stood) {
+    pub fn note_end(&mut self, life: &BackendIncarnation, stood: &InFlightRequest) {
         let caller = stood.tag.caller;
         let known = |end: &&mut EndUnder| end.life == *life && end.caller == caller;
         if let Some(end) = self.ends.iter_mut().find(known) {
@@ -342,7 +342,8 @@
     }
 
     fn note_ended(&mut self, index: Revision, ended: &Ended) {
-        let requests: BTreeSet<&Stood> = ended.requests.iter().take(MOST_STANDING).collect();
+        let requests: BTreeSet<&InFlightRequest> =
+            ended.requests.iter().take(MOST_STANDING).collect();
         // A request that is known to end backend servers explains why this one did. It may have
         // been sent before the verdict was known there.
         let guilty = requests.iter().find(|stood| self.is_guilty(stood));
@@ -365,7 +366,7 @@
         self.keep_bounds();
     }
 
-    fn is_guilty(&self, stood: &Stood) -> bool {
+    fn is_guilty(&self, stood: &InFlightRequest) -> bool {
         let verdict = self.verdict(&stood.tag.content);
         verdict.is_some_and(|verdict| verdict.quarantines(stood.tag.caller))
     }
--- a/lib/tests/test_crash_evidence.rs
+++ b/lib/tests/test_crash_evidence.rs
@@ -17,7 +17,7 @@
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::ServiceName;
 use heatherring_lib::quarantine::Ended;
-use heatherring_lib::quarantine::Stood;
+use heatherring_lib::quarantine::InFlightRequest;
 use heatherring_lib::quarantine::SuspectNote;
 use heatherring_lib::quarantine::Verdict;
 use heatherring_lib::request_fingerprint::CallerTag;
@@ -45,9 +45,9 @@
 }
 
 /// A request that was sent while it was known to be watched.
-fn request(number: u8) -> Stood {
+fn request(number: u8) -> InFlightRequest {
     let tag = tag(number);
-    Stood { tag, watched: true }
+    InFlightRequest { tag, watched: true }
 }
 
 fn life(number: u32) -> BackendIncarnation {
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -11,8 +11,8 @@
 use heatherring_lib::id::ClusterId;
 use heatherring_lib::id::Revision;
 use heatherring_lib::quarantine::Ended;
+use heatherring_lib::quarantine::InFlightRequest;
 use heatherring_lib::quarantine::Quarantine;
-use heatherring_lib::quarantine::Stood;
 use heatherring_lib::quarantine::SuspectNote;
 use heatherring_lib::quarantine::Verdict;
 use heatherring_lib::quarantine_times::QUIET;
@@ -57,15 +57,15 @@
     }
 }
 
-fn stood(number: usize, from: u8, watched: bool) -> Stood {
+fn stood(number: usize, from: u8, watched: bool) -> InFlightRequest {
     let tag = RequestTag {
         content: request(number),
         caller: caller(from),
     };
-    Stood { tag, watched }
+    InFlightRequest { tag, watched }
 }
 
-fn note(backend: usize, requests: Vec<Stood>) -> SuspectNote {
+fn note(backend: usize, requests: Vec<InFlightRequest>) -> SuspectNote {
     let life = life(backend);
     SuspectNote::Ended(Ended { life, requests })
 }
--- a/server/src/crash_watch.rs
+++ b/server/src/crash_watch.rs
@@ -29,7 +29,7 @@
 use heatherring_lib::outcome::NotRunReason;
 use heatherring_lib::outcome::Unsent;
 use heatherring_lib::quarantine::Ended;
-use heatherring_lib::quarantine::Stood;
+use heatherring_lib::quarantine::InFlightRequest;
 use heatherring_lib::quarantine::SuspectNote;
 use heatherring_lib::quarantine::Verdict;
 use heatherring_lib::request_fingerprint::CallerTag;
@@ -244,7 +244,7 @@
         FollowedRequest {
             watch: Some(self.clone()),
             backend,
-            stood: Stood { tag, watched },
+            stood: InFlightRequest { tag, watched },
         }
     }
 
@@ -259,7 +259,7 @@
         state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_unanswered(&self, life: &BackendIncarnation, stood: Stood) {
+    fn note_unanswered(&self, life: &BackendIncarnation, stood: InFlightRequest) {
         self.learn(|evidence, now, lives| evidence.note_unanswered(now, lives, life, stood));
     }
 
@@ -336,7 +336,7 @@
 pub struct FollowedRequest {
     watch: Option<CrashWatch>,
     backend: BackendAt,
-    stood: Stood,
+    stood: InFlightRequest,
 }
 
 impl FollowedRequest {
