--- a/lib/src/crash_evidence.rs
+++ b/lib/src/crash_evidence.rs
@@ -20,7 +20,7 @@
 use crate::id::BackendName;
 use crate::quarantine::Ended;
 use crate::quarantine::InFlightRequest;
-use crate::quarantine::MOST_STANDING;
+use crate::quarantine::MAX_IN_FLIGHT_PER_END;
 use crate::quarantine::Suspect;
 use crate::quarantine::SuspectNote;
 use crate::quarantine::Verdict;
@@ -345,7 +345,7 @@
             }
             !stood
         });
-        requests.into_iter().take(MOST_STANDING).collect()
+        requests.into_iter().take(MAX_IN_FLIGHT_PER_END).collect()
     }
 
     fn forget_old(&mut self, now: Instant) {
--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -37,7 +37,7 @@
 const MOST_ENDS: usize = 12;
 
 /// Requests noted of one backend server that ended; more than it has slots and waiting room.
-pub const MOST_STANDING: usize = 64;
+pub const MAX_IN_FLIGHT_PER_END: usize = 64;
 
 /// Says how entry VMs treat the requests of one content. The greater one goes first.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
@@ -343,7 +343,7 @@
 
     fn note_ended(&mut self, index: Revision, ended: &Ended) {
         let requests: BTreeSet<&InFlightRequest> =
-            ended.requests.iter().take(MOST_STANDING).collect();
+            ended.requests.iter().take(MAX_IN_FLIGHT_PER_END).collect();
         // A request that is known to end backend servers explains why this one did. It may have
         // been sent before the verdict was known there.
         let guilty = requests.iter().find(|stood| self.is_guilty(stood));
