--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -245,7 +245,7 @@
 
 /// Holds a suspect and when it was heard of.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Noted {
+pub struct SuspectRecord {
     /// What is known.
     pub suspect: Suspect,
     /// The last position at which it was heard of.
@@ -257,7 +257,7 @@
 pub struct Quarantine {
     /// The last position that changed a verdict.
     revision: Revision,
-    suspects: BTreeMap<Fingerprint, Noted>,
+    suspects: BTreeMap<Fingerprint, SuspectRecord>,
 }
 
 impl Quarantine {
@@ -268,13 +268,13 @@
     }
 
     /// Returns all suspected requests.
-    pub fn suspects(&self) -> impl Iterator<Item = (&Fingerprint, &Noted)> {
+    pub fn suspects(&self) -> impl Iterator<Item = (&Fingerprint, &SuspectRecord)> {
         self.suspects.iter()
     }
 
     /// Returns what is known of requests of a content.
     #[must_use]
-    pub fn suspect(&self, request: &Fingerprint) -> Option<&Noted> {
+    pub fn suspect(&self, request: &Fingerprint) -> Option<&SuspectRecord> {
         self.suspects.get(request)
     }
 
@@ -414,7 +414,7 @@
     /// whoever sends many requests that end backend servers pushes out no verdict.
     fn keep_bounds(&mut self) {
         while self.suspects.len() > MOST_SUSPECTS {
-            let rank = |(_, noted): &(&Fingerprint, &Noted)| {
+            let rank = |(_, noted): &(&Fingerprint, &SuspectRecord)| {
                 (
                     noted.suspect.verdict(),
                     noted.suspect.ended().len(),
