--- a/lib/src/quarantine_times.rs
+++ b/lib/src/quarantine_times.rs
@@ -34,7 +34,7 @@
 
     /// Returns the requests that nothing was heard of for [`RELEASE_AFTER`], and when they were noted.
     #[must_use]
-    pub fn quiet(&self, now: Instant) -> Vec<(Fingerprint, Revision)> {
+    pub fn due_for_release(&self, now: Instant) -> Vec<(Fingerprint, Revision)> {
         let is_quiet = |at: Instant| now.saturating_duration_since(at) >= RELEASE_AFTER;
         let heard = self.heard.iter();
         heard
--- a/server/src/quarantine_keeper.rs
+++ b/server/src/quarantine_keeper.rs
@@ -69,11 +69,11 @@
     }
 
     async fn release(&self) {
-        let quiet = self.times.quiet(self.clock.now());
-        if quiet.is_empty() || !self.picture.read().leads {
+        let due_for_release = self.times.due_for_release(self.clock.now());
+        if due_for_release.is_empty() || !self.picture.read().leads {
             return;
         }
-        let command = FleetCommand::ReleaseSuspects(quiet);
+        let command = FleetCommand::ReleaseSuspects(due_for_release);
         if let Err(error) = self.node.propose_fleet(command).await {
             log::debug!(event = "release_open", error:% = error; "tried again at the next look");
         }
