--- a/lib/src/crash_evidence.rs
+++ b/lib/src/crash_evidence.rs
@@ -51,7 +51,7 @@
 const OWN_FOR: Duration = Duration::from_mins(3);
 
 /// Time between two notes that a quarantined request still comes.
-pub const REFUSED_INTERVAL: Duration = Duration::from_mins(2);
+pub const REFUSED_NOTE_INTERVAL: Duration = Duration::from_mins(2);
 
 /// Time between two notes that requests of a watched content are answered, where none of this
 /// caller ended a backend server here: there may be hundreds a second.
@@ -293,7 +293,7 @@
         let own = self.own_entry(now, request);
         let is_lately = own
             .refused_at
-            .is_some_and(|at| now.saturating_duration_since(at) < REFUSED_INTERVAL);
+            .is_some_and(|at| now.saturating_duration_since(at) < REFUSED_NOTE_INTERVAL);
         if is_lately {
             return None;
         }
--- a/lib/src/quarantine_times.rs
+++ b/lib/src/quarantine_times.rs
@@ -9,7 +9,7 @@
 use crate::request_fingerprint::Fingerprint;
 
 /// Time without word of a suspected request after which it is let go one step. A caller that
-/// sends it again and again is heard of every [`crate::crash_evidence::REFUSED_INTERVAL`].
+/// sends it again and again is heard of every [`crate::crash_evidence::REFUSED_NOTE_INTERVAL`].
 pub const RELEASE_AFTER: Duration = Duration::from_mins(10);
 
 /// Follows when each suspected request was heard of. A replica that starts or becomes the leader
