--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -23,7 +23,7 @@
 use crate::request_fingerprint::RequestTag;
 
 /// Backend servers that end under a request before it is quarantined.
-pub const QUARANTINED_AT: usize = 3;
+pub const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Backend servers that end under a request before it is watched: it isn't sent on once more
 /// within the same try.
@@ -233,11 +233,11 @@
 
     fn is_guilty(&self, caller: CallerTag) -> bool {
         let mut ends = self.ends.iter().filter(|end| end.caller == caller);
-        self.ended_by(caller) >= QUARANTINED_AT && ends.any(|end| end.watched)
+        self.ended_by(caller) >= QUARANTINE_THRESHOLD && ends.any(|end| end.watched)
     }
 
     fn is_guilty_from_anywhere(&self, ended: usize) -> bool {
-        ended >= QUARANTINED_AT + self.answers
+        ended >= QUARANTINE_THRESHOLD + self.answers
             && self.callers().nth(1).is_some()
             && self.ends.iter().any(|end| end.watched)
     }
