--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -27,7 +27,7 @@
 
 /// Backend servers that end under a request before it is watched: it isn't sent on once more
 /// within the same try.
-pub const WATCHED_AT: usize = 2;
+pub const WATCH_THRESHOLD: usize = 2;
 
 /// Requests that are remembered, some 300 bytes each. Each of them has ended a backend server
 /// or stood on one, so that it takes hundreds of ended ones to fill the table.
@@ -143,7 +143,7 @@
     #[must_use]
     pub fn verdict(&self) -> Option<Verdict> {
         // Nearly all have one, and all are looked at with each note.
-        if self.ends.len() < WATCHED_AT {
+        if self.ends.len() < WATCH_THRESHOLD {
             return None;
         }
         let ended = self.ended().len();
@@ -154,7 +154,7 @@
         if !guilty.is_empty() {
             return Some(Verdict::QuarantinedFrom(guilty));
         }
-        (ended >= WATCHED_AT).then_some(Verdict::Watched)
+        (ended >= WATCH_THRESHOLD).then_some(Verdict::Watched)
     }
 
     /// Notes that a backend server ended under a request of this content.
@@ -186,7 +186,7 @@
         self.answers += 1;
         let repeats = self
             .callers()
-            .any(|caller| self.ended_by(caller) >= WATCHED_AT);
+            .any(|caller| self.ended_by(caller) >= WATCH_THRESHOLD);
         if !repeats && self.answers >= self.ended().len() {
             self.ends.clear();
         }
@@ -212,7 +212,7 @@
         }
         let mut kept = BTreeSet::new();
         self.ends
-            .retain(|end| kept.insert(end.life.clone()) && kept.len() <= WATCHED_AT);
+            .retain(|end| kept.insert(end.life.clone()) && kept.len() <= WATCH_THRESHOLD);
         for end in &mut self.ends {
             end.watched = false;
         }
