--- a/lib/src/presence.rs
+++ b/lib/src/presence.rs
@@ -78,7 +78,7 @@
 struct Peer {
     life: u64,
     number: u64,
-    heard: BTreeSet<HeartbeatSource>,
+    sources: BTreeSet<HeartbeatSource>,
     endpoints: Option<ReplicaEndpoints>,
     at: Instant,
 }
@@ -89,7 +89,7 @@
         Self {
             life: report.life,
             number: 0,
-            heard: BTreeSet::new(),
+            sources: BTreeSet::new(),
             endpoints: report.endpoints.clone(),
             at: now,
         }
@@ -99,11 +99,11 @@
     fn removed_by(&mut self, update: &SetUpdate<HeartbeatSource>) -> Vec<HeartbeatSource> {
         let mut removed: Vec<HeartbeatSource> = update.removed.clone();
         if update.whole {
-            let heard: BTreeSet<&HeartbeatSource> = update.added.iter().collect();
-            let gone = self.heard.iter().filter(|known| !heard.contains(known));
+            let whole: BTreeSet<&HeartbeatSource> = update.added.iter().collect();
+            let gone = self.sources.iter().filter(|known| !whole.contains(known));
             removed.extend(gone.cloned());
         }
-        removed.retain(|heard| self.heard.remove(heard));
+        removed.retain(|source| self.sources.remove(source));
         removed
     }
 }
@@ -135,9 +135,9 @@
     /// Records a heartbeat of a backend server. Returns whether it counted as silent before.
     pub fn record_backend_heartbeat(&mut self, now: Instant, backend: &BackendName) -> bool {
         let silent = self.is_silent(now, backend);
-        let heard = HeartbeatSource::Backend(backend.clone());
-        if self.own.record_heartbeat(now, &heard) {
-            self.add(now, &heard);
+        let source = HeartbeatSource::Backend(backend.clone());
+        if self.own.record_heartbeat(now, &source) {
+            self.add(now, &source);
         }
         silent
     }
@@ -150,7 +150,7 @@
         life: u64,
         ready: bool,
     ) -> bool {
-        let heard = |life, ready| HeartbeatSource::Entry {
+        let source = |life, ready| HeartbeatSource::Entry {
             vm: vm.clone(),
             life,
             ready,
@@ -158,14 +158,14 @@
         let before = self.entries.get(vm).copied();
         let is_new = before.is_none_or(|known| known.life != life || known.ready != ready);
         if is_new && let Some(known) = before {
-            let outdated = heard(known.life, known.ready);
+            let outdated = source(known.life, known.ready);
             if self.own.drop_source(&outdated) {
                 self.remove(&outdated, now);
             }
         }
-        let heard = heard(life, ready);
-        if self.own.record_heartbeat(now, &heard) {
-            self.add(now, &heard);
+        let source = source(life, ready);
+        if self.own.record_heartbeat(now, &source) {
+            self.add(now, &source);
         }
         is_new
     }
@@ -179,7 +179,7 @@
     /// Applies the report of another replica. Returns the number of the last of its changes known
     /// here, from which its next report is to start.
     pub fn apply_report(&mut self, now: Instant, from: &VmName, report: &PresenceReport) -> u64 {
-        if report.heard.whole
+        if report.sources.whole
             && self
                 .peers
                 .get(from)
@@ -195,36 +195,36 @@
         else {
             return 0;
         };
-        if !report.heard.whole && peer.number != report.base {
+        if !report.sources.whole && peer.number != report.base {
             return peer.number;
         }
         peer.at = now;
-        peer.number = report.heard.number;
-        let removed = peer.removed_by(&report.heard);
-        let added = report.heard.added.iter().zip(&report.began_ms);
+        peer.number = report.sources.number;
+        let removed = peer.removed_by(&report.sources);
+        let added = report.sources.added.iter().zip(&report.began_ms);
         let added: Vec<(&HeartbeatSource, &u32)> = added
-            .filter(|(heard, _)| peer.heard.insert((*heard).clone()))
+            .filter(|(source, _)| peer.sources.insert((*source).clone()))
             .collect();
-        for heard in removed {
-            self.remove(&heard, earlier(now, heard.heartbeat_timeout()));
+        for source in removed {
+            self.remove(&source, earlier(now, source.heartbeat_timeout()));
         }
-        for (heard, began_ms) in added {
+        for (source, began_ms) in added {
             let began = earlier(now, Duration::from_millis((*began_ms).into()));
-            self.add(began, heard);
+            self.add(began, source);
         }
-        report.heard.number
+        report.sources.number
     }
 
     /// Removes the sources whose heartbeats have ceased, here or at replicas that no longer report.
     pub fn expire(&mut self, now: Instant) {
-        for (heard, last) in self.own.expire(now) {
-            self.remove(&heard, last);
+        for (source, last) in self.own.expire(now) {
+            self.remove(&source, last);
         }
         let is_silent = |peer: &Peer| now.saturating_duration_since(peer.at) >= PEER_SILENCE;
         let silent: Vec<VmName> = self
             .peers
             .iter()
-            .filter(|(_, peer)| is_silent(peer) && !peer.heard.is_empty())
+            .filter(|(_, peer)| is_silent(peer) && !peer.sources.is_empty())
             .map(|(vm, _)| vm.clone())
             .collect();
         for vm in silent {
@@ -246,11 +246,11 @@
     /// majority, including this one.
     #[must_use]
     pub fn has_majority(&self, now: Instant, replicas: usize) -> bool {
-        let heard = self
+        let reporting = self
             .peers
             .values()
             .filter(|peer| now.saturating_duration_since(peer.at) < PEER_SILENCE);
-        (heard.count() + 1) * 2 > replicas
+        (reporting.count() + 1) * 2 > replicas
     }
 
     /// Returns the endpoints of the other replicas that have sent a full report, and whether each
@@ -298,8 +298,8 @@
         is_not_ready || self.entry_silence(now, vm) >= ENTRY_SILENCE
     }
 
-    fn add(&mut self, began: Instant, heard: &HeartbeatSource) {
-        match heard {
+    fn add(&mut self, began: Instant, source: &HeartbeatSource) {
+        match source {
             HeartbeatSource::Backend(backend) => {
                 let unheard = Contact {
                     reporters: 0,
@@ -328,8 +328,8 @@
         }
     }
 
-    fn remove(&mut self, heard: &HeartbeatSource, last: Instant) {
-        let contact = match heard {
+    fn remove(&mut self, source: &HeartbeatSource, last: Instant) {
+        let contact = match source {
             HeartbeatSource::Backend(backend) => self.backends.get_mut(backend),
             HeartbeatSource::Entry { vm, .. } => {
                 self.entries.get_mut(vm).map(|entry| &mut entry.contact)
@@ -350,8 +350,8 @@
         let last = peer.at.min(now);
         // Requires a full report next.
         peer.number = 0;
-        for heard in std::mem::take(&mut peer.heard) {
-            self.remove(&heard, last);
+        for source in std::mem::take(&mut peer.sources) {
+            self.remove(&source, last);
         }
     }
 }
--- a/lib/src/presence_report.rs
+++ b/lib/src/presence_report.rs
@@ -78,7 +78,7 @@
     /// Number of the last change that the receiver is assumed to know.
     pub base: u64,
     /// Sources that were added or removed since `base`, or all of them.
-    pub heard: SetUpdate<HeartbeatSource>,
+    pub sources: SetUpdate<HeartbeatSource>,
     /// Milliseconds since each added source began, in the order of the added sources.
     pub began_ms: Vec<u32>,
 }
@@ -109,8 +109,8 @@
     }
 
     /// Records a heartbeat. Returns whether the source was not in the set before.
-    pub fn record_heartbeat(&mut self, now: Instant, heard: &HeartbeatSource) -> bool {
-        if let Some(times) = self.times.get_mut(heard) {
+    pub fn record_heartbeat(&mut self, now: Instant, source: &HeartbeatSource) -> bool {
+        if let Some(times) = self.times.get_mut(source) {
             times.last = now;
             return false;
         }
@@ -118,32 +118,32 @@
             began: now,
             last: now,
         };
-        self.times.insert(heard.clone(), times);
-        self.set.insert(heard.clone());
+        self.times.insert(source.clone(), times);
+        self.set.insert(source.clone());
         true
     }
 
     /// Removes a source, for instance because it now reports another state. Returns whether it was
     /// present.
-    pub fn drop_source(&mut self, heard: &HeartbeatSource) -> bool {
-        self.times.remove(heard);
-        self.set.remove(heard)
+    pub fn drop_source(&mut self, source: &HeartbeatSource) -> bool {
+        self.times.remove(source);
+        self.set.remove(source)
     }
 
     /// Removes the sources whose heartbeats have ceased, and returns each with the time of its last
     /// heartbeat.
     pub fn expire(&mut self, now: Instant) -> Vec<(HeartbeatSource, Instant)> {
-        let is_expired = |heard: &HeartbeatSource, times: &Times| {
-            now.saturating_duration_since(times.last) >= heard.heartbeat_timeout()
+        let is_expired = |source: &HeartbeatSource, times: &Times| {
+            now.saturating_duration_since(times.last) >= source.heartbeat_timeout()
         };
         let expired: Vec<(HeartbeatSource, Instant)> = self
             .times
             .iter()
-            .filter(|(heard, times)| is_expired(heard, times))
-            .map(|(heard, times)| (heard.clone(), times.last))
+            .filter(|(source, times)| is_expired(source, times))
+            .map(|(source, times)| (source.clone(), times.last))
             .collect();
-        for (heard, _) in &expired {
-            self.drop_source(heard);
+        for (source, _) in &expired {
+            self.drop_source(source);
         }
         expired
     }
@@ -152,18 +152,18 @@
     /// nothing is known of it.
     #[must_use]
     pub fn report(&self, now: Instant, known: u64, endpoints: &ReplicaEndpoints) -> PresenceReport {
-        let heard = self.set.update_from(known);
-        let began_ms = heard.added.iter().map(|heard| {
-            let began = self.times.get(heard).map_or(now, |times| times.began);
+        let sources = self.set.update_from(known);
+        let began_ms = sources.added.iter().map(|source| {
+            let began = self.times.get(source).map_or(now, |times| times.began);
             let age = now.saturating_duration_since(began).as_millis();
             u32::try_from(age).unwrap_or(u32::MAX)
         });
         PresenceReport {
             life: self.life,
-            endpoints: heard.whole.then(|| endpoints.clone()),
+            endpoints: sources.whole.then(|| endpoints.clone()),
             base: known,
             began_ms: began_ms.collect(),
-            heard,
+            sources,
         }
     }
 }
--- a/lib/tests/test_presence.rs
+++ b/lib/tests/test_presence.rs
@@ -211,7 +211,7 @@
         }
         replica.expire(now);
         let report: PresenceReport = replica.report(now, known, &endpoints());
-        known = report.heard.number;
+        known = report.sources.number;
         // The first report contains all sources.
         if step > 0 {
             bytes += postcard::to_stdvec(&report).unwrap().len();
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -256,7 +256,7 @@
                 let known = self.presence.apply_report(now, &from, &report);
                 // The replica's call may have been given up meanwhile.
                 let _ = reply.send(known);
-                if !report.heard.added.is_empty() || !report.heard.removed.is_empty() {
+                if !report.sources.added.is_empty() || !report.sources.removed.is_empty() {
                     self.publish(now);
                 }
             }
