--- a/lib/src/command.rs
+++ b/lib/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log, the only inputs of the replicated state machine.
+//! Commands of the replicated log, the inputs of the replicated state machine.
 
 use serde::Deserialize;
 use serde::Serialize;
--- a/lib/src/manifest.rs
+++ b/lib/src/manifest.rs
@@ -159,7 +159,7 @@
     pub max_kilobytes_per_second: u32,
 }
 
-/// A planned drain: something that is to receive no new requests.
+/// Planned drain of a place, a backend server or an entry VM, which receives no new requests.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Drain {
