--- a/lib/src/raft_follower.rs
+++ b/lib/src/raft_follower.rs
@@ -1,4 +1,4 @@
-//! What a follower or learner does with the appends and snapshots of its leader.
+//! Handling of the leader's appends and snapshots by a follower or learner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,9 +19,9 @@
 use crate::raft_message::MessageKind;
 use crate::raft_message::Snapshot;
 
-/// Holds the parts of a snapshot that arrived so far.
+/// Collects the chunks of a snapshot received so far.
 ///
-/// It belongs to one leader, since another leader may encode the same state otherwise.
+/// All come from one leader, since another leader may encode the same state differently.
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
     leader_term: Term,
@@ -41,9 +41,9 @@
     }
 }
 
-/// Holds one part of a snapshot.
+/// Contains one received chunk of a snapshot.
 #[derive(Debug)]
-struct SnapshotPart {
+struct IncomingChunk {
     at: Position,
     membership: Membership,
     offset: u64,
@@ -51,7 +51,7 @@
     last: bool,
 }
 
-/// Holds one append.
+/// Contains the fields of a received append that concern the log.
 #[derive(Debug)]
 struct Append {
     previous: Position,
@@ -61,7 +61,7 @@
 }
 
 impl Raft {
-    /// Handles what only the leader of the present term sends.
+    /// Handles messages that only the leader of the current term sends.
     pub(crate) fn on_leader_message(
         &mut self,
         from: ReplicaId,
@@ -69,10 +69,10 @@
         fx: &mut Effects,
     ) {
         if matches!(self.role, RoleState::Leader(_)) {
-            // There is one leader a term, so this message is forged or damaged.
+            // There is at most one leader per term, so this message is forged or corrupted.
             return;
         }
-        self.hear_leader(from, fx);
+        self.record_leader_contact(from, fx);
         match kind {
             MessageKind::Append {
                 previous_index: index,
@@ -80,11 +80,11 @@
                 entries,
                 commit,
                 barrier,
-                answer,
+                reply_number,
                 contact_ms,
             } => {
-                let said_at = self.said_at(answer, contact_ms);
-                self.note_leader_commit(commit, said_at);
+                let commit_as_of = self.commit_as_of(reply_number, contact_ms);
+                self.note_leader_commit(commit, commit_as_of);
                 let append = Append {
                     previous: Position { index, term },
                     entries,
@@ -102,14 +102,14 @@
                 last,
             } => {
                 self.note_leader_commit(index, None);
-                let part = SnapshotPart {
+                let chunk = IncomingChunk {
                     at: Position { index, term },
                     membership,
                     offset,
                     data,
                     last,
                 };
-                self.on_snapshot_part(from, part, fx);
+                self.on_snapshot_chunk(from, chunk, fx);
             }
             _ => {}
         }
@@ -118,31 +118,33 @@
         }
     }
 
-    fn note_leader_commit(&mut self, commit: Revision, said_at: Option<Instant>) {
+    fn note_leader_commit(&mut self, commit: Revision, commit_as_of: Option<Instant>) {
         if let RoleState::Follower(follower) = &mut self.role {
-            follower.note_leader_commit(commit, said_at);
+            follower.note_leader_commit(commit, commit_as_of);
         }
     }
 
-    /// Returns a moment at which the leader surely led, and before which it hadn't spoken. It had
-    /// this replica's `answer` when it spoke, and had been proved to lead `contact_ms` before.
-    fn said_at(&self, answer: u64, contact_ms: u32) -> Option<Instant> {
-        let sent_at = self.answers.sent_at(answer)?;
+    /// Returns a time at which the sender of a message was certainly the leader and had not
+    /// sent the message yet; `None` if the reply is not known here. The sender had received
+    /// this replica's reply `reply_number` and was last proven to lead `contact_ms` before it
+    /// sent the message.
+    fn commit_as_of(&self, reply_number: u64, contact_ms: u32) -> Option<Instant> {
+        let sent_at = self.sent_replies.sent_at(reply_number)?;
         sent_at.checked_sub(Duration::from_millis(contact_ms.into()))
     }
 
-    fn hear_leader(&mut self, leader: ReplicaId, fx: &mut Effects) {
+    fn record_leader_contact(&mut self, leader: ReplicaId, fx: &mut Effects) {
         match &mut self.role {
             RoleState::Follower(FollowerState {
                 leader: Some(known),
-                heard_at,
+                last_leader_contact,
                 ..
-            }) if *known == leader => *heard_at = Some(self.now),
+            }) if *known == leader => *last_leader_contact = Some(self.now),
             _ => {
                 let reason = Refusal::NotLeader {
                     leader: Some(leader),
                 };
-                self.follow(Some(leader), &reason, fx);
+                self.become_follower(Some(leader), &reason, fx);
             }
         }
         self.restart_election_timer();
@@ -162,14 +164,14 @@
                 matched,
                 index,
                 barrier,
-                answer: self.answers.number(self.now),
+                reply_number: self.sent_replies.number(self.now),
             };
             self.send(from, kind, fx);
             return;
         }
         let last = Revision(previous.index.0 + append.entries.len() as u64);
         for entry in append.entries {
-            self.take_entry(entry, fx);
+            self.store_entry(entry, fx);
         }
         self.commit_through(append.commit.min(last), fx);
         let matched = true;
@@ -177,13 +179,13 @@
             matched,
             index: last,
             barrier,
-            answer: self.answers.number(self.now),
+            reply_number: self.sent_replies.number(self.now),
         };
         self.send(from, kind, fx);
     }
 
-    /// Leaves out what is committed here. Any leader's log holds the same there, so it
-    /// matches, also where this replica has compacted it.
+    /// Removes the entries that are already committed here. Every leader's log contains the
+    /// same entries there, so they match even where this replica has compacted its log.
     fn skip_committed(&self, mut append: Append) -> Append {
         if append.previous.index >= self.commit {
             return append;
@@ -196,9 +198,9 @@
         append
     }
 
-    /// Returns the position from which the leader should try again: past the end of a
-    /// log that is too short, else the start of the conflicting term, so that a long
-    /// conflict costs one round trip a term and not one an entry.
+    /// Returns the index from which the leader should retry: just past the end of a log
+    /// that is too short, otherwise the start of the conflicting term, so that a conflict
+    /// costs one round trip per term instead of one per entry.
     fn retry_position(&self, index: Revision) -> Revision {
         let last = self.last_index();
         if index > last {
@@ -207,12 +209,12 @@
         self.log.first_of_term(index, self.commit.next())
     }
 
-    fn take_entry(&mut self, entry: LogEntry, fx: &mut Effects) {
-        let here = self.log.term_at(entry.index);
-        if here == Some(entry.term) {
+    fn store_entry(&mut self, entry: LogEntry, fx: &mut Effects) {
+        let local_term = self.log.term_at(entry.index);
+        if local_term == Some(entry.term) {
             return;
         }
-        if here.is_some() {
+        if local_term.is_some() {
             self.truncate(entry.index, fx);
         }
         fx.writes.push(LogWrite::Append(entry.clone()));
@@ -224,10 +226,10 @@
         fx.writes.push(LogWrite::Truncate(from));
     }
 
-    fn on_snapshot_part(&mut self, from: ReplicaId, part: SnapshotPart, fx: &mut Effects) {
-        let index = part.at.index;
-        if self.log.term_at(index) == Some(part.at.term) {
-            // The log holds the position, so everything before it equals the leader's.
+    fn on_snapshot_chunk(&mut self, from: ReplicaId, chunk: IncomingChunk, fx: &mut Effects) {
+        let index = chunk.at.index;
+        if self.log.term_at(index) == Some(chunk.at.term) {
+            // The log contains this entry, so everything before it equals the leader's log.
             self.commit_through(index, fx);
         }
         if index <= self.commit {
@@ -235,8 +237,8 @@
             self.send_snapshot_reply(from, index, 0, true, fx);
             return;
         }
-        let last = part.last;
-        let complete = self.collect(part) && last;
+        let last = chunk.last;
+        let complete = self.add_chunk(chunk) && last;
         let received = self.received();
         if complete && let Some(incoming) = self.incoming.take() {
             self.install(incoming.into_snapshot(), fx);
@@ -244,24 +246,25 @@
         self.send_snapshot_reply(from, index, received, complete, fx);
     }
 
-    /// Adds a part to what arrived so far; returns whether it was the next one.
-    fn collect(&mut self, part: SnapshotPart) -> bool {
+    /// Adds a chunk to the incoming snapshot, or starts a new one; returns whether it was the
+    /// next chunk in order. Others are dropped.
+    fn add_chunk(&mut self, chunk: IncomingChunk) -> bool {
         let leader_term = self.term();
         let same = self
             .incoming
             .as_ref()
-            .is_some_and(|incoming| incoming.leader_term == leader_term && incoming.at == part.at);
+            .is_some_and(|incoming| incoming.leader_term == leader_term && incoming.at == chunk.at);
         if !same {
             self.incoming = Some(IncomingSnapshot {
                 leader_term,
-                at: part.at,
-                membership: part.membership,
+                at: chunk.at,
+                membership: chunk.membership,
                 data: Vec::new(),
             });
         }
-        let is_next = part.offset == self.received();
+        let is_next = chunk.offset == self.received();
         if is_next && let Some(incoming) = &mut self.incoming {
-            incoming.data.extend(part.data);
+            incoming.data.extend(chunk.data);
         }
         is_next
     }
@@ -275,10 +278,11 @@
     fn install(&mut self, snapshot: Snapshot, fx: &mut Effects) {
         let first_after_commit = self.commit.next();
         if self.last_index() >= first_after_commit {
-            // What follows the committed part conflicts with the snapshot.
+            // The uncommitted entries conflict with the snapshot.
             fx.writes.push(LogWrite::Truncate(first_after_commit));
         }
-        self.pending.cover(snapshot.index, &mut fx.answers);
+        self.pending
+            .resolve_covered(snapshot.index, &mut fx.answers);
         fx.writes.push(LogWrite::Snapshot(snapshot.clone()));
         self.commit = snapshot.index;
         self.log.restore(Arc::new(snapshot.clone()));
@@ -303,8 +307,8 @@
     }
 }
 
-/// Returns whether the entries follow each other and the position before them. A
-/// message that doesn't is damaged; taking it in would leave a gap in the log.
+/// Returns whether the entries are consecutive and follow the previous position. A message
+/// that violates this is corrupted, and accepting it would leave a gap in the log.
 fn is_continuous(append: &Append) -> bool {
     let mut before = append.previous;
     append.entries.iter().all(|entry| {
--- a/lib/src/raft_replication.rs
+++ b/lib/src/raft_replication.rs
@@ -1,5 +1,5 @@
-//! What a leader does: it appends, counts what a majority holds, proves reads and
-//! hands over.
+//! Duties of a leader: appending and committing entries, confirming reads, and handing
+//! leadership over.
 
 use crate::id::ReplicaId;
 use crate::id::Revision;
@@ -15,7 +15,7 @@
 use crate::raft_message::LogWrite;
 
 impl Raft {
-    /// Appends an entry to the leader's log and returns its position.
+    /// Appends an entry to the leader's log and returns its index.
     pub(crate) fn append_as_leader(&mut self, payload: LogPayload, fx: &mut Effects) -> Revision {
         let index = self.last_index().next();
         let entry = LogEntry {
@@ -28,37 +28,38 @@
         index
     }
 
-    /// Sends what was appended, and commits it where no other voter is needed.
+    /// Replicates newly appended entries; commits them at once if this replica is the sole
+    /// voter.
     pub(crate) fn after_append(&mut self, fx: &mut Effects) {
-        self.lead(|leader, cx| {
+        self.with_leader(|leader, cx| {
             leader.add_peers(cx.log.membership(), cx.log.last().index, cx.now);
             leader.replicate_all(cx, fx);
         });
         self.advance_commit(fx);
     }
 
-    /// Commits what a majority holds.
+    /// Commits the entries that a majority holds.
     ///
-    /// Only an entry of the leader's own term is committed by counting; it commits the
-    /// ones before it. An older entry may be on a majority and still be replaced, by a
-    /// leader whose log ends with a term between the two.
+    /// Only entries of the leader's own term are committed by counting replicas; the entries
+    /// before them are committed with them. An older entry may be on a majority and still be
+    /// replaced by a leader whose last log term lies between the two.
     pub(crate) fn advance_commit(&mut self, fx: &mut Effects) {
         let RoleState::Leader(leader) = &self.role else {
             return;
         };
-        let held = leader.quorum_match(self.membership(), self.last_index());
-        let countable = self.log.term_at(held) == Some(self.term());
-        if held <= self.commit || !countable {
+        let majority_match = leader.quorum_match(self.membership(), self.last_index());
+        let countable = self.log.term_at(majority_match) == Some(self.term());
+        if majority_match <= self.commit || !countable {
             return;
         }
-        self.commit_through(held, fx);
+        self.commit_through(majority_match, fx);
         self.drive_membership(fx);
-        self.lead(|leader, cx| leader.replicate_all(cx, fx));
+        self.with_leader(|leader, cx| leader.replicate_all(cx, fx));
         self.drive_reads(fx);
     }
 
     fn drive_reads(&mut self, fx: &mut Effects) {
-        self.lead(|leader, cx| leader.drive_reads(cx.log.membership(), cx, fx));
+        self.with_leader(|leader, cx| leader.drive_reads(cx.log.membership(), cx, fx));
     }
 
     pub(crate) fn on_append_reply(
@@ -67,16 +68,16 @@
         matched: bool,
         index: Revision,
         barrier: u64,
-        answer: u64,
+        reply_number: u64,
         fx: &mut Effects,
     ) {
-        self.lead(|leader, cx| {
-            leader.on_round_answer(from, barrier);
+        self.with_leader(|leader, cx| {
+            leader.on_round_reply(from, barrier);
             let Some(progress) = leader.peers.get_mut(&from) else {
                 return;
             };
             progress.last_heard = Some(cx.now);
-            progress.answer = answer;
+            progress.reply_number = reply_number;
             if !matched {
                 progress.on_mismatch(index);
             } else if index <= cx.log.last().index {
@@ -94,7 +95,7 @@
         installed: bool,
         fx: &mut Effects,
     ) {
-        self.lead(|leader, cx| {
+        self.with_leader(|leader, cx| {
             if let Some(progress) = leader.peers.get_mut(&from)
                 && index <= cx.log.last().index
             {
@@ -107,7 +108,7 @@
 
     fn after_reply(&mut self, from: ReplicaId, fx: &mut Effects) {
         self.advance_commit(fx);
-        self.lead(|leader, cx| {
+        self.with_leader(|leader, cx| {
             leader.replicate(from, cx, fx);
             if leader.handover.is_some_and(|it| it.target == from) {
                 leader.send_timeout_now(cx, fx);
@@ -118,12 +119,12 @@
     }
 
     pub(crate) fn on_leader_tick(&mut self, fx: &mut Effects) {
-        self.end_late_handover();
-        self.lead(|leader, cx| {
+        self.cancel_expired_handover();
+        self.with_leader(|leader, cx| {
             if cx.now >= leader.next_heartbeat {
-                leader.begin_round(cx, fx);
+                leader.begin_heartbeat_round(cx, fx);
             }
-            leader.drop_departed(cx.log.membership(), cx);
+            leader.drop_removed(cx.log.membership(), cx);
             leader.replicate_all(cx, fx);
         });
         self.drive_reads(fx);
@@ -146,7 +147,8 @@
         self.after_append(fx);
     }
 
-    /// Returns why no proposal can be taken now. The log doesn't hold it then.
+    /// Returns why no proposal can be accepted now; `None` if one can. A refused proposal is
+    /// not in the log.
     pub(crate) fn proposal_refusal(&self) -> Option<Refusal> {
         let RoleState::Leader(leader) = &self.role else {
             let leader = self.leader();
@@ -171,7 +173,7 @@
             refuse(token, Refusal::NotLeader { leader }, fx);
             return;
         }
-        self.lead(|leader, _| leader.read(token, fx));
+        self.with_leader(|leader, _| leader.read(token, fx));
         self.drive_reads(fx);
     }
 
@@ -179,9 +181,9 @@
         self.start_handover(fx);
     }
 
-    /// Begins to hand over to the most caught-up live voter, if there is one.
+    /// Starts a handover to the live voter with the highest matching index, if there is one.
     pub(crate) fn start_handover(&mut self, fx: &mut Effects) {
-        self.lead(|leader, cx| {
+        self.with_leader(|leader, cx| {
             if leader.handover.is_some() {
                 return;
             }
@@ -193,12 +195,13 @@
         });
     }
 
-    /// Takes proposals again if the target didn't take over in time.
-    fn end_late_handover(&mut self) {
-        self.lead(|leader, cx| {
+    /// Gives up a handover whose target did not become leader in time, so that proposals are
+    /// accepted again.
+    fn cancel_expired_handover(&mut self) {
+        self.with_leader(|leader, cx| {
             if leader.handover.is_some_and(|it| cx.now >= it.deadline) {
                 leader.handover = None;
-                leader.handover_pause = cx.now + cx.cfg.election_max * 4;
+                leader.handover_paused_until = cx.now + cx.cfg.election_max * 4;
             }
         });
     }
