--- a/lib/src/action_backup.rs
+++ b/lib/src/action_backup.rs
@@ -1,10 +1,11 @@
-//! The backup's part in running each action at most once.
+//! The backup's half of the protocol that runs each action at most once.
 //!
-//! The backup records what the primary is about to dispatch, and answers those who
-//! can't reach the primary. A key that it has never seen it fences before it says
-//! "not run": the primary's intent is refused from then on, so the primary, frozen or
-//! cut off as it may be, can't dispatch the key. An intent whose ticket has expired
-//! here is refused too, which is why fences needn't outlive their tickets.
+//! The backup records each action before the primary dispatches it, and answers queries while the
+//! primary is unreachable. Before it answers "not run" for a key that it has no record of, it
+//! stores a fence: from then on it refuses the primary's intent for this key, so that a primary
+//! that is frozen or partitioned cannot dispatch it later. An intent whose ticket has expired by
+//! the backup's clock is refused as well, so a fence need not be kept longer than its ticket is
+//! valid.
 
 use std::collections::BTreeSet;
 
@@ -26,7 +27,7 @@
 use crate::outcome::UnknownReason;
 
 #[derive(Debug)]
-enum Kept {
+enum BackupEntry {
     Fence,
     Record {
         fingerprint: Fingerprint,
@@ -34,15 +35,16 @@
     },
 }
 
-/// Decides for the actions of which this process is the backup.
+/// Holds the records and fences of the actions whose tickets name this process as backup.
 #[derive(Debug)]
 pub struct ActionBackup {
     sessions: BTreeSet<SessionId>,
-    store: ActionStore<Kept>,
+    store: ActionStore<BackupEntry>,
 }
 
 impl ActionBackup {
-    /// Starts without records. Call it once in a process's life.
+    /// Creates an empty backup. Call it once per process incarnation: a second instance would not
+    /// know the records of the first.
     #[must_use]
     pub fn new(limits: ActionLimits) -> Self {
         Self {
@@ -51,13 +53,13 @@
         }
     }
 
-    /// Adds a session of this process. Records are the process's, so that tickets of an
-    /// earlier session that it lost stay good.
+    /// Adds a session of this process. Records belong to the process rather than to a session, so
+    /// tickets that name an earlier, lost session of the same incarnation remain usable.
     pub fn add_session(&mut self, session: SessionId) {
         self.sessions.insert(session);
     }
 
-    /// Tells whether this process is the backup of the key's ticket.
+    /// Returns whether the key's ticket names a session of this process as backup.
     #[must_use]
     pub fn is_backup_of(&self, key: &ActionKey) -> bool {
         let backup = &key.ticket().claims().backup;
@@ -70,19 +72,19 @@
         self.store.len()
     }
 
-    /// Returns the bytes of stored answers.
+    /// Returns the total size of the stored answers, in bytes.
     #[must_use]
     pub fn answer_bytes(&self) -> usize {
         self.store.answer_bytes()
     }
 
-    /// Takes a record of the primary. Records may come late, twice and out of order;
-    /// an end is never taken back.
+    /// Applies a record that the primary sent. Records may arrive late, twice and out of order; a
+    /// recorded end is never overwritten.
     ///
     /// # Errors
     ///
-    /// Fails if the record can't be kept; if it is an intent, the action must not be
-    /// dispatched then.
+    /// Fails if the record cannot be stored. If it is an intent, the primary must not dispatch the
+    /// action.
     pub fn record(&mut self, now_unix_ms: u64, record: BackupRecord) -> Result<(), RecordRefusal> {
         if !self.is_backup_of(&record.key) {
             return Err(RecordRefusal::NotBackup);
@@ -93,19 +95,20 @@
         }
     }
 
-    /// Answers someone who can't reach the primary, and fences a key that has no record.
+    /// Answers a query from a process that cannot reach the primary. Fences the key if there is no
+    /// record of it.
     pub fn resolve(&mut self, now_unix_ms: u64, query: &ActionQuery) -> Resolution {
         if !self.is_backup_of(&query.key) {
             return ActionEnd::Unknown(UnknownReason::RecordsUnreachable);
         }
         let slot = self.store.find(&query.key.id());
         match slot.and_then(|slot| self.store.get(slot)) {
-            Some(kept) => resolve_kept(kept, query.fingerprint.as_ref()),
+            Some(entry) => resolve_entry(entry, query.fingerprint.as_ref()),
             None => self.fence(now_unix_ms, &query.key),
         }
     }
 
-    /// Drops records whose retention is over.
+    /// Drops the records whose tickets expired longer ago than the retention period.
     pub fn purge(&mut self, now_unix_ms: u64) {
         self.store.purge(now_unix_ms);
     }
@@ -116,13 +119,13 @@
             TicketAge::AheadOfClock => return Err(RecordRefusal::AheadOfClock),
             TicketAge::Live => {}
         }
-        let kept = Kept::Record {
+        let entry = BackupEntry::Record {
             fingerprint: record.fingerprint,
             state: RecordState::Intent,
         };
         let slot = self
             .store
-            .insert(now_unix_ms, &record.key, kept)
+            .insert(now_unix_ms, &record.key, entry)
             .map_err(|_| RecordRefusal::Full)?;
         if let RecordState::Ended(end) = record.state {
             self.end(slot, end);
@@ -131,7 +134,7 @@
     }
 
     fn update(&mut self, slot: ActionSlot, record: BackupRecord) -> Result<(), RecordRefusal> {
-        let Some(Kept::Record { fingerprint, state }) = self.store.get(slot) else {
+        let Some(BackupEntry::Record { fingerprint, state }) = self.store.get(slot) else {
             return Err(RecordRefusal::Fenced);
         };
         if *fingerprint != record.fingerprint {
@@ -145,7 +148,7 @@
 
     fn end(&mut self, slot: ActionSlot, end: ActionEnd) {
         let end = self.store.admit_answer(slot, end);
-        if let Some(Kept::Record { state, .. }) = self.store.get_mut(slot) {
+        if let Some(BackupEntry::Record { state, .. }) = self.store.get_mut(slot) {
             *state = RecordState::Ended(end);
         }
     }
@@ -158,24 +161,24 @@
             }
             TicketAge::Live => {}
         }
-        match self.store.insert(now_unix_ms, key, Kept::Fence) {
+        match self.store.insert(now_unix_ms, key, BackupEntry::Fence) {
             Ok(_) => ActionEnd::not_run(NotRunReason::KeyFenced),
             Err(_) => ActionEnd::Unknown(UnknownReason::ActionStoreFull),
         }
     }
 }
 
-fn resolve_kept(kept: &Kept, asked_for: Option<&Fingerprint>) -> Resolution {
-    let (fingerprint, state) = match kept {
-        Kept::Fence => return ActionEnd::not_run(NotRunReason::KeyFenced),
-        Kept::Record { fingerprint, state } => (fingerprint, state),
+fn resolve_entry(entry: &BackupEntry, requested: Option<&Fingerprint>) -> Resolution {
+    let (fingerprint, state) = match entry {
+        BackupEntry::Fence => return ActionEnd::not_run(NotRunReason::KeyFenced),
+        BackupEntry::Record { fingerprint, state } => (fingerprint, state),
     };
     match state {
         RecordState::Intent => match_request(
             fingerprint,
-            asked_for,
+            requested,
             &ActionEnd::Unknown(UnknownReason::ActionRecorded),
         ),
-        RecordState::Ended(end) => match_request(fingerprint, asked_for, end),
+        RecordState::Ended(end) => match_request(fingerprint, requested, end),
     }
 }
--- a/lib/src/action_primary.rs
+++ b/lib/src/action_primary.rs
@@ -1,17 +1,17 @@
-//! The primary's part in running each action at most once.
+//! The primary's half of the protocol that runs each action at most once.
 //!
-//! Only the session that a ticket names as primary dispatches the ticket's actions.
-//! For each it makes a record, has the backup record the intent, dispatches once, and
-//! keeps the end. Four rules carry the promise:
+//! Only the session that a ticket names as primary dispatches the ticket's actions. For each action
+//! it creates a record, has the backup record the intent, dispatches once, and stores the end. Four
+//! rules guarantee at most one run:
 //!
-//! - A key that has a record is never started again, and no record goes before its
-//!   ticket has expired here. An expired ticket starts nothing.
-//! - A [`DispatchPermit`] exists only after the backup has recorded the intent.
-//! - Once a caller was told "not run", the record says so; a late acknowledgement of
-//!   the backup changes nothing.
-//! - A resend of a key that proved "not run" gets the same answer again. Letting it run
-//!   would let a delayed copy of an earlier message run after its caller was told
-//!   "not run" and took a new key.
+//! - A key that has a record is never started again, and no record is dropped before its ticket has
+//!   expired by the primary's clock. An action with an expired ticket is never started.
+//! - A [`DispatchPermit`] is only created after the backup has recorded the intent.
+//! - Once a caller has been told "not run", the record says so, and a late acknowledgement from the
+//!   backup has no effect.
+//! - A resend of a key that ended as "not run" gets the same answer again. If it could run, a
+//!   delayed copy of an earlier message could run after its caller was told "not run" and switched
+//!   to a new key.
 
 use std::collections::BTreeSet;
 
@@ -34,8 +34,8 @@
 use crate::outcome::UnknownReason;
 use crate::outcome::Unsent;
 
-/// Permits one dispatch of one action. There is one for each intent that the backup
-/// has recorded, and using it consumes it.
+/// Permits one dispatch of one action. One permit is created for each intent that the backup has
+/// recorded, and [`begin`](Self::begin) consumes it.
 #[derive(Debug)]
 #[must_use]
 pub struct DispatchPermit {
@@ -43,51 +43,52 @@
 }
 
 impl DispatchPermit {
-    /// Returns the record that the dispatch belongs to.
+    /// Returns the slot of the record that the dispatch belongs to.
     #[must_use]
     pub const fn slot(&self) -> ActionSlot {
         self.slot
     }
 
-    /// Uses the permit.
+    /// Consumes the permit and returns the attempt that may be sent.
     pub const fn begin(self) -> Attempt<Unsent> {
         Attempt::new()
     }
 }
 
-/// Tells what to do with an action that has arrived.
+/// What to do with an action that has arrived.
 #[derive(Debug)]
 pub enum Arrival {
-    /// Send the record to the backup and report the reply for the slot.
+    /// Send the intent to the backup and report its reply for the slot.
     Start {
-        /// The action's record.
+        /// Slot of the action's record.
         slot: ActionSlot,
-        /// What the backup must record.
+        /// Record that the backup must store before the action may be dispatched.
         intent: Box<BackupRecord>,
     },
-    /// An earlier copy is under way; answer with its end.
+    /// An earlier copy is in progress; reply with its end.
     Wait(ActionSlot),
-    /// Answer at once.
+    /// Reply immediately.
     Ended(ActionEnd),
 }
 
-/// Tells what to do after the backup's reply.
+/// What to do after the backup's reply.
 #[derive(Debug)]
 pub enum BackupReply {
-    /// The intent is recorded: dispatch.
+    /// The intent is recorded; dispatch the action.
     Dispatch(DispatchPermit),
-    /// The action won't run; tell the backup by this record and the callers by its end.
+    /// The action will not run: send the record to the backup and the end to the callers.
     Ended(Ended),
-    /// Nothing: the action had gone on before this reply came.
+    /// Nothing to do: the action's state had already changed before this reply arrived.
     Stale,
 }
 
-/// Carries an action's end to those who wait for it and to the backup.
+/// The end of an action, for the waiting callers and for the backup.
 #[derive(Clone, Debug)]
 pub struct Ended {
-    /// What the callers are told.
+    /// End that the callers are told.
     pub end: ActionEnd,
-    /// What the backup is to keep. Losing it costs an answer, not a second run.
+    /// Record for the backup. If it is lost, a stored answer may be unavailable later, but the
+    /// action does not run twice.
     pub record: Box<BackupRecord>,
 }
 
@@ -101,13 +102,13 @@
 #[derive(Debug)]
 struct PrimaryRecord {
     key: ActionKey,
-    /// `None` for a key that was refused before its request was read.
+    /// `None` if the action was refused before its request had been read.
     fingerprint: Option<Fingerprint>,
     state: PrimaryState,
 }
 
 impl PrimaryRecord {
-    fn end_so_far(&self) -> ActionEnd {
+    fn current_end(&self) -> ActionEnd {
         match &self.state {
             PrimaryState::Recording | PrimaryState::Running => {
                 ActionEnd::Unknown(UnknownReason::ActionRecorded)
@@ -117,17 +118,18 @@
     }
 }
 
-/// Decides for the actions of which this process is the primary.
+/// Holds the records of the actions whose tickets name this process as primary.
 #[derive(Debug)]
 pub struct ActionPrimary {
     sessions: BTreeSet<SessionId>,
     store: ActionStore<PrimaryRecord>,
-    /// No key without a record is started if its ticket ends at or before this time.
+    /// Keys without a record are refused if their ticket expires at or before this time.
     closed_until_unix_ms: u64,
 }
 
 impl ActionPrimary {
-    /// Starts without records. Call it once in a process's life.
+    /// Creates an empty primary. Call it once per process incarnation: a second instance would not
+    /// know the records of the first.
     #[must_use]
     pub fn new(limits: ActionLimits) -> Self {
         Self {
@@ -137,13 +139,13 @@
         }
     }
 
-    /// Adds a session of this process. Records are the process's, so that tickets of an
-    /// earlier session that it lost stay good.
+    /// Adds a session of this process. Records belong to the process rather than to a session, so
+    /// tickets that name an earlier, lost session of the same incarnation remain usable.
     pub fn add_session(&mut self, session: SessionId) {
         self.sessions.insert(session);
     }
 
-    /// Tells whether this process is the primary of the key's ticket.
+    /// Returns whether the key's ticket names a session of this process as primary.
     #[must_use]
     pub fn is_primary_of(&self, key: &ActionKey) -> bool {
         let primary = &key.ticket().claims().primary;
@@ -156,21 +158,21 @@
         self.store.len()
     }
 
-    /// Returns the bytes of stored answers.
+    /// Returns the total size of the stored answers, in bytes.
     #[must_use]
     pub fn answer_bytes(&self) -> usize {
         self.store.answer_bytes()
     }
 
-    /// Takes an action that has arrived, for the first time or again.
+    /// Handles the arrival of an action, whether it is the first copy or a resend.
     pub fn arrive(
         &mut self,
         now_unix_ms: u64,
         key: &ActionKey,
         fingerprint: Fingerprint,
     ) -> Arrival {
-        if let Some(known) = self.known(now_unix_ms, key, Some(&fingerprint)) {
-            return known;
+        if let Some(arrival) = self.existing_arrival(now_unix_ms, key, Some(&fingerprint)) {
+            return arrival;
         }
         let record = PrimaryRecord {
             key: key.clone(),
@@ -191,16 +193,18 @@
         }
     }
 
-    /// Refuses an action before any of it was recorded, for good. Without this record a
-    /// delayed copy could run after the caller was told "not run".
+    /// Refuses an action permanently before any of it was recorded. Without this record a delayed
+    /// copy could run after the caller was told "not run".
     pub fn refuse(
         &mut self,
         now_unix_ms: u64,
         query: &ActionQuery,
         reason: NotRunReason,
     ) -> Arrival {
-        if let Some(known) = self.known(now_unix_ms, &query.key, query.fingerprint.as_ref()) {
-            return known;
+        if let Some(arrival) =
+            self.existing_arrival(now_unix_ms, &query.key, query.fingerprint.as_ref())
+        {
+            return arrival;
         }
         let end = ActionEnd::not_run(reason);
         let record = PrimaryRecord {
@@ -212,7 +216,7 @@
         Arrival::Ended(inserted.map_or_else(|full| full, |_| end))
     }
 
-    /// Takes the backup's reply to an intent.
+    /// Applies the backup's reply to an intent.
     pub fn backup_replied(
         &mut self,
         slot: ActionSlot,
@@ -224,13 +228,13 @@
         }
     }
 
-    /// Notes that the backup didn't reply in time. The intent may have arrived there,
-    /// and the reply may still come; neither lets the action run any more.
+    /// Ends an action whose intent the backup did not acknowledge in time. The intent may have
+    /// reached the backup, and its reply may still arrive; the action does not run in either case.
     pub fn backup_unreachable(&mut self, slot: ActionSlot) -> BackupReply {
         self.give_up(slot, NotRunReason::BackupUnreachable)
     }
 
-    /// Takes the end of a dispatch.
+    /// Records the end of a dispatch. Returns `None` if no dispatch of this action is in progress.
     pub fn ended(&mut self, slot: ActionSlot, end: ActionEnd) -> Option<Ended> {
         let record = self.store.get(slot)?;
         if !matches!(record.state, PrimaryState::Running) {
@@ -241,7 +245,8 @@
         Some(Ended { end, record })
     }
 
-    /// Answers someone who asks the primary rather than sending the action.
+    /// Answers a query about an action. A key that has no record is refused permanently, so that
+    /// "not run" stays true.
     pub fn resolve(&mut self, now_unix_ms: u64, query: &ActionQuery) -> Resolution {
         if !self.is_primary_of(&query.key) {
             return ActionEnd::Unknown(UnknownReason::RecordsUnreachable);
@@ -254,23 +259,23 @@
         }
     }
 
-    /// Drops records whose retention is over.
+    /// Drops the records whose tickets expired longer ago than the retention period.
     pub fn purge(&mut self, now_unix_ms: u64) {
         self.store.purge(now_unix_ms);
     }
 
-    fn known(
+    fn existing_arrival(
         &self,
         now_unix_ms: u64,
         key: &ActionKey,
-        asked_for: Option<&Fingerprint>,
+        requested: Option<&Fingerprint>,
     ) -> Option<Arrival> {
         if !self.is_primary_of(key) {
             let end = ActionEnd::Unknown(UnknownReason::RecordsUnreachable);
             return Some(Arrival::Ended(end));
         }
         if let Some(slot) = self.store.find(&key.id()) {
-            return self.recorded(slot, asked_for);
+            return self.recorded(slot, requested);
         }
         let end = match self.store.age(now_unix_ms, key) {
             TicketAge::Expired => ActionEnd::Unknown(UnknownReason::TicketExpired),
@@ -280,23 +285,23 @@
         Some(Arrival::Ended(end))
     }
 
-    fn recorded(&self, slot: ActionSlot, asked_for: Option<&Fingerprint>) -> Option<Arrival> {
+    fn recorded(&self, slot: ActionSlot, requested: Option<&Fingerprint>) -> Option<Arrival> {
         let record = self.store.get(slot)?;
         let Some(recorded) = record.fingerprint.as_ref() else {
-            return Some(Arrival::Ended(record.end_so_far()));
+            return Some(Arrival::Ended(record.current_end()));
         };
-        let told = match_request(recorded, asked_for, &record.end_so_far());
-        let under_way = !matches!(record.state, PrimaryState::Ended(_));
-        if under_way && asked_for == Some(recorded) {
+        let reported = match_request(recorded, requested, &record.current_end());
+        let in_progress = !matches!(record.state, PrimaryState::Ended(_));
+        if in_progress && requested == Some(recorded) {
             return Some(Arrival::Wait(slot));
         }
-        Some(Arrival::Ended(told))
+        Some(Arrival::Ended(reported))
     }
 
-    /// Adds a record. When there is no room, a bare refusal would let a delayed copy of
-    /// the request run later, when there is room again. Closing all unrecorded keys
-    /// whose tickets end no later than this one's makes the refusal final in constant
-    /// memory; tickets of later look-ups aren't touched.
+    /// Adds a record. If the store is full, refusing the request alone would let a delayed copy of
+    /// it run later, when there is room again. Refusing all unrecorded keys whose tickets expire no
+    /// later than this one makes the refusal permanent in constant memory; tickets from later
+    /// look-ups are not affected.
     fn insert(&mut self, now_unix_ms: u64, record: PrimaryRecord) -> Result<ActionSlot, ActionEnd> {
         let key = record.key.clone();
         let expires = key.expires_unix_ms();
--- a/lib/src/action_record.rs
+++ b/lib/src/action_record.rs
@@ -1,4 +1,4 @@
-//! What the two processes that record an action keep and tell each other.
+//! Records of actions, as primary and backup store and exchange them.
 
 use std::fmt;
 use std::sync::Arc;
@@ -21,35 +21,34 @@
 use crate::ticket::TicketError;
 use crate::ticket::TicketSecret;
 
-/// Bound on the caller's random part of a key, in characters.
+/// Maximum length of the caller's random part of a key, in characters.
 pub const MAX_RANDOM_PART: usize = 128;
 
-/// Bound on the body of an answer that is kept for resends, in bytes. Larger answers
-/// are passed through, and resends are told that the answer was too large to keep.
+/// Maximum size of an answer's body that is stored for resends, in bytes. Larger answers are
+/// forwarded, and resends are told that the answer was too large to store.
 pub const MAX_STORED_BODY: usize = 256 * 1_024;
 
-/// Separates the ticket from the caller's random part.
+/// Separator between the ticket and the caller's random part in a key.
 pub const KEY_SEPARATOR: char = '.';
 
-/// Names the header that carries a key.
+/// Header that carries a key.
 pub const KEY_HEADER: &str = "idempotency-key";
 
-/// Names the optional header by which a caller tells itself apart from others that
-/// share its look-up.
+/// Optional header that identifies a caller among others that share the result of a look-up.
 pub const CALLER_HEADER: &str = "heatherring-caller";
 
-/// Tells why a text is no key of an action.
+/// Reason why a text is not the key of an action.
 #[derive(Debug, Snafu)]
 pub enum ActionKeyError {
     /// There is no separator.
     #[snafu(display("an idempotency key has the form {{ticket}}.{{random part}}"))]
     NoSeparator,
-    /// The random part is empty, too long or has other characters.
+    /// The random part is empty, too long or contains other characters.
     #[snafu(display(
-        "the random part has 1 to {MAX_RANDOM_PART} characters out of A-Z, a-z, 0-9, - and _"
+        "the random part must have 1 to {MAX_RANDOM_PART} characters from A-Z, a-z, 0-9, - and _"
     ))]
     RandomPart,
-    /// The ticket isn't valid.
+    /// The ticket is not valid.
     #[snafu(display("{source}"))]
     InvalidTicket {
         /// What is wrong with it.
@@ -64,8 +63,8 @@
 }
 
 impl ActionKeyError {
-    /// Returns the refusal. It proves "not run" because every process refuses the
-    /// same text of the same request for good.
+    /// Returns the refusal. It proves "not run", since every process refuses the same text of the
+    /// same request permanently.
     pub const fn not_run(&self) -> NotRun {
         let reason = match self {
             Self::NoSeparator | Self::RandomPart => NotRunReason::KeyMalformed,
@@ -76,7 +75,7 @@
     }
 }
 
-/// Identifies an action, over all resends of it.
+/// Identifies an action across all resends of it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct ActionKey {
     ticket: Ticket,
@@ -84,11 +83,11 @@
 }
 
 impl ActionKey {
-    /// Reads the key of a request to `service`.
+    /// Parses the key of a request to `service`.
     ///
     /// # Errors
     ///
-    /// Fails if the text isn't a ticket for the service and a random part.
+    /// Fails if the text does not consist of a ticket for the service and a random part.
     pub fn parse(
         text: &str,
         service: &ServiceName,
@@ -117,13 +116,13 @@
         &self.ticket
     }
 
-    /// Returns when the ticket ends, in milliseconds since the Unix epoch.
+    /// Returns when the ticket expires, in milliseconds since the Unix epoch.
     #[must_use]
     pub const fn expires_unix_ms(&self) -> u64 {
         self.ticket.claims().expires_unix_ms
     }
 
-    /// Returns a digest that stands for the key.
+    /// Returns the digest that identifies the key.
     #[must_use]
     pub fn id(&self) -> ActionId {
         let mut hasher = blake3::Hasher::new();
@@ -151,25 +150,25 @@
     hasher.update(part);
 }
 
-/// Holds the digest of an action's key.
+/// Digest of an action's key.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct ActionId([u8; blake3::OUT_LEN]);
 
-/// Holds what makes two requests the same action.
+/// The parts of a request that must be equal for two requests to be the same action.
 #[derive(Clone, Copy, Debug)]
 pub struct ActionRequest<'a> {
     /// HTTP method.
     pub method: &'a str,
-    /// Path below the service, with the query.
+    /// Path relative to the service, including the query.
     pub path: &'a str,
     /// Whole body.
     pub body: &'a [u8],
-    /// Value of [`CALLER_HEADER`]; empty without it.
+    /// Value of [`CALLER_HEADER`]; empty if the header is absent.
     pub caller: &'a [u8],
 }
 
-/// Holds the digest of a request, by which a key that was used for another request
-/// is noticed. Neither the caller's address nor the path through entry VMs is in it.
+/// Digest of a request, used to detect that a key is reused for another request. It covers neither
+/// the caller's address nor the entry VMs that the request passed through.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Fingerprint([u8; blake3::OUT_LEN]);
 
@@ -188,28 +187,28 @@
     }
 }
 
-/// Holds one header of a stored answer.
+/// A header of a stored answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredHeader {
-    /// The name, in lower case.
+    /// Name, in lower case.
     pub name: String,
     /// The value.
     pub value: Vec<u8>,
 }
 
-/// Holds a backend server's whole answer.
+/// A backend server's complete answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Headers in order.
+    /// Headers, in the order received.
     pub headers: Vec<StoredHeader>,
     /// Body.
     pub body: Vec<u8>,
 }
 
 impl StoredAnswer {
-    /// Returns the bytes that the answer occupies, without the allocator's share.
+    /// Returns the size of the headers and the body in bytes, without allocator overhead.
     #[must_use]
     pub fn size(&self) -> usize {
         let headers: usize = self
@@ -221,12 +220,12 @@
     }
 }
 
-/// Holds why an action never ran.
+/// Reason why an action never ran.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RecordedRefusal {
     /// Why.
     pub reason: NotRunReason,
-    /// When it makes sense to try again, under a new key.
+    /// Time after which the caller should retry, under a new key. `None` if unknown.
     pub retry_after: Option<Duration>,
 }
 
@@ -258,25 +257,25 @@
     }
 }
 
-/// Tells how an action ended, as far as a process knows.
+/// How an action ended, as far as a process knows.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ActionEnd {
-    /// It ran, and this is the answer.
+    /// It ran and returned this answer.
     Answer(Arc<StoredAnswer>),
-    /// It never ran, and its key never will: a resend gets the same end, and the
-    /// caller takes a new random part to try again.
+    /// It never ran, and its key never will run: a resend gets the same end. To try again, the
+    /// caller chooses a new random part.
     NotRun(RecordedRefusal),
-    /// It may have run; it won't be run again.
+    /// It may have run; it will not be run again.
     Unknown(UnknownReason),
 }
 
 impl ActionEnd {
-    /// Returns the end of an action that never ran.
+    /// Returns the end of an action that never ran, for this reason.
     pub fn not_run(refusal: impl Into<RecordedRefusal>) -> Self {
         Self::NotRun(refusal.into())
     }
 
-    /// Returns what the caller is told.
+    /// Returns the outcome that is reported to the caller.
     pub fn outcome(&self) -> Outcome<Arc<StoredAnswer>> {
         match self {
             Self::Answer(answer) => Outcome::Answer(Arc::clone(answer)),
@@ -286,70 +285,70 @@
     }
 }
 
-/// Tells how far an action has come.
+/// State of an action in its record.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum RecordState {
-    /// The primary wants to dispatch it.
+    /// The primary intends to dispatch it.
     Intent,
     /// It has ended.
     Ended(ActionEnd),
 }
 
-/// Carries the record of an action from the primary to the backup.
+/// Record of an action that the primary sends to the backup.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BackupRecord {
     /// The action.
     pub key: ActionKey,
-    /// What the caller asked for.
+    /// Digest of the caller's request.
     pub fingerprint: Fingerprint,
-    /// How far it has come.
+    /// State of the action at the primary.
     pub state: RecordState,
 }
 
-/// Tells why the backup didn't record an intent. The primary must not dispatch then.
+/// Reason why the backup did not record an intent. The primary must not dispatch the action then.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize, Snafu)]
 pub enum RecordRefusal {
-    /// Somebody was told that the key never ran.
+    /// A caller was told that the key never ran.
     #[snafu(display("the key is fenced"))]
     Fenced,
-    /// The memory is full of records that must be kept.
-    #[snafu(display("the store of actions is full"))]
+    /// The store is full of records that must be kept.
+    #[snafu(display("the action store is full"))]
     Full,
-    /// The ticket is over by the backup's clock, so that a fence may be gone already.
+    /// The ticket has expired by the backup's clock, so a fence for the key may have been dropped.
     #[snafu(display("the ticket has expired"))]
     Expired,
-    /// The ticket expires later than any that is issued now.
+    /// The ticket expires later than any ticket that could be issued now.
     #[snafu(display("the ticket expires too far in the future"))]
     AheadOfClock,
     /// The ticket names another session as backup.
-    #[snafu(display("this session isn't the backup that the ticket names"))]
+    #[snafu(display("this session is not the backup that the ticket names"))]
     NotBackup,
-    /// The key stands for another request.
-    #[snafu(display("the key stands for another request"))]
+    /// The key is recorded for a different request.
+    #[snafu(display("the key is recorded for a different request"))]
     Conflict,
 }
 
-/// Asks what became of an action.
+/// Query for the end of an action.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ActionQuery {
     /// The action.
     pub key: ActionKey,
-    /// What the caller asked for; an answer is given to the same request only. `None`
-    /// stands for a request that was refused before it was read as a whole: it gets no
-    /// answer, but needs the fence as much before "not run" may be told.
+    /// Digest of the caller's request; a stored answer is returned to the same request only. `None`
+    /// for a request that was refused before it was read completely: it gets no stored answer, but
+    /// still needs a fence before "not run" may be reported.
     pub fingerprint: Option<Fingerprint>,
 }
 
-/// Returns what may be told to someone who asks for `asked_for`, of a record that was
-/// made for `recorded` and ends with `end`.
+/// Returns the end that may be reported for `requested`, given a record that was made for
+/// `recorded` and ended with `end`.
 pub(crate) fn match_request(
     recorded: &Fingerprint,
-    asked_for: Option<&Fingerprint>,
+    requested: Option<&Fingerprint>,
     end: &ActionEnd,
 ) -> ActionEnd {
-    match (asked_for, end) {
-        // The record keeps another request from ever running under the key.
-        (Some(asked_for), _) if asked_for != recorded => {
+    match (requested, end) {
+        // The record prevents any other request from running under this key.
+        (Some(requested), _) if requested != recorded => {
             ActionEnd::not_run(NotRunReason::KeyConflict)
         }
         (None, ActionEnd::Answer(_)) => ActionEnd::Unknown(UnknownReason::ActionRecorded),
@@ -357,5 +356,5 @@
     }
 }
 
-/// Answers an [`ActionQuery`]. "Not run" in it stays true for good.
+/// Answer to an [`ActionQuery`]. If it is "not run", it stays true permanently.
 pub type Resolution = ActionEnd;
--- a/lib/src/action_store.rs
+++ b/lib/src/action_store.rs
@@ -1,4 +1,4 @@
-//! Bounded memory for records of actions.
+//! Bounded in-memory store for the records of actions.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -13,26 +13,26 @@
 use crate::ticket::MAX_TICKET_MS;
 
 new_key_type! {
-    /// Finds one record of an action.
+    /// Identifies a record in the store.
     pub struct ActionSlot;
 }
 
-/// How far the clocks of two VMs may differ before one takes the other's tickets for
-/// wrong, in milliseconds.
+/// Tolerated clock difference between two VMs, in milliseconds. Beyond it, one VM rejects the
+/// other's tickets as expiring too far ahead.
 const MAX_CLOCK_DIFFERENCE_MS: u64 = 5 * 60 * 1_000;
 
-/// Bounds what a process keeps of actions.
+/// Limits on the records and answers that a process stores.
 #[derive(Clone, Copy, Debug)]
 pub struct ActionLimits {
-    /// Records, running ones and fences included.
+    /// Maximum number of records, including those in progress and fences.
     pub max_records: usize,
-    /// Bytes of stored answers.
+    /// Maximum total size of the stored answers, in bytes.
     pub max_answer_bytes: usize,
-    /// How far ahead of this process's clock a ticket may expire, in milliseconds: the
-    /// longest life of a ticket plus the clocks' difference that is put up with.
+    /// Maximum time by which a ticket's expiry may lie ahead of this process's clock, in
+    /// milliseconds: the longest validity of a ticket plus the tolerated clock difference.
     pub max_ahead_ms: u64,
-    /// Time after a ticket's end for which its records still answer, in milliseconds,
-    /// as long as there is room.
+    /// Time after a ticket's expiry for which its records are still returned, in milliseconds,
+    /// unless their room is needed earlier.
     pub retention_ms: u64,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Tells whether a ticket is still good by this process's clock.
+/// Validity of a ticket by this process's clock.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum TicketAge {
     Live,
@@ -55,7 +55,7 @@
     AheadOfClock,
 }
 
-/// Tells that every record must be kept and there is no room for another.
+/// Indicates that the store is full and every record in it must be kept.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct StoreFull;
 
@@ -64,23 +64,24 @@
     id: ActionId,
     expires_unix_ms: u64,
     answer_bytes: usize,
-    /// Set while the action is under way; such a record outlives its ticket.
+    /// Set while the action is in progress; such a record is kept even after its ticket has
+    /// expired.
     pinned: bool,
     pub(crate) record: R,
 }
 
-/// Keeps records by their action.
+/// Stores records by the identifier of their action.
 ///
-/// No record goes before its ticket has expired by the clock of the process that holds
-/// it, whose time never steps back. Both state machines answer a key without a record
-/// with "not run" only while its ticket is live. So no process forgets that a key was
-/// recorded and then says that it never ran.
+/// No record is dropped before its ticket has expired by the clock of the process that holds it,
+/// and this clock never goes backwards. Both state machines answer "not run" for a key without a
+/// record only while its ticket is valid. So no process forgets that a key was recorded and then
+/// reports that it never ran.
 #[derive(Debug)]
 pub(crate) struct ActionStore<R> {
     limits: ActionLimits,
     stored: SlotMap<ActionSlot, Stored<R>>,
     by_id: HashMap<ActionId, ActionSlot>,
-    /// Records that may go, by the end of their tickets.
+    /// Unpinned records, ordered by the expiry of their tickets.
     by_expiry: BTreeSet<(u64, ActionSlot)>,
     answer_bytes: usize,
 }
@@ -127,7 +128,7 @@
         self.stored.get_mut(slot).map(|stored| &mut stored.record)
     }
 
-    /// Adds a record, dropping the oldest ones whose tickets have expired if it must.
+    /// Adds a record. If the store is full, drops the record whose ticket expired first.
     pub(crate) fn insert(
         &mut self,
         now_unix_ms: u64,
@@ -152,7 +153,7 @@
         Ok(slot)
     }
 
-    /// Keeps the record whatever its age, until [`ActionStore::unpin`].
+    /// Prevents the record from being dropped, until [`ActionStore::unpin`].
     pub(crate) fn pin(&mut self, slot: ActionSlot) {
         if let Some(stored) = self.stored.get_mut(slot) {
             stored.pinned = true;
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Counts the answer in `end` against the bound, and replaces it when it can't be
-    /// kept: the action ran, so the record must say so even without the answer.
+    /// Counts the answer in `end` against the size limit, or replaces it if it does not fit: the
+    /// action ran, so the record must say so even without the answer.
     pub(crate) fn admit_answer(&mut self, slot: ActionSlot, end: ActionEnd) -> ActionEnd {
         let ActionEnd::Answer(answer) = &end else {
             return end;
@@ -186,7 +187,7 @@
         end
     }
 
-    /// Drops records whose retention is over.
+    /// Drops the records whose tickets expired longer ago than the retention period.
     pub(crate) fn purge(&mut self, now_unix_ms: u64) {
         let retention_ms = self.limits.retention_ms;
         while let Some(&(expires, slot)) = self.by_expiry.first() {
--- a/lib/src/client_block_table.rs
+++ b/lib/src/client_block_table.rs
@@ -1,9 +1,8 @@
-//! Finds the place of a caller from its address.
+//! Look-up of a caller's failure domain (place) by its address.
 //!
-//! Longest-prefix matching over nested blocks is resolved when the table is built:
-//! what remains are disjoint ranges in ascending order, each with the place of the
-//! longest block that covers it. A look-up is then one binary search within the slice
-//! of ranges that share the address's leading bits.
+//! Longest-prefix matching over nested blocks is resolved when the table is built. The result is a
+//! list of disjoint ranges in ascending order, each with the place of the longest block that covers
+//! it. A look-up is one binary search among the ranges that share the leading bits of the address.
 
 use std::mem::size_of;
 use std::net::IpAddr;
@@ -12,14 +11,14 @@
 use crate::manifest::ClientBlock;
 use crate::manifest::Manifest;
 
-/// Places that a manifest may have; positions in the table take two bytes.
+/// Maximum number of places in a manifest: the table stores their indexes in two bytes, and one
+/// value marks ranges without a place.
 pub const MAX_PLACES: usize = u16::MAX as usize;
 
-/// Marks a range that no block covers.
+/// Index for a range that no block covers.
 const NO_PLACE: u16 = u16::MAX;
-/// Leading bits by which ranges are grouped.
+/// Number of leading address bits by which ranges are grouped.
 const GROUP_BITS: u32 = 16;
-/// Number of groups.
 const GROUPS: usize = 1 << GROUP_BITS;
 
 /// Maps addresses to places by longest prefix.
@@ -31,10 +30,9 @@
 }
 
 impl ClientBlockTable {
-    /// Builds the table of a manifest's client blocks.
+    /// Builds the table from a manifest's client blocks.
     ///
-    /// Blocks of places that the manifest doesn't describe are left out; a checked
-    /// manifest has none.
+    /// Blocks whose place the manifest does not define are skipped; a validated manifest has none.
     #[must_use]
     pub fn new(manifest: &Manifest) -> Self {
         let places: Vec<PlaceName> = manifest.places.keys().take(MAX_PLACES).cloned().collect();
@@ -57,9 +55,10 @@
         }
     }
 
-    /// Returns the place of the longest block that holds the address, if any does.
+    /// Returns the place of the longest block that contains the address, or `None` if no block
+    /// does.
     ///
-    /// An IPv4 address that is written as an IPv6 one counts as the former.
+    /// An IPv4-mapped IPv6 address is treated as the IPv4 address.
     #[must_use]
     pub fn place_of(&self, address: IpAddr) -> Option<&PlaceName> {
         let position = match address.to_canonical() {
@@ -69,13 +68,13 @@
         self.places.get(usize::from(position))
     }
 
-    /// Returns the number of ranges, those that no block covers included.
+    /// Returns the number of ranges, including those that no block covers.
     #[must_use]
     pub fn ranges(&self) -> usize {
         self.v4.starts.len() + self.v6.starts.len()
     }
 
-    /// Returns the bytes that the table holds on the heap, names of places left out.
+    /// Returns the heap size of the table in bytes, without the names of places.
     #[must_use]
     pub fn heap_bytes(&self) -> usize {
         self.v4.heap_bytes() + self.v6.heap_bytes()
@@ -87,12 +86,12 @@
     u16::try_from(position).ok()
 }
 
-/// An address as a number.
+/// Integer representation of an address.
 trait AddressBits: Copy + Default + Ord {
-    /// Returns the last address of the block that starts here.
+    /// Returns the last address of the block of prefix length `length` that starts at this address.
     fn last_of_block(self, length: u32) -> Self;
 
-    /// Returns the next address, or none after the last.
+    /// Returns the next address, or `None` after the last one.
     fn next(self) -> Option<Self>;
 
     /// Returns the leading [`GROUP_BITS`] bits.
@@ -120,7 +119,7 @@
 address_bits!(u32);
 address_bits!(u128);
 
-/// A block by its first and last address.
+/// A block, given by its first and last address.
 #[derive(Clone, Copy, Debug)]
 struct Block<A> {
     first: A,
@@ -138,13 +137,13 @@
     }
 }
 
-/// Holds disjoint ranges in ascending order. Each ends where the next one starts; the
-/// first starts at the lowest address. Without blocks there are no ranges.
+/// Disjoint ranges in ascending order. Each range ends where the next one starts, and the first one
+/// starts at the lowest address. The table is empty if there are no blocks.
 #[derive(Clone, Debug, Default)]
 struct RangeTable<A> {
     starts: Vec<A>,
     places: Vec<u16>,
-    /// For each group, the number of ranges that start before it.
+    /// Number of ranges that start before each group.
     group_starts: Vec<u32>,
 }
 
@@ -153,7 +152,7 @@
         if blocks.is_empty() {
             return Self::default();
         }
-        // An outer block comes before those that it holds.
+        // An outer block sorts before the blocks nested in it.
         blocks.sort_unstable_by_key(|block| (block.first, std::cmp::Reverse(block.last)));
         let mut builder = RangeBuilder::new();
         for block in blocks {
@@ -170,9 +169,9 @@
         let low = self.group_starts[group] as usize;
         let high = self.group_starts[group + 1] as usize;
         let within = self.starts[low..high].partition_point(|start| *start <= address);
-        // With no start at or before it in its group, the address lies in the last range
-        // of an earlier group. The first range starts at the lowest address, so there
-        // always is one.
+        // If no range of the group starts at or before the address, the address lies in the last
+        // range of an earlier group. That range exists, since the first range starts at the lowest
+        // address.
         self.places[low + within - 1]
     }
 
@@ -183,11 +182,11 @@
     }
 }
 
-/// Sweeps over blocks in ascending order, outer ones first.
+/// Builds the ranges from blocks in ascending order, outer blocks first.
 struct RangeBuilder<A> {
     starts: Vec<A>,
     places: Vec<u16>,
-    /// Blocks that hold the current address, the innermost last.
+    /// Blocks that contain the current address, innermost last.
     open: Vec<Block<A>>,
 }
 
@@ -218,7 +217,7 @@
         }
     }
 
-    /// Closes the blocks that end before an address, or all.
+    /// Closes the blocks that end before an address, or all blocks if it is `None`.
     fn close_before(&mut self, address: Option<A>) {
         while let Some(block) = self.open.last().copied() {
             if address.is_some_and(|address| block.last >= address) {
@@ -232,8 +231,8 @@
         }
     }
 
-    /// Starts a range, in place of one that would be empty, and not at all if the range
-    /// before it has the same place.
+    /// Starts a range. Replaces the previous range if that would be empty, and does nothing if the
+    /// previous range has the same place.
     fn range(&mut self, start: A, place: u16) {
         if self.starts.last() == Some(&start) {
             self.starts.pop();
--- a/lib/src/crash_evidence.rs
+++ b/lib/src/crash_evidence.rs
@@ -1,11 +1,12 @@
-//! What an entry VM knows of requests that may end the backend servers that run them.
+//! Evidence that an entry VM collects about requests that may crash the backend servers that
+//! process them.
 //!
-//! A request whose connection broke without a whole answer says nothing by itself: connections
-//! are reset, answers garbled, idle connections closed. It becomes evidence once the backend
-//! server is known to have ended: its address refuses connections, or another process has
-//! announced itself there, or the same one a later life. The first takes a round trip, the
-//! second as long as the backend server needs to be back. One that went dark and stays away
-//! gives no evidence.
+//! A request whose connection broke before a complete answer proves nothing by itself: connections
+//! are reset, answers garbled, idle connections closed. It becomes evidence once the backend server
+//! is known to have ended: its address refuses connections, another process has announced itself
+//! there, or the same process has announced a later incarnation. The first takes one round trip,
+//! the second as long as the backend server needs to restart. A backend server that becomes
+//! unreachable and does not come back yields no evidence.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -28,41 +29,43 @@
 use crate::request_fingerprint::Fingerprint;
 use crate::request_fingerprint::RequestTag;
 
-/// Requests without an answer that are remembered until it is known whether their backend
-/// server has ended.
-const MOST_UNANSWERED: usize = 512;
+/// Maximum number of unanswered requests that are remembered until it is known whether their
+/// backend server has ended.
+const MAX_UNANSWERED: usize = 512;
 
-/// Time for which they are: a backend server that ended is back within seconds, and is known
-/// to be a heartbeat later.
-const UNANSWERED_FOR: Duration = Duration::from_secs(15);
+/// Time for which an unanswered request is remembered. A backend server that ended is restarted
+/// within seconds, and its new incarnation is known one heartbeat later.
+const UNANSWERED_RETENTION: Duration = Duration::from_secs(15);
 
-/// The same where the address takes connections: a process that was started again at once has
-/// announced itself by then.
-const ANNOUNCED_WITHIN: Duration = Duration::from_secs(3);
+/// Time for which an unanswered request is remembered once the backend server's address accepts
+/// connections: a process that was restarted immediately has announced itself by then.
+const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Backend servers that ended and are remembered, for requests that are given up on later.
-const MOST_ENDED: usize = 128;
+/// Maximum number of ended backend servers that are remembered, for requests that are abandoned
+/// later.
+const MAX_ENDED: usize = 128;
 
-/// Requests that this entry VM itself saw backend servers end under.
-const MOST_OWN: usize = 256;
+/// Maximum number of request contents for which this entry VM keeps its own observations.
+const MAX_OWN: usize = 256;
 
-/// Time for which they are remembered after they came last. Control hears of them at once;
-/// this bridges its answer, and the loss of it.
-const OWN_FOR: Duration = Duration::from_mins(3);
+/// Time for which an observation is kept after the request last occurred. Control is notified
+/// immediately; this covers the delay and the loss of its response.
+const OWN_RETENTION: Duration = Duration::from_mins(3);
 
-/// Time between two notes that a quarantined request still comes.
+/// Minimum time between two notes to control that a quarantined request is still being sent.
 pub const REFUSED_NOTE_INTERVAL: Duration = Duration::from_mins(2);
 
-/// Time between two notes that requests of a watched content are answered, where none of this
-/// caller ended a backend server here: there may be hundreds a second.
-const ANSWERED_INTERVAL: Duration = Duration::from_secs(2);
+/// Minimum time between two notes to control that requests of a watched content are answered,
+/// unless this caller's requests ended a backend server here: there may be hundreds of such answers
+/// a second.
+const ANSWERED_NOTE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Says how a request is to be treated. The greater one goes first.
+/// How a request is treated. If two treatments apply, the greater one takes precedence.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Treatment {
-    /// It is sent to one backend server a try.
+    /// It is sent to at most one backend server per try.
     Watched,
-    /// It is sent to none.
+    /// It is not sent to any backend server.
     Quarantined,
 }
 
@@ -76,32 +79,33 @@
     }
 }
 
-/// Holds a request that stood on a backend server and wasn't answered.
+/// A request that was in flight on a backend server and got no complete answer.
 #[derive(Clone, Debug)]
 struct Unanswered {
     life: BackendIncarnation,
-    stood: InFlightRequest,
+    in_flight: InFlightRequest,
     until: Instant,
 }
 
-/// Holds what this entry VM itself saw of the requests of one content.
+/// This entry VM's own observations of the requests with one content.
 #[derive(Clone, Debug)]
 struct OwnSuspect {
     suspect: Suspect,
     at: Instant,
-    /// When control was last told that it still comes.
+    /// When control was last notified that it is still being sent.
     refused_at: Option<Instant>,
-    /// When control was last told that it is answered.
+    /// When control was last notified that it is answered.
     answered_at: Option<Instant>,
 }
 
-/// Knows of the lives of backend servers.
+/// Knowledge about the incarnations of backend servers.
 pub trait BackendIncarnations: Debug + Send + Sync {
-    /// Returns whether another process has the address by now, or the same one began another
-    /// life.
+    /// Returns whether another process has taken over the address, or the same process has started
+    /// a later incarnation.
     fn was_replaced(&self, life: &BackendIncarnation) -> bool;
 
-    /// Returns whether a backend server said that it leaves, or has left: its end was planned.
+    /// Returns whether the backend server announced that it is leaving, or has left: its end was
+    /// planned.
     fn is_leaving(&self, life: &BackendIncarnation) -> bool;
 }
 
@@ -120,10 +124,10 @@
     }
 }
 
-/// Holds what one entry VM knows.
+/// Crash evidence of one entry VM.
 #[derive(Debug, Default)]
 pub struct CrashEvidence {
-    /// Control's verdicts.
+    /// Verdicts that control has sent.
     verdicts: BTreeMap<Fingerprint, Verdict>,
     own: BTreeMap<Fingerprint, OwnSuspect>,
     unanswered: VecDeque<Unanswered>,
@@ -131,19 +135,20 @@
 }
 
 impl CrashEvidence {
-    /// Returns how a request is to be treated. What was seen here counts before control has
-    /// heard of it, and without control.
+    /// Returns how a request is treated, or `None` if like any other. This entry VM's own
+    /// observations count before control has received them, and while control is unreachable.
     #[must_use]
     pub fn treatment(&self, tag: &RequestTag) -> Option<Treatment> {
-        let told = self.verdicts.get(&tag.content);
-        let told = told.map(|verdict| Treatment::of(verdict, tag.caller));
+        let from_control = self.verdicts.get(&tag.content);
+        let from_control = from_control.map(|verdict| Treatment::of(verdict, tag.caller));
         let own = self.own.get(&tag.content);
         let own = own.and_then(|own| own.suspect.verdict());
-        told.max(own.map(|verdict| Treatment::of(&verdict, tag.caller)))
+        from_control.max(own.map(|verdict| Treatment::of(&verdict, tag.caller)))
     }
 
-    /// Replaces control's verdicts. Whoever isn't among them any more was released, or lifted by
-    /// an operator, and nothing that was seen here before holds against it.
+    /// Replaces control's verdicts. If a request's verdict was removed or lowered, it was released,
+    /// or lifted by an operator, and earlier observations of this entry VM no longer count against
+    /// it.
     pub fn apply_verdicts(&mut self, verdicts: BTreeMap<Fingerprint, Verdict>) {
         let before = std::mem::replace(&mut self.verdicts, verdicts);
         for (request, verdict) in before {
@@ -158,61 +163,64 @@
             .map(|(request, _)| *request)
             .collect();
         for request in quarantined {
-            self.acquit_others(&request);
+            self.exonerate_others(&request);
         }
     }
 
-    /// Notes that a request on a backend server got no whole answer. Returns what is known by
-    /// that: that server may have ended before.
+    /// Records that a request got no complete answer from a backend server. Returns the evidence
+    /// that follows if that backend server is already known to have ended.
     pub fn note_unanswered(
         &mut self,
         now: Instant,
-        lives: &dyn BackendIncarnations,
+        incarnations: &dyn BackendIncarnations,
         life: &BackendIncarnation,
-        stood: InFlightRequest,
+        in_flight: InFlightRequest,
     ) -> Option<Ended> {
         self.forget_old(now);
-        if self.unanswered.len() >= MOST_UNANSWERED {
+        if self.unanswered.len() >= MAX_UNANSWERED {
             self.unanswered.pop_front();
         }
         self.unanswered.push_back(Unanswered {
             life: life.clone(),
-            stood,
-            until: now + UNANSWERED_FOR,
+            in_flight,
+            until: now + UNANSWERED_RETENTION,
         });
-        let has_ended = self.ended.contains(life) || lives.was_replaced(life);
+        let has_ended = self.ended.contains(life) || incarnations.was_replaced(life);
         has_ended
-            .then(|| self.note_ended(now, lives, life))
+            .then(|| self.note_ended(now, incarnations, life))
             .flatten()
     }
 
-    /// Notes that a backend server has ended. Returns the requests that this is evidence
-    /// against; nothing, if there are none or the backend server was about to leave.
+    /// Records that a backend server has ended. Returns the requests that this is evidence against;
+    /// `None` if no unanswered request was in flight on it or its end was planned.
     pub fn note_ended(
         &mut self,
         now: Instant,
-        lives: &dyn BackendIncarnations,
+        incarnations: &dyn BackendIncarnations,
         life: &BackendIncarnation,
     ) -> Option<Ended> {
         if !self.ended.contains(life) {
-            if self.ended.len() >= MOST_ENDED {
+            if self.ended.len() >= MAX_ENDED {
                 self.ended.pop_front();
             }
             self.ended.push_back(life.clone());
         }
         let requests = self.take_unanswered(life);
-        if requests.is_empty() || lives.is_leaving(life) {
+        if requests.is_empty() || incarnations.is_leaving(life) {
             return None;
         }
-        // A request that is known to do it explains the end.
-        if !requests.iter().any(|stood| self.is_quarantined(&stood.tag)) {
-            for stood in &requests {
-                let own = self.own_entry(now, stood.tag.content);
-                own.suspect.note_end(life, stood);
+        // If one of the requests is already quarantined, it explains the end.
+        if !requests
+            .iter()
+            .any(|in_flight| self.is_quarantined(&in_flight.tag))
+        {
+            for in_flight in &requests {
+                let own = self.own_entry(now, in_flight.tag.content);
+                own.suspect.note_end(life, in_flight);
             }
-            for stood in &requests {
-                if self.is_quarantined(&stood.tag) {
-                    self.acquit_others(&stood.tag.content);
+            for in_flight in &requests {
+                if self.is_quarantined(&in_flight.tag) {
+                    self.exonerate_others(&in_flight.tag.content);
                 }
             }
         }
@@ -222,7 +230,8 @@
         })
     }
 
-    /// Returns the present life of a backend server that doesn't tell its lives apart itself.
+    /// Returns the current incarnation of a backend server that does not report its incarnations
+    /// itself.
     #[must_use]
     pub fn incarnation_of(&self, backend: &BackendName) -> BackendIncarnation {
         let ended = self.ended.iter().filter(|life| life.backend == *backend);
@@ -232,39 +241,42 @@
         }
     }
 
-    /// Notes that connections are taken where a backend server was. It may be another process, or
-    /// one that was started again under its name and doesn't tell its lives apart.
+    /// Records that a backend server's address accepts connections. It may belong to another
+    /// process, or to one that was restarted under the same name and does not report its
+    /// incarnations.
     pub fn note_reachable(&mut self, now: Instant, life: &BackendIncarnation) {
         self.ended.retain(|ended| ended != life);
-        let until = now + ANNOUNCED_WITHIN;
-        let stood = self
+        let until = now + ANNOUNCEMENT_TIMEOUT;
+        let affected = self
             .unanswered
             .iter_mut()
             .filter(|unanswered| unanswered.life == *life);
-        for unanswered in stood {
+        for unanswered in affected {
             unanswered.until = unanswered.until.min(until);
         }
     }
 
-    /// Returns which backend servers have ended as a view has it.
+    /// Records the backend servers that have ended according to `incarnations`, and returns the
+    /// resulting evidence.
     pub fn apply_incarnations(
         &mut self,
         now: Instant,
-        lives: &dyn BackendIncarnations,
+        incarnations: &dyn BackendIncarnations,
     ) -> Vec<Ended> {
         self.forget_old(now);
-        let stood_on = self.unanswered.iter().map(|unanswered| &unanswered.life);
-        let replaced: Vec<BackendIncarnation> = stood_on
-            .filter(|life| lives.was_replaced(life))
+        let with_unanswered = self.unanswered.iter().map(|unanswered| &unanswered.life);
+        let replaced: Vec<BackendIncarnation> = with_unanswered
+            .filter(|life| incarnations.was_replaced(life))
             .cloned()
             .collect();
         let ended = replaced
             .iter()
-            .filter_map(|life| self.note_ended(now, lives, life));
+            .filter_map(|life| self.note_ended(now, incarnations, life));
         ended.collect()
     }
 
-    /// Notes that a request was answered whole. Returns what to tell control, which suspects it.
+    /// Records that a request got a complete answer. Returns the note for control if the request is
+    /// suspected and a note is due.
     pub fn note_answered(&mut self, now: Instant, tag: &RequestTag) -> Option<SuspectNote> {
         let is_watched = self.verdicts.contains_key(&tag.content);
         let had_ended = self
@@ -277,24 +289,24 @@
         let own = self.own_entry(now, tag.content);
         let ends_before = own.suspect.ended_by(tag.caller);
         own.suspect.note_answer(tag.caller);
-        let is_lately = own
+        let is_recent = own
             .answered_at
-            .is_some_and(|at| now.saturating_duration_since(at) < ANSWERED_INTERVAL);
-        if is_lately && ends_before == 0 {
+            .is_some_and(|at| now.saturating_duration_since(at) < ANSWERED_NOTE_INTERVAL);
+        if is_recent && ends_before == 0 {
             return None;
         }
         own.answered_at = Some(now);
         Some(SuspectNote::Answered(*tag))
     }
 
-    /// Notes that a quarantined request was refused. Returns what to tell control, now and then:
-    /// a request that still comes stays quarantined.
+    /// Records that a quarantined request was refused. Returns a note for control at most every
+    /// [`REFUSED_NOTE_INTERVAL`]: a request that is still being sent stays quarantined.
     pub fn note_refused(&mut self, now: Instant, request: Fingerprint) -> Option<SuspectNote> {
         let own = self.own_entry(now, request);
-        let is_lately = own
+        let is_recent = own
             .refused_at
             .is_some_and(|at| now.saturating_duration_since(at) < REFUSED_NOTE_INTERVAL);
-        if is_lately {
+        if is_recent {
             return None;
         }
         own.refused_at = Some(now);
@@ -305,21 +317,22 @@
         self.treatment(tag) == Some(Treatment::Quarantined)
     }
 
-    /// Takes from all others what rests on backend servers that a quarantined request ended.
-    fn acquit_others(&mut self, guilty: &Fingerprint) {
-        let Some(own) = self.own.get(guilty) else {
+    /// Discards the evidence against all other requests that rests on backend servers that a
+    /// quarantined request ended.
+    fn exonerate_others(&mut self, culprit: &Fingerprint) {
+        let Some(own) = self.own.get(culprit) else {
             return;
         };
         let explained = own.suspect.ended().into_iter().cloned().collect();
         for (request, own) in &mut self.own {
-            if request != guilty {
-                own.suspect.acquit(&explained);
+            if request != culprit {
+                own.suspect.exonerate(&explained);
             }
         }
     }
 
     fn own_entry(&mut self, now: Instant, request: Fingerprint) -> &mut OwnSuspect {
-        if !self.own.contains_key(&request) && self.own.len() >= MOST_OWN {
+        if !self.own.contains_key(&request) && self.own.len() >= MAX_OWN {
             let rank = |(_, own): &(&Fingerprint, &OwnSuspect)| (own.suspect.ended().len(), own.at);
             let least = self.own.iter().min_by_key(rank);
             if let Some(least) = least.map(|(request, _)| *request) {
@@ -339,11 +352,11 @@
     fn take_unanswered(&mut self, life: &BackendIncarnation) -> Vec<InFlightRequest> {
         let mut requests = BTreeSet::new();
         self.unanswered.retain(|unanswered| {
-            let stood = unanswered.life == *life;
-            if stood {
-                requests.insert(unanswered.stood);
+            let ran_there = unanswered.life == *life;
+            if ran_there {
+                requests.insert(unanswered.in_flight);
             }
-            !stood
+            !ran_there
         });
         requests.into_iter().take(MAX_IN_FLIGHT_PER_END).collect()
     }
@@ -351,6 +364,6 @@
     fn forget_old(&mut self, now: Instant) {
         self.unanswered.retain(|unanswered| now < unanswered.until);
         self.own
-            .retain(|_, own| now.saturating_duration_since(own.at) < OWN_FOR);
+            .retain(|_, own| now.saturating_duration_since(own.at) < OWN_RETENTION);
     }
 }
--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -1,14 +1,16 @@
-//! Requests that are suspected of ending the backend servers that run them, as control
-//! replicates them.
+//! Requests that are suspected of crashing the backend servers that process them, as replicated by
+//! the control replicas.
 //!
-//! Whoever stands on a backend server that ends is suspected once. What tells the one request
-//! from the others is that different backend servers end under it, and one more does once the
-//! suspicion is known to whoever sends it. Ends of many backend servers at once, as when a
-//! failure domain is lost, say nothing of requests that stand on several of them.
+//! Each request that was in flight on a backend server when it ended is suspected once. The request
+//! that caused the end is told apart from the others by two facts: several different backend
+//! servers end while processing it, and another one ends after the entry VM that sent it knew of
+//! the suspicion. When many backend servers end at once, for example because a failure domain is
+//! lost, this says nothing about the requests that were in flight on several of them.
 //!
-//! Requests are told apart by content. The address of the caller is kept with each end: while one
-//! address alone sends a request that does it, others with the same content are served. Once
-//! backend servers end under it from several addresses, nothing tells the callers apart.
+//! Requests are identified by content. The caller's address is stored with each end: as long as
+//! only one address sends a request that crashes backend servers, requests of other callers with
+//! the same content are served. Once backend servers have ended under requests from several
+//! addresses, callers can no longer be told apart.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,36 +24,39 @@
 use crate::request_fingerprint::Fingerprint;
 use crate::request_fingerprint::RequestTag;
 
-/// Backend servers that end under a request before it is quarantined.
+/// Number of backend servers that end under a request before it is quarantined.
 pub const QUARANTINE_THRESHOLD: usize = 3;
 
-/// Backend servers that end under a request before it is watched: it isn't sent on once more
-/// within the same try.
+/// Number of backend servers that end under a request before it is watched: it is then not
+/// forwarded a second time within the same try.
 pub const WATCH_THRESHOLD: usize = 2;
 
-/// Requests that are remembered, some 300 bytes each. Each of them has ended a backend server
-/// or stood on one, so that it takes hundreds of ended ones to fill the table.
-const MOST_SUSPECTS: usize = 512;
+/// Maximum number of suspected requests, at some 300 bytes each. Each of them was in flight on a
+/// backend server that ended, so it takes hundreds of ended backend servers to fill the table.
+const MAX_SUSPECTS: usize = 512;
 
-/// Ends that are kept of one request.
-const MOST_ENDS: usize = 12;
+/// Maximum number of ends that are stored per request.
+const MAX_ENDS: usize = 12;
 
-/// Requests noted of one backend server that ended; more than it has slots and waiting room.
+/// Maximum number of requests recorded per backend server that ended; more than a backend server
+/// has slots and queue places.
 pub const MAX_IN_FLIGHT_PER_END: usize = 64;
 
-/// Says how entry VMs treat the requests of one content. The greater one goes first.
+/// How entry VMs treat the requests with one content. If two verdicts apply, the greater one takes
+/// precedence.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Verdict {
-    /// Each is sent to one backend server a try, and answers are told to control.
+    /// Each is sent to at most one backend server per try, and its answers are reported to control.
     Watched,
-    /// The same, and those of these callers are sent to none.
+    /// Like [`Watched`](Self::Watched), and requests of these callers are not sent to any backend
+    /// server.
     QuarantinedFrom(BTreeSet<CallerTag>),
-    /// All are sent to none.
+    /// None of them is sent to any backend server.
     Quarantined,
 }
 
 impl Verdict {
-    /// Returns whether requests of this caller are sent to no backend server.
+    /// Returns whether requests of this caller are not sent to any backend server.
     #[must_use]
     pub fn quarantines(&self, caller: CallerTag) -> bool {
         match self {
@@ -61,13 +66,13 @@
         }
     }
 
-    /// Returns whether requests of any caller are sent to no backend server.
+    /// Returns whether the verdict keeps at least one caller's requests from all backend servers.
     #[must_use]
     pub const fn is_quarantine(&self) -> bool {
         !matches!(self, Self::Watched)
     }
 
-    /// Returns the verdict as logs and operators name it.
+    /// Returns the verdict's name as it appears in logs and for operators.
     #[must_use]
     pub const fn name(&self) -> &'static str {
         match self {
@@ -78,51 +83,51 @@
     }
 }
 
-/// Names a request that stood on a backend server.
+/// A request that was in flight on a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct InFlightRequest {
     /// The request.
     pub tag: RequestTag,
-    /// Whether it was sent while its entry VM knew that it is watched.
+    /// Whether it was sent while its entry VM knew that it was watched.
     pub watched: bool,
 }
 
-/// Tells that a backend server has ended, and what stood on it.
+/// Reports that a backend server has ended, and the requests that were in flight on it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ended {
-    /// The backend server.
+    /// Incarnation of the backend server that ended.
     pub life: BackendIncarnation,
-    /// The requests, each named once.
+    /// The requests, each listed once.
     pub requests: Vec<InFlightRequest>,
 }
 
-/// Says what an entry VM saw of requests.
+/// An entry VM's observation of a suspected request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum SuspectNote {
-    /// A backend server ended while requests stood on it.
+    /// A backend server ended while requests were in flight on it.
     Ended(Ended),
-    /// A suspected request got a whole answer.
+    /// A suspected request got a complete answer.
     Answered(RequestTag),
-    /// A quarantined request came and was refused.
+    /// A quarantined request arrived and was refused.
     Refused(Fingerprint),
 }
 
-/// Holds the end of a backend server under a request.
+/// The end of a backend server under a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct EndUnder {
     life: BackendIncarnation,
-    /// Who sent the request.
+    /// Caller that sent the request.
     caller: CallerTag,
-    /// Whether it was sent while it was known to be watched.
+    /// Whether the request was sent while it was known to be watched.
     watched: bool,
 }
 
-/// Holds what is known of the requests of one content.
+/// Evidence about the requests with one content.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Suspect {
-    /// The backend servers that ended.
+    /// Ends of backend servers under these requests.
     ends: Vec<EndUnder>,
-    /// Whole answers to callers who ended none.
+    /// Number of complete answers to callers under whose requests no backend server ended.
     answers: usize,
 }
 
@@ -133,50 +138,51 @@
         self.ends.iter().map(|end| &end.life).collect()
     }
 
-    /// Returns whether anything is left that speaks against these requests.
+    /// Returns whether no evidence against these requests is left.
     #[must_use]
     pub const fn is_cleared(&self) -> bool {
         self.ends.is_empty()
     }
 
-    /// Returns how entry VMs treat requests of this content.
+    /// Returns how entry VMs treat requests with this content; `None` if like any other.
     #[must_use]
     pub fn verdict(&self) -> Option<Verdict> {
-        // Nearly all have one, and all are looked at with each note.
+        // Saves time: most suspects have a single end, and all are evaluated for each note.
         if self.ends.len() < WATCH_THRESHOLD {
             return None;
         }
         let ended = self.ended().len();
-        if self.is_guilty_from_anywhere(ended) {
+        if self.is_culprit_from_any_caller(ended) {
             return Some(Verdict::Quarantined);
         }
-        let guilty: BTreeSet<CallerTag> = self.callers().filter(|c| self.is_guilty(*c)).collect();
-        if !guilty.is_empty() {
-            return Some(Verdict::QuarantinedFrom(guilty));
+        let culprits: BTreeSet<CallerTag> =
+            self.callers().filter(|c| self.is_culprit(*c)).collect();
+        if !culprits.is_empty() {
+            return Some(Verdict::QuarantinedFrom(culprits));
         }
         (ended >= WATCH_THRESHOLD).then_some(Verdict::Watched)
     }
 
-    /// Notes that a backend server ended under a request of this content.
-    pub fn note_end(&mut self, life: &BackendIncarnation, stood: &InFlightRequest) {
-        let caller = stood.tag.caller;
+    /// Records that a backend server ended under a request with this content.
+    pub fn note_end(&mut self, life: &BackendIncarnation, in_flight: &InFlightRequest) {
+        let caller = in_flight.tag.caller;
         let known = |end: &&mut EndUnder| end.life == *life && end.caller == caller;
         if let Some(end) = self.ends.iter_mut().find(known) {
-            end.watched |= stood.watched;
+            end.watched |= in_flight.watched;
             return;
         }
-        if self.ends.len() >= MOST_ENDS {
+        if self.ends.len() >= MAX_ENDS {
             self.ends.remove(0);
         }
         self.ends.push(EndUnder {
             life: life.clone(),
             caller,
-            watched: stood.watched,
+            watched: in_flight.watched,
         });
     }
 
-    /// Notes a whole answer. It clears its caller, and speaks for the content against the ends
-    /// under it from elsewhere; it doesn't clear another caller.
+    /// Records a complete answer. It clears the caller that got it, and counts for the content
+    /// against ends under requests of other callers; it does not clear another caller.
     pub fn note_answer(&mut self, caller: CallerTag) {
         let verdict = self.verdict();
         if verdict.is_some_and(|verdict| verdict.quarantines(caller)) {
@@ -192,9 +198,9 @@
         }
     }
 
-    /// Takes away what a quarantined request explains: the backend servers that ended under it.
-    /// Those that are found guilty together stay so; nothing tells one from the other.
-    pub fn acquit(&mut self, explained: &BTreeSet<BackendIncarnation>) {
+    /// Removes the ends of backend servers that a quarantined request explains. Requests that are
+    /// quarantined for the same ends keep them, since nothing tells one from the other.
+    pub fn exonerate(&mut self, explained: &BTreeSet<BackendIncarnation>) {
         if !self.is_quarantined() {
             self.ends.retain(|end| !explained.contains(&end.life));
         }
@@ -205,8 +211,9 @@
         verdict.is_some_and(|verdict| verdict.is_quarantine())
     }
 
-    /// Leaves what makes these requests watched, and one more end quarantines them.
-    fn step_down(&mut self) {
+    /// Reduces the evidence so that these requests are only watched, and one more end quarantines
+    /// them again.
+    fn lower_to_watched(&mut self) {
         if let Some(Verdict::QuarantinedFrom(callers)) = self.verdict() {
             self.ends.retain(|end| callers.contains(&end.caller));
         }
@@ -224,35 +231,35 @@
         callers.into_iter()
     }
 
-    /// Returns how many backend servers ended under requests of one caller.
+    /// Returns the number of backend servers that ended under requests of one caller.
     #[must_use]
     pub fn ended_by(&self, caller: CallerTag) -> usize {
         let ends = self.ends.iter().filter(|end| end.caller == caller);
         ends.count()
     }
 
-    fn is_guilty(&self, caller: CallerTag) -> bool {
+    fn is_culprit(&self, caller: CallerTag) -> bool {
         let mut ends = self.ends.iter().filter(|end| end.caller == caller);
         self.ended_by(caller) >= QUARANTINE_THRESHOLD && ends.any(|end| end.watched)
     }
 
-    fn is_guilty_from_anywhere(&self, ended: usize) -> bool {
+    fn is_culprit_from_any_caller(&self, ended: usize) -> bool {
         ended >= QUARANTINE_THRESHOLD + self.answers
             && self.callers().nth(1).is_some()
             && self.ends.iter().any(|end| end.watched)
     }
 }
 
-/// Holds a suspect and when it was heard of.
+/// Evidence about the requests with one content, and when it was last updated.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SuspectRecord {
-    /// What is known.
+    /// The evidence.
     pub suspect: Suspect,
-    /// The last position at which it was heard of.
+    /// Log index of the last note about these requests.
     pub at: Revision,
 }
 
-/// Holds all suspected requests, by content.
+/// All suspected requests, by content.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Quarantine {
     /// The last position that changed a verdict.
@@ -261,30 +268,30 @@
 }
 
 impl Quarantine {
-    /// Returns the last position that changed a verdict.
+    /// Returns the log index of the last change of a verdict.
     #[must_use]
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Returns all suspected requests.
+    /// Returns all suspected requests, including those without a verdict.
     pub fn suspects(&self) -> impl Iterator<Item = (&Fingerprint, &SuspectRecord)> {
         self.suspects.iter()
     }
 
-    /// Returns what is known of requests of a content.
+    /// Returns the evidence about requests with this content.
     #[must_use]
     pub fn suspect(&self, request: &Fingerprint) -> Option<&SuspectRecord> {
         self.suspects.get(request)
     }
 
-    /// Returns how entry VMs treat requests of a content.
+    /// Returns how entry VMs treat requests with this content; `None` if like any other.
     #[must_use]
     pub fn verdict(&self, request: &Fingerprint) -> Option<Verdict> {
         self.suspect(request)?.suspect.verdict()
     }
 
-    /// Returns what entry VMs must know: the requests that aren't sent on like others.
+    /// Returns the verdicts that entry VMs must apply.
     #[must_use]
     pub fn verdicts(&self) -> BTreeMap<Fingerprint, Verdict> {
         let suspects = self.suspects.iter();
@@ -293,7 +300,7 @@
             .collect()
     }
 
-    /// Takes in at `index` what entry VMs saw.
+    /// Applies notes of entry VMs at log index `index`.
     pub fn note<'a>(&mut self, index: Revision, notes: impl IntoIterator<Item = &'a SuspectNote>) {
         self.change(index, |quarantine| {
             for note in notes {
@@ -302,9 +309,9 @@
         });
     }
 
-    /// Lets requests go one step that weren't heard of later than at the positions named: a
-    /// quarantined one is watched from now on, so that one more backend server is what it costs
-    /// if it still does what it did; any other one is forgotten.
+    /// Lowers the verdict of each given request by one step, unless it was noted later than at the
+    /// given log index. A quarantined request is only watched from now on, so that at most one more
+    /// backend server ends if it still causes crashes; any other request is forgotten.
     pub fn release(&mut self, index: Revision, requests: &[(Fingerprint, Revision)]) {
         self.change(index, |quarantine| {
             for (request, noted) in requests {
@@ -313,14 +320,14 @@
         });
     }
 
-    /// Forgets a request by order of an operator.
+    /// Forgets a request, on behalf of an operator.
     pub fn lift(&mut self, index: Revision, request: &Fingerprint) {
         self.change(index, |quarantine| {
             quarantine.suspects.remove(request);
         });
     }
 
-    /// Changes suspects, and the revision if that changes a verdict.
+    /// Applies a change, and advances the revision if it changes a verdict.
     fn change(&mut self, index: Revision, f: impl FnOnce(&mut Self)) {
         let before = self.verdicts();
         f(self);
@@ -344,43 +351,43 @@
     fn note_ended(&mut self, index: Revision, ended: &Ended) {
         let requests: BTreeSet<&InFlightRequest> =
             ended.requests.iter().take(MAX_IN_FLIGHT_PER_END).collect();
-        // A request that is known to end backend servers explains why this one did. It may have
-        // been sent before the verdict was known there.
-        let guilty = requests.iter().find(|stood| self.is_guilty(stood));
-        if let Some(request) = guilty.map(|stood| stood.tag.content) {
+        // A quarantined request explains why this backend server ended. It may have been sent
+        // before the verdict was known at its entry VM.
+        let culprit = requests.iter().find(|in_flight| self.is_culprit(in_flight));
+        if let Some(request) = culprit.map(|in_flight| in_flight.tag.content) {
             if let Some(noted) = self.suspects.get_mut(&request) {
                 noted.at = index;
             }
             return;
         }
-        for stood in &requests {
-            let noted = self.suspects.entry(stood.tag.content).or_default();
+        for in_flight in &requests {
+            let noted = self.suspects.entry(in_flight.tag.content).or_default();
             noted.at = index;
-            noted.suspect.note_end(&ended.life, stood);
+            noted.suspect.note_end(&ended.life, in_flight);
         }
-        for stood in requests {
-            if self.is_guilty(stood) {
-                self.acquit_others(&stood.tag.content);
+        for in_flight in requests {
+            if self.is_culprit(in_flight) {
+                self.exonerate_others(&in_flight.tag.content);
             }
         }
-        self.keep_bounds();
+        self.enforce_limit();
     }
 
-    fn is_guilty(&self, stood: &InFlightRequest) -> bool {
-        let verdict = self.verdict(&stood.tag.content);
-        verdict.is_some_and(|verdict| verdict.quarantines(stood.tag.caller))
+    fn is_culprit(&self, in_flight: &InFlightRequest) -> bool {
+        let verdict = self.verdict(&in_flight.tag.content);
+        verdict.is_some_and(|verdict| verdict.quarantines(in_flight.tag.caller))
     }
 
-    /// Takes from all others the suspicion that rests on backend servers that a quarantined
-    /// request ended.
-    fn acquit_others(&mut self, guilty: &Fingerprint) {
-        let Some(noted) = self.suspect(guilty) else {
+    /// Removes the evidence against all other requests that rests on backend servers that a
+    /// quarantined request ended.
+    fn exonerate_others(&mut self, culprit: &Fingerprint) {
+        let Some(noted) = self.suspect(culprit) else {
             return;
         };
         let explained: BTreeSet<BackendIncarnation> =
             noted.suspect.ended().into_iter().cloned().collect();
         self.suspects.retain(|_, noted| {
-            noted.suspect.acquit(&explained);
+            noted.suspect.exonerate(&explained);
             !noted.suspect.is_cleared()
         });
     }
@@ -403,17 +410,18 @@
             return;
         };
         if noted.suspect.is_quarantined() {
-            noted.suspect.step_down();
+            noted.suspect.lower_to_watched();
             noted.at = index;
         } else {
             self.suspects.remove(request);
         }
     }
 
-    /// Drops the least suspected first, and of these those not heard of for longest, so that
-    /// whoever sends many requests that end backend servers pushes out no verdict.
-    fn keep_bounds(&mut self) {
-        while self.suspects.len() > MOST_SUSPECTS {
+    /// Enforces the size limit. Drops the least suspected requests first, and of these the ones not
+    /// noted for longest, so that a caller that sends many requests that crash backend servers
+    /// cannot displace a verdict.
+    fn enforce_limit(&mut self) {
+        while self.suspects.len() > MAX_SUSPECTS {
             let rank = |(_, noted): &(&Fingerprint, &SuspectRecord)| {
                 (
                     noted.suspect.verdict(),
--- a/lib/src/request_fingerprint.rs
+++ b/lib/src/request_fingerprint.rs
@@ -1,4 +1,5 @@
-//! Names a request by what its caller sends, so that it is known when it comes again.
+//! Fingerprints that identify a request by its content, so that it is recognised when it is sent
+//! again.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -9,41 +10,43 @@
 use crate::id::ClusterId;
 use crate::rendezvous;
 
-/// Separates keys of fingerprints from whatever else is derived from a cluster's identity.
+/// Domain separation between fingerprint keys and other values that are derived from a cluster's
+/// identity.
 const KEY_CONTEXT: &str = "heatherring request fingerprint";
 
-/// Bytes of a fingerprint. Nobody finds two requests with the same 16 bytes by chance.
+/// Length of a fingerprint in bytes. Two different requests do not have the same 16 bytes by
+/// chance.
 const BYTES: usize = 16;
 
-/// Names the content of a request. It is the same at each entry VM and for each try.
+/// Identifies the content of a request. It is the same at every entry VM and for every try.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Fingerprint([u8; BYTES]);
 
-/// Names where a request comes from.
+/// Identifies the address that a request comes from.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct CallerTag(u64);
 
-/// Names a request as far as it can be told from others.
+/// Identifies a request by its content and its caller.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RequestTag {
-    /// What is sent.
+    /// Content of the request.
     pub content: Fingerprint,
-    /// Who sends it.
+    /// Address of the caller.
     pub caller: CallerTag,
 }
 
-/// Keeps callers from finding out the fingerprints of others: the identity of a cluster is
-/// drawn at random and told to none of them.
+/// Key of the fingerprint hash. It prevents callers from computing the fingerprints of others'
+/// requests: the cluster identity is random and is not disclosed to callers.
 #[derive(Clone, Copy, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FingerprintKey([u8; 32]);
 
-/// Holds what makes two requests the same. Neither the identifier of a try nor its deadline is
-/// part of it.
+/// The parts of a request that must be equal for two requests to be the same. Neither the
+/// identifier of a try nor its deadline is included.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host, in lower case.
+    /// Host, in lower case.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
@@ -58,13 +61,13 @@
         Self(blake3::derive_key(KEY_CONTEXT, &cluster.0))
     }
 
-    /// Returns the key that another process sent; nothing if it isn't one.
+    /// Returns the key that another process sent; `None` if the length is wrong.
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
 
-    /// Returns the key as it is sent.
+    /// Returns the key in the form in which it is sent.
     #[must_use]
     pub const fn as_bytes(&self) -> &[u8] {
         &self.0
@@ -89,7 +92,7 @@
             content.body,
         ];
         for field in fields {
-            // With its length first, no field can be taken for the end of another.
+            // The length prefix keeps bytes of one field from being taken for part of the next.
             hasher.update(&field.len().to_le_bytes());
             hasher.update(field);
         }
@@ -98,7 +101,7 @@
         Self(bytes)
     }
 
-    /// Reads a fingerprint as it is displayed.
+    /// Parses a fingerprint in the form in which it is displayed.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -108,7 +111,8 @@
 }
 
 impl CallerTag {
-    /// Returns the tag of whoever connects from `address`.
+    /// Returns the tag of the caller that connects from `address`. An IPv4 address and its
+    /// IPv6-mapped form have the same tag.
     #[must_use]
     pub fn of(key: &FingerprintKey, address: IpAddr) -> Self {
         let address = match address {
--- a/lib/src/team.rs
+++ b/lib/src/team.rs
@@ -1,4 +1,4 @@
-//! Teams: who may ask, which requests go first, where they are served, and how many.
+//! Teams: their callers' keys, and the priority, regions and limits of their requests.
 
 use std::fmt;
 use std::sync::LazyLock;
@@ -8,31 +8,31 @@
 
 use crate::id::RegionName;
 
-/// Separates the digests of keys from whatever else is hashed.
+/// Domain separation between key digests and other hashes.
 const KEY_CONTEXT: &str = "heatherring team key";
 
-/// Bytes of a key's digest. Nobody finds a second key with the same 16 bytes.
+/// Length of a key's digest in bytes. It is infeasible to find a second key with the same 16 bytes.
 const DIGEST_BYTES: usize = 16;
 
-/// Holds a key by which callers prove that they belong to a team. It is shown nowhere: not by
-/// `Debug`, and not in a message.
+/// A key by which callers prove that they belong to a team. It is never displayed: `Debug` hides
+/// it, and no message contains it.
 #[derive(Clone, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct TeamKey(String);
 
 impl TeamKey {
-    /// Wraps a key.
+    /// Wraps a key as an operator configured it.
     pub fn new(key: impl Into<String>) -> Self {
         Self(key.into())
     }
 
-    /// Returns the key itself, for the operator who set it.
+    /// Returns the key in plain text, for the operator who configured it.
     #[must_use]
     pub fn reveal(&self) -> &str {
         &self.0
     }
 
-    /// Returns the digest by which entry VMs know the key.
+    /// Returns the digest by which entry VMs identify the key.
     #[must_use]
     pub fn digest(&self) -> KeyDigest {
         KeyDigest::of(self.0.as_bytes())
@@ -45,8 +45,8 @@
     }
 }
 
-/// Stands for a key. Keys are looked up by it alone, so that the time of a comparison tells
-/// nothing about the bytes of a key.
+/// Digest of a key. Keys are looked up by their digest only, so that the duration of a comparison
+/// reveals nothing about the bytes of a key.
 #[derive(Clone, Copy, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
@@ -68,23 +68,24 @@
     }
 }
 
-/// Holds one team as operators describe it.
+/// A team as operators configure it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Team {
-    /// The keys of its callers.
+    /// Keys of its callers.
     pub keys: Vec<TeamKey>,
-    /// Rank of its requests, before that of their routes; 0 goes first.
+    /// Priority of its requests, which takes precedence over their routes' priorities; 0 is the
+    /// highest.
     pub priority: Option<u32>,
-    /// Requests a second that it may have run; nothing or 0 sets no limit.
+    /// Maximum rate in requests per second; `None` or 0 sets no limit.
     pub rate: Option<f64>,
-    /// Requests on top of that.
+    /// Number of requests that may exceed the rate; `None` stands for 0.
     pub burst: Option<f64>,
     /// Regions outside of which its requests may not be served; empty allows all.
     pub home_regions: Option<Vec<RegionName>>,
 }
 
 impl Team {
-    /// Returns the limit of the team, if it has one.
+    /// Returns the team's limit; `None` if it is unlimited.
     #[must_use]
     pub fn limit(&self) -> Option<TeamLimit> {
         let rate = self.rate.filter(|rate| *rate > 0.0)?;
@@ -94,7 +95,7 @@
         })
     }
 
-    /// Returns what entry VMs are told of the team.
+    /// Returns the part of the team that entry VMs receive.
     #[must_use]
     pub fn record(&self) -> TeamRecord {
         TeamRecord {
@@ -106,24 +107,25 @@
     }
 }
 
-/// Bounds the requests of a team that run in any time `t`, over all entry VMs together, by
+/// Limits the number of a team's requests that run within any time `t`, over all entry VMs, to
 /// `rate * t + burst`.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TeamLimit {
     /// Requests a second.
     pub rate: f64,
-    /// Requests on top.
+    /// Number of requests that may exceed the rate.
     pub burst: f64,
 }
 
-/// Holds what entry VMs know of a team.
+/// A team as entry VMs know it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TeamRecord {
-    /// The digests of its keys.
+    /// Digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests, before that of their routes; 0 goes first.
+    /// Priority of its requests, which takes precedence over their routes' priorities; 0 is the
+    /// highest.
     pub priority: Option<u32>,
-    /// Its limit, if it has one.
+    /// Its limit; `None` if it is unlimited.
     pub limit: Option<TeamLimit>,
     /// Regions outside of which its requests may not be served; empty allows all.
     pub home_regions: Vec<RegionName>,
--- a/lib/src/team_directory.rs
+++ b/lib/src/team_directory.rs
@@ -1,4 +1,4 @@
-//! Who is asking: the teams as an entry VM knows them.
+//! Directory of the teams on an entry VM, used to identify callers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,18 +13,18 @@
 use crate::team::KeyDigest;
 use crate::team::TeamRecord;
 
-/// Holds what changed of the teams, or all of them.
+/// An update of the teams: those that changed, or all of them.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct TeamUpdate {
     /// Whether requests need a key.
     pub keyed: bool,
     /// New and changed teams.
     pub teams: Vec<(TeamName, Arc<TeamRecord>)>,
-    /// All routes whose requests need no key, if these changed.
+    /// All routes whose requests need no key; `None` if unchanged.
     pub public_routes: Option<BTreeSet<RouteName>>,
 }
 
-/// Knows the teams and whose key is whose.
+/// The teams known to an entry VM, and the team of each key.
 #[derive(Clone, Debug, Default)]
 pub struct TeamDirectory {
     keyed: bool,
@@ -33,28 +33,28 @@
     public_routes: BTreeSet<RouteName>,
 }
 
-/// Says who a caller is.
+/// Identity of a caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallerIdentity<'a> {
-    /// Nobody needs to be known.
+    /// The request needs no key, and the caller sent none that is known.
     Anybody,
-    /// The caller of a team.
+    /// The caller belongs to this team.
     Team(&'a TeamName),
-    /// The route needs a key, and there is none.
+    /// The route needs a key, but the request has none.
     Missing,
-    /// No team has the key.
+    /// The route needs a key, and the request's key belongs to no team.
     Unknown,
 }
 
 impl TeamDirectory {
-    /// Returns whether requests need a key, those on public routes aside.
+    /// Returns whether requests need a key, except on public routes.
     #[must_use]
     pub const fn requires_keys(&self) -> bool {
         self.keyed
     }
 
-    /// Says who sends a request on `route` with `key`. A key that some team has names it on
-    /// public routes, too.
+    /// Identifies the sender of a request on `route` with `key`. A key that belongs to a team
+    /// identifies the team on public routes as well.
     #[must_use]
     pub fn identify(&self, route: &RouteName, key: Option<KeyDigest>) -> CallerIdentity<'_> {
         if !self.keyed {
@@ -69,18 +69,19 @@
         }
     }
 
-    /// Returns what is known of a team.
+    /// Returns a team's record, or `None` if there is no such team.
     #[must_use]
     pub fn team(&self, name: &TeamName) -> Option<&Arc<TeamRecord>> {
         self.teams.get(name)
     }
 
-    /// Returns all teams.
+    /// Returns all teams in order of their names.
     pub fn teams(&self) -> impl Iterator<Item = (&TeamName, &Arc<TeamRecord>)> {
         self.teams.iter()
     }
 
-    /// Takes an update over; `removed` teams were removed before.
+    /// Returns the directory after an update. The teams in `removed` are removed before the update
+    /// is applied.
     #[must_use]
     pub fn updated(&self, update: &TeamUpdate, removed: &[&TeamName]) -> Self {
         let mut teams = self.teams.clone();
--- a/lib/src/team_manifest.rs
+++ b/lib/src/team_manifest.rs
@@ -1,4 +1,4 @@
-//! The part of a manifest that says who may ask, and what a change makes of it.
+//! Teams and public routes of a manifest, and changes of them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,33 +16,33 @@
 use crate::route_manifest::RouteManifest;
 use crate::team::Team;
 
-/// Holds the teams of a manifest. With one in force, requests need a key, also if no team is
-/// left in it.
+/// The teams of a manifest. While there is a team manifest, requests need a key, even if it
+/// contains no team.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct TeamManifest {
-    /// The teams.
+    /// Teams by name.
     pub teams: BTreeMap<TeamName, Arc<Team>>,
     /// Routes whose requests need no key.
     pub public_routes: BTreeSet<RouteName>,
 }
 
-/// Holds a whole manifest.
+/// A complete manifest.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct FleetManifest {
-    /// Which requests go to which services.
+    /// Routes and services.
     pub routes: RouteManifest,
-    /// Who may ask; without it, anybody.
+    /// Teams; `None` if requests need no key.
     pub teams: Option<TeamManifest>,
 }
 
-/// Says what a change makes of the teams. Of a change of the whole manifest it is all of them,
-/// of a patch those that change.
+/// Change of the teams. A change of the whole manifest lists all teams, a patch lists only those
+/// that change.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct TeamChange {
     /// Teams to add or to replace.
     pub teams: BTreeMap<TeamName, Arc<Team>>,
-    /// Those of the changed routes whose requests need no key; those of the other changed
-    /// routes do.
+    /// Those of the changed routes whose requests need no key. Requests on the other changed routes
+    /// need one.
     #[serde(default)]
     pub public_routes: BTreeSet<RouteName>,
     /// Teams to remove.
@@ -50,24 +50,24 @@
     pub removed_teams: Vec<TeamName>,
 }
 
-/// Holds a change that an operator asks for; in JSON, the teams stand beside the fields of the
-/// routes' part.
+/// A change that an operator requests. In JSON, the teams are next to the fields of the change of
+/// routes.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct FleetChange {
-    /// What it makes of the routes and services.
+    /// Change of the routes and services.
     #[serde(flatten)]
     pub routes: RouteChange,
-    /// What it makes of the teams, if it names any.
+    /// Change of the teams; `None` if they stay as they are.
     #[serde(default)]
     pub teams: Option<TeamChange>,
 }
 
-/// Shows a change, however it is held.
+/// A borrowed change, regardless of how it is stored.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeView<'a> {
-    /// What it makes of the routes and services.
+    /// Change of the routes and services.
     pub routes: &'a RouteChange,
-    /// What it makes of the teams, if it names any.
+    /// Change of the teams; `None` if they stay as they are.
     pub teams: Option<&'a TeamChange>,
 }
 
@@ -97,13 +97,14 @@
         let Some(teams) = self.teams else {
             return routes;
         };
-        // Maps of this type encode without fail.
+        // Encoding these maps cannot fail.
         let mut content = postcard::to_stdvec(teams).unwrap_or_default();
         content.extend_from_slice(&routes.0);
         ContentDigest::of(&content)
     }
 
-    /// Returns the teams after the change.
+    /// Returns the teams that result from applying the change to `present`; `None` if requests need
+    /// no key afterwards.
     #[must_use]
     pub fn teams_after(self, present: Option<&TeamManifest>) -> Option<TeamManifest> {
         let (mut after, changed_routes) = match &self.routes.content {
@@ -135,22 +136,23 @@
 }
 
 impl TeamManifest {
-    /// Returns the teams that can't be served on one of `routes`, since no region is home to both.
+    /// Returns each team that cannot be served on one of `routes`, with that route, because the two
+    /// have no home region in common.
     pub fn without_common_home<'a>(
         &'a self,
         routes: &'a RouteManifest,
     ) -> impl Iterator<Item = (&'a TeamName, &'a RouteName)> {
         let teams = self.teams.iter();
-        let homed = teams.filter_map(|(name, team)| {
+        let with_homes = teams.filter_map(|(name, team)| {
             let own = team.home_regions.as_deref().unwrap_or_default();
             (!own.is_empty()).then_some((name, own))
         });
-        homed.flat_map(move |(name, own)| {
+        with_homes.flat_map(move |(name, own)| {
             let routes = routes.routes.iter();
-            let apart = routes.filter(move |(_, route)| {
+            let without_overlap = routes.filter(move |(_, route)| {
                 home_regions::intersection(own, &route.home_regions).is_none()
             });
-            apart.map(move |(route, _)| (name, route))
+            without_overlap.map(move |(route, _)| (name, route))
         })
     }
 }
--- a/lib/src/team_share.rs
+++ b/lib/src/team_share.rs
@@ -1,19 +1,19 @@
-//! How a team's limit is shared out among the control replicas.
+//! Division of a team's limit among the control replicas.
 //!
-//! Each replica hands out tokens for a fixed share of the limit by its own count alone, so that
-//! the shares hold in sum whatever is cut off, killed or frozen. Nothing is agreed on for it and
-//! nothing is written. An entry VM whose replica has none left asks the next one: so demand
-//! moves between entry VMs and regions without any share being moved.
+//! Each replica issues tokens for a fixed share of the limit, based on its own count only, so the
+//! sum stays within the limit even if replicas or entry VMs are partitioned, killed or frozen. This
+//! needs no agreement and no writes. An entry VM whose replica has no token left asks the next one,
+//! so demand can move between entry VMs and regions without any share being moved.
 //!
-//! What runs of a team in any window of `window` stays below
+//! The number of a team's requests that run in any window of length `window` stays below
 //! `(rate * window + burst) * (1 + over) + slack`:
-//! - tokens that are handed out to waiting requests are used within [`TOKEN_USE_TIMEOUT`] or not at
-//!   all, and the rate at which they are handed out leaves room for that;
-//! - tokens that entry VMs hold in stock never exceed [`LimitShare::stock`] in sum, and lapse;
-//! - a replica that starts has no token yet.
+//! - tokens that are issued to waiting requests are used within [`TOKEN_USE_TIMEOUT`] or not at
+//!   all, and the rate at which they are issued leaves room for that;
+//! - tokens that entry VMs hold in stock never exceed [`LimitShare::stock`] in sum, and expire;
+//! - a replica starts without tokens.
 //!
-//! What the tolerance leaves is shared out among the three: small teams ask in bursts that their
-//! own limit hardly covers.
+//! The tolerance is divided among rate, burst and stock: small teams send bursts that their limit
+//! alone barely covers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,30 +27,30 @@
 use crate::rendezvous;
 use crate::team::TeamLimit;
 
-/// Time within which a token for a waiting request is used: the way of the reply, and until the
-/// request reaches its backend server.
+/// Time within which a token for a waiting request is used: the network delay of the reply plus the
+/// time until the request reaches its backend server.
 pub const TOKEN_USE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time for which a token may be held in stock.
 pub const STOCK_TTL: Duration = Duration::from_secs(5);
 
-/// Tokens that a share holds at least. A share that holds less than one can't ever give one.
-const LEAST_TOKENS: f64 = 2.0;
+/// Minimum burst of a share. A share with a burst below one could never issue a token.
+const MIN_SHARE_BURST: f64 = 2.0;
 
-/// Shares of what the tolerance leaves that go into the rate and the burst; the rest may be held
-/// in stock.
-const SPARE_IN_RATE: f64 = 0.5;
-const SPARE_IN_BURST: f64 = 0.25;
+/// Fractions of the unused tolerance that are added to the rate and to the burst; the rest may be
+/// held in stock.
+const SPARE_RATE_FRACTION: f64 = 0.5;
+const SPARE_BURST_FRACTION: f64 = 0.25;
 
-/// Says how far the limits of teams may be exceeded.
+/// Tolerance by which the limits of teams may be exceeded.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitTolerance {
     /// Length of the windows in which requests are counted.
     pub window: DurationText,
-    /// Share of what a limit allows in a window that may run besides.
+    /// Fraction of a limit's requests in a window that may run in addition.
     pub over: f64,
-    /// Requests that may run besides, in any window.
+    /// Number of requests that may run in addition in any window.
     pub slack: f64,
 }
 
@@ -64,19 +64,19 @@
     }
 }
 
-/// Holds one replica's share of a team's limit.
+/// One replica's share of a team's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitShare {
-    /// Tokens a second.
+    /// Rate at which tokens accrue, per second.
     pub rate: f64,
-    /// Tokens that gather while none is asked for.
+    /// Maximum number of tokens that accumulate while none is drawn.
     pub burst: f64,
-    /// Tokens that entry VMs may hold in stock, all together.
+    /// Maximum number of tokens that all entry VMs together may hold in stock.
     pub stock: f64,
 }
 
 impl LimitShare {
-    /// Returns the share of each of `shares` replicas that share a limit out.
+    /// Returns the share of each replica if `shares` replicas divide a limit.
     #[must_use]
     pub fn of(limit: &TeamLimit, tolerance: &LimitTolerance, shares: usize) -> Self {
         let shares = u32::try_from(shares.max(1)).map_or(f64::MAX, f64::from);
@@ -86,8 +86,8 @@
         let allowed = allowed * (1.0 + tolerance.over) + tolerance.slack;
         let rate = limit.rate.min((allowed - limit.burst).max(0.0) / counted);
         let spare = allowed - rate * counted - limit.burst;
-        let burst = ((limit.burst + SPARE_IN_BURST * spare) / shares).max(1.0);
-        let rate = rate + SPARE_IN_RATE * spare / counted;
+        let burst = ((limit.burst + SPARE_BURST_FRACTION * spare) / shares).max(1.0);
+        let rate = rate + SPARE_RATE_FRACTION * spare / counted;
         let stock = allowed - rate * counted - burst * shares;
         Self {
             rate: rate / shares,
@@ -97,8 +97,8 @@
     }
 }
 
-/// Returns the replicas that share the limit of a team out: as many as leave each of them
-/// tokens enough, by rendezvous hashing.
+/// Returns the replicas that share a team's limit, selected by rendezvous hashing: as many as
+/// possible without any share's burst becoming too small.
 #[must_use]
 pub fn sharing_replicas(
     team: &TeamName,
@@ -122,11 +122,11 @@
         .collect()
 }
 
-/// Returns among how many of `most` replicas a limit is shared out.
+/// Returns the number of replicas, `most` at most, among which a limit is divided.
 fn shares(limit: &TeamLimit, most: usize) -> usize {
     let enough = |count: &usize| {
         let count = u32::try_from(*count).map_or(f64::MAX, f64::from);
-        limit.burst >= LEAST_TOKENS * count
+        limit.burst >= MIN_SHARE_BURST * count
     };
     (2..=most).rev().find(enough).unwrap_or(1)
 }
--- a/lib/src/team_state.rs
+++ b/lib/src/team_state.rs
@@ -1,4 +1,4 @@
-//! The teams in the replicated state of direct dispatch.
+//! Teams in the replicated state of direct dispatch.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,22 +12,22 @@
 use crate::team_directory::TeamUpdate;
 use crate::team_manifest::TeamManifest;
 
-/// Holds the teams, and when each was changed last.
+/// The teams, and the log index at which each was last changed.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub(crate) struct TeamState {
     manifest: Option<TeamManifest>,
     stamps: BTreeMap<TeamName, Revision>,
-    /// When anything of them was changed last.
+    /// Log index of the last change of any team or public route.
     changed: Revision,
 }
 
 impl TeamState {
-    /// Returns the teams; nothing if requests need no key.
+    /// Returns the teams; `None` if requests need no key.
     pub const fn manifest(&self) -> Option<&TeamManifest> {
         self.manifest.as_ref()
     }
 
-    /// Takes other teams over; returns those that are gone.
+    /// Replaces the teams at log index `index`; returns the teams that were removed.
     pub fn accept(&mut self, index: Revision, manifest: Option<TeamManifest>) -> Vec<TeamName> {
         let before = std::mem::replace(&mut self.manifest, manifest).unwrap_or_default();
         let none = BTreeMap::new();
@@ -37,7 +37,8 @@
         restamp(index, &mut self.stamps, &before.teams, now)
     }
 
-    /// Returns what changed after `since`, if anything did.
+    /// Returns the update for an entry VM that knows the teams as of `since`, or `None` if nothing
+    /// changed since then.
     pub fn update_from(&self, since: Revision) -> Option<TeamUpdate> {
         if self.changed <= since {
             return None;
--- a/lib/src/team_tally.rs
+++ b/lib/src/team_tally.rs
@@ -1,4 +1,4 @@
-//! What became of the requests of teams, by log lines.
+//! Counts of teams' requests by outcome, computed from log lines.
 
 use std::collections::BTreeMap;
 
@@ -6,27 +6,27 @@
 
 use crate::log_chain::LogLine;
 
-/// Counts the requests of one team.
+/// Counts of one team's requests.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct TeamTally {
     /// Requests that were answered.
     pub answered: u64,
-    /// Requests whose callers left before.
+    /// Requests whose callers disconnected before the answer.
     pub left: u64,
-    /// Requests that got no answer, by the rule that decided.
+    /// Refused requests, by reason code.
     pub refused: BTreeMap<String, u64>,
 }
 
 impl TeamTally {
-    /// Returns the requests that were asked.
+    /// Returns the total number of requests.
     #[must_use]
     pub fn asked(&self) -> u64 {
         self.answered + self.left + self.refused.values().sum::<u64>()
     }
 }
 
-/// Counts requests by team. Those without one, such as requests whose key is unknown, count under
-/// an empty name.
+/// Counts requests by team. Requests without a team, such as those with an unknown key, are counted
+/// under an empty name.
 #[must_use]
 pub fn tally(lines: &[LogLine]) -> BTreeMap<String, TeamTally> {
     let mut teams: BTreeMap<String, TeamTally> = BTreeMap::new();
--- a/lib/src/ticket.rs
+++ b/lib/src/ticket.rs
@@ -1,8 +1,9 @@
-//! Tickets: who may dispatch an action, and who keeps the second record of it.
+//! Tickets, which name the session that may dispatch an action and the session that keeps the
+//! second record of it.
 //!
-//! A look-up gives the caller a ticket. The caller appends a random part of its own
-//! and sends both as the action's idempotency key, so that each entry VM that gets a
-//! resend learns from the key alone whom to ask.
+//! A look-up gives the caller a ticket. The caller appends a random part of its own and sends both
+//! as the action's idempotency key, so that every entry VM that receives a resend learns from the
+//! key alone which sessions to ask.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -18,53 +19,53 @@
 use crate::id::SessionId;
 use crate::id::VmName;
 
-/// Bound on a ticket's text, in bytes.
+/// Maximum length of a ticket's text, in bytes.
 pub const MAX_TICKET_BYTES: usize = 1_024;
 
-/// Longest life of a ticket, in milliseconds. Processes keep records for as long, and
-/// take a ticket that expires much later for a fault.
+/// Maximum validity of a ticket, in milliseconds. Processes keep records for as long, and reject a
+/// ticket that expires much later as faulty.
 pub const MAX_TICKET_MS: u32 = 10 * 60 * 1_000;
 
 const TAG_BYTES: usize = 16;
 const TAG_CONTEXT: &str = "heatherring 2026 ticket tag v1";
 
-/// Names one life of an entry VM's process.
+/// Identifies one incarnation of an entry VM's process.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct TicketSession {
     /// The session.
     pub session: SessionId,
-    /// The VM, for reports.
+    /// VM of the session, for reports only.
     pub vm: VmName,
 }
 
-/// Holds what a ticket states.
+/// The content of a ticket.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct TicketClaims {
-    /// The service that the ticket was issued for.
+    /// Service that the ticket was issued for.
     pub service: ServiceName,
-    /// The region of both sessions.
+    /// Region of both sessions.
     pub region: RegionName,
-    /// The only session that may dispatch actions of this ticket.
+    /// Only session that may dispatch actions with this ticket.
     pub primary: TicketSession,
-    /// The session that records each action before it is dispatched.
+    /// Session that records each action before it is dispatched.
     pub backup: TicketSession,
-    /// Tells tickets apart; drawn at random by the issuer.
+    /// Distinguishes tickets; chosen at random by the issuer.
     pub nonce: u64,
-    /// When the ticket ends, in milliseconds since the Unix epoch by the issuer's clock.
+    /// Expiry, in milliseconds since the Unix epoch by the issuer's clock.
     pub expires_unix_ms: u64,
 }
 
-/// Holds the key of the integrity tag.
+/// Key of the integrity tag.
 ///
-/// Each process of a deployment derives it from the cluster identity, which isn't a
-/// secret among operators. The tag catches damaged and foreign tickets. Whoever knows
-/// the identity can forge a ticket, which harms only the forger: a forged ticket
-/// names sessions that refuse it or record the forger's own actions.
+/// Each process of a deployment derives it from the cluster identity, which is not a secret among
+/// operators. The tag detects tickets that are damaged or from another deployment. Anyone who knows
+/// the identity can forge a ticket, but this harms only the forger: a forged ticket names sessions
+/// that refuse it or that record the forger's own actions.
 #[derive(Clone, Copy, Debug)]
 pub struct TicketSecret([u8; blake3::KEY_LEN]);
 
 impl TicketSecret {
-    /// Derives the key of a deployment.
+    /// Derives the key of a deployment from its cluster identity.
     #[must_use]
     pub fn derive(cluster: ClusterId) -> Self {
         Self(blake3::derive_key(TAG_CONTEXT, &cluster.0))
@@ -78,30 +79,30 @@
     }
 }
 
-/// Tells why a text is no ticket of this deployment.
+/// Reason why a text is not a ticket of this deployment.
 #[derive(Debug, Snafu)]
 pub enum TicketError {
     /// The text is longer than any ticket.
     #[snafu(display("a ticket has at most {MAX_TICKET_BYTES} bytes"))]
     TooLong,
-    /// The text isn't base64 for URLs.
-    #[snafu(display("a ticket is written in base64 for URLs, without padding"))]
+    /// The text is not unpadded URL-safe base64.
+    #[snafu(display("a ticket is encoded in URL-safe base64 without padding"))]
     Encoding {
-        /// What the decoder said.
+        /// Error of the base64 decoder.
         source: base64::DecodeError,
     },
     /// The tag is missing or wrong: another deployment issued it, or it was damaged.
-    #[snafu(display("the ticket wasn't issued by this deployment, or was damaged"))]
+    #[snafu(display("the ticket was not issued by this deployment, or was damaged"))]
     Tag,
-    /// The content under a right tag doesn't decode.
+    /// The tag is correct, but the content cannot be decoded.
     #[snafu(display("the ticket was issued by another version"))]
     Content {
-        /// What the decoder said.
+        /// Error of the postcard decoder.
         source: postcard::Error,
     },
 }
 
-/// Holds a ticket whose tag was checked or made here.
+/// A ticket whose tag was computed or verified by this process.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Ticket {
     claims: TicketClaims,
@@ -109,11 +110,11 @@
 }
 
 impl Ticket {
-    /// Issues a ticket.
+    /// Creates a ticket with these claims.
     ///
     /// # Panics
     ///
-    /// Never in practice: the claims hold no type that the encoder can refuse.
+    /// Never in practice: the claims contain only types that the encoder supports.
     #[must_use]
     pub fn issue(claims: TicketClaims, secret: &TicketSecret) -> Self {
         let mut content = postcard::to_stdvec(&claims).expect("claims are plain data");
@@ -123,15 +124,15 @@
         Self { claims, text }
     }
 
-    /// Reads a ticket's text and checks its tag.
+    /// Parses a ticket's text and verifies its tag.
     ///
-    /// The verdict depends on the text and the deployment alone, never on a clock or
-    /// a view. So a text that one process refuses is refused by all of them for good,
-    /// which makes such a refusal a proof of "not run".
+    /// The result depends on the text and the deployment only, never on a clock or a view. So a
+    /// text that one process refuses is refused permanently by all of them, which makes such a
+    /// refusal a proof of "not run".
     ///
     /// # Errors
     ///
-    /// Fails if the text is no ticket of the deployment of `secret`.
+    /// Fails if the text is not a ticket of the deployment of `secret`.
     pub fn parse(text: &str, secret: &TicketSecret) -> Result<Self, TicketError> {
         ensure!(text.len() <= MAX_TICKET_BYTES, TooLongSnafu);
         let bytes = URL_SAFE_NO_PAD.decode(text).context(EncodingSnafu)?;
@@ -144,13 +145,13 @@
         Ok(Self { claims, text })
     }
 
-    /// Returns what the ticket states.
+    /// Returns the content of the ticket.
     #[must_use]
     pub const fn claims(&self) -> &TicketClaims {
         &self.claims
     }
 
-    /// Returns the ticket's text.
+    /// Returns the ticket's text, as it is sent to callers.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.text
--- a/lib/src/ticket_issue.rs
+++ b/lib/src/ticket_issue.rs
@@ -1,4 +1,4 @@
-//! Which sessions a new ticket names.
+//! Issuing of tickets: selection of the sessions that a new ticket names.
 
 use crate::action_record::ActionKey;
 use crate::id::ServiceName;
@@ -9,22 +9,23 @@
 use crate::view::ControlView;
 use crate::view::EntrySession;
 
-/// Holds what a look-up brings along for a ticket.
+/// Input to issuing a ticket for a look-up.
 #[derive(Clone, Copy, Debug)]
 pub struct TicketRequest<'a> {
-    /// The service that was looked up.
+    /// Service that was looked up.
     pub service: &'a ServiceName,
-    /// The session that the look-up names.
+    /// Session that the look-up returned.
     pub primary: &'a EntrySession,
-    /// Drawn at random.
+    /// Random number that distinguishes tickets.
     pub nonce: u64,
-    /// The issuer's time, in milliseconds since the Unix epoch.
+    /// Current time by the issuer's clock, in milliseconds since the Unix epoch.
     pub now_unix_ms: u64,
 }
 
-/// Issues a ticket, or none when no second process of the region can record actions.
+/// Issues a ticket. Returns `None` if there is no manifest, the primary is leaving or no other
+/// process of the region can record actions.
 ///
-/// The life of a ticket comes from the manifest.
+/// The validity of the ticket is taken from the manifest.
 #[must_use]
 pub fn issue_ticket(
     view: &ControlView,
@@ -32,28 +33,28 @@
     secret: &TicketSecret,
 ) -> Option<Ticket> {
     let look_ups = &view.manifest.as_ref()?.manifest.look_ups;
-    // Who named it may know a newer view.
+    // The look-up may have used a newer view, so `view` may not contain the session yet.
     let primary = view.sessions.get(&request.primary.id);
     let primary = primary.unwrap_or(request.primary);
     if primary.leaving {
         return None;
     }
     let backup = choose_backup(view, primary, request.nonce)?;
-    let life_ms = u64::from(look_ups.ticket_ms);
+    let validity_ms = u64::from(look_ups.ticket_ms);
     let claims = TicketClaims {
         service: request.service.clone(),
         region: primary.info.region.clone(),
         primary: ticket_session(primary),
         backup: ticket_session(backup),
         nonce: request.nonce,
-        expires_unix_ms: request.now_unix_ms.saturating_add(life_ms),
+        expires_unix_ms: request.now_unix_ms.saturating_add(validity_ms),
     };
     Some(Ticket::issue(claims, secret))
 }
 
-/// Chooses the session that keeps the second record: in another place of the region,
-/// so that losing one place doesn't lose both records; else on another VM of the place.
-/// The nonce spreads tickets over the candidates.
+/// Chooses the session that keeps the second record: in another place of the region, so that the
+/// loss of one place does not lose both records, or else on another VM of the same place. The nonce
+/// spreads tickets over the candidates.
 #[must_use]
 pub fn choose_backup<'a>(
     view: &'a ControlView,
@@ -65,12 +66,12 @@
         !session.leaving && info.region == primary.info.region && info.vm != primary.info.vm
     };
     let candidates: Vec<&EntrySession> = view.sessions.values().filter(in_region).collect();
-    let elsewhere: Vec<&EntrySession> = candidates
+    let other_places: Vec<&EntrySession> = candidates
         .iter()
         .copied()
         .filter(|session| session.info.place != primary.info.place)
         .collect();
-    pick(&elsewhere, nonce).or_else(|| pick(&candidates, nonce))
+    pick(&other_places, nonce).or_else(|| pick(&candidates, nonce))
 }
 
 fn pick<'a>(candidates: &[&'a EntrySession], nonce: u64) -> Option<&'a EntrySession> {
@@ -86,14 +87,14 @@
     }
 }
 
-/// Finds the session that an action is to be sent to, if the view still has it.
+/// Returns the session that an action is sent to, if the view still contains it.
 #[must_use]
 pub fn primary_of<'a>(view: &'a ControlView, key: &ActionKey) -> Option<&'a EntrySession> {
     view.sessions.get(&key.ticket().claims().primary.session)
 }
 
-/// Finds the session that is asked when the primary can't be reached, if the view
-/// still has it.
+/// Returns the session that is queried when the primary is unreachable, if the view still contains
+/// it.
 #[must_use]
 pub fn backup_of<'a>(view: &'a ControlView, key: &ActionKey) -> Option<&'a EntrySession> {
     view.sessions.get(&key.ticket().claims().backup.session)
--- a/lib/src/token_cache.rs
+++ b/lib/src/token_cache.rs
@@ -1,9 +1,9 @@
-//! The tokens of an entry VM for the limits of teams.
+//! An entry VM's tokens for the limits of teams.
 //!
-//! A request of a limited team takes a token from stock, or waits for one of a control replica.
-//! Replicas are asked nearest first; one that has none left, or gives no answer, is left for the
-//! next one. Teams that ask often keep a small stock, which also lasts while no replica is in
-//! reach.
+//! A request of a limited team takes a token from stock, or waits for one from a control replica.
+//! Replicas are asked in order of distance, nearest first; if one has no token left or does not
+//! reply, the next one is asked. For teams with frequent requests a small stock is kept, which also
+//! bridges times when no replica is reachable.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,93 +21,93 @@
 use crate::token_shard::Draw;
 use crate::token_shard::Drawn;
 
-/// Time for which requests are expected to go by the stock.
-const STOCK_FOR: Duration = Duration::from_millis(1_500);
+/// Time for which the stock is to cover the expected requests.
+const STOCK_COVERAGE: Duration = Duration::from_millis(1_500);
 
-/// Tokens of a team that are in stock at most.
-const MOST_STOCK: u32 = 64;
+/// Maximum number of tokens in stock per team.
+const MAX_STOCK: u32 = 64;
 
-/// Time for which a request waits for a token that is yet to gather.
-const PATIENCE: Duration = Duration::from_millis(250);
+/// Maximum time until a token is expected for which a request is made to wait.
+const MAX_ACCRUAL_WAIT: Duration = Duration::from_millis(250);
 
-/// Time for which a request waits in all, however often a replica had none.
-const LONGEST_WAIT: Duration = Duration::from_millis(250);
+/// Maximum total time that a request waits, however many replicas had no token.
+const MAX_WAIT: Duration = Duration::from_millis(250);
 
-/// Time after which a replica that hasn't answered yet seems to be silent; answers from the
+/// Time after which a replica that has not replied yet is treated as slow; replies from the
 /// farthest region take some 0.1 s.
-const SLOW_ANSWER: Duration = Duration::from_millis(150);
+const SLOW_REPLY_AFTER: Duration = Duration::from_millis(150);
 
-/// Refusals a second from which on requests don't wait for tokens to gather: others of the team
-/// take them first.
-const SHORT: f64 = 0.5;
+/// Rate of refusals per second from which on requests do not wait for tokens to accrue: other
+/// requests of the team would take them first.
+const SCARCITY_REFUSALS_PER_S: f64 = 0.5;
 
-/// Least time between two asks for stock.
-const STOCK_EVERY: Duration = Duration::from_millis(200);
+/// Minimum time between two requests for stock.
+const STOCK_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time after which a replica that had too few tokens for the stock is asked again.
+/// Time until stock is requested again after a replica had too few tokens for it.
 const STOCK_PAUSE: Duration = Duration::from_secs(2);
 
-/// Time for which a replica isn't asked that gave no answer, doubled with each further time. A
-/// request loses some tenths of a second to it each time.
-const SILENT_FOR: Duration = Duration::from_secs(1);
+/// Time for which a replica that did not reply is skipped, doubled with each further failure. Each
+/// failure delays a request by some tenths of a second.
+const SILENT_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Longest such time.
-const LONGEST_SILENT: Duration = Duration::from_secs(8);
+/// Maximum time for which such a replica is skipped.
+const MAX_SILENT_BACKOFF: Duration = Duration::from_secs(8);
 
-/// Longest time for which used tokens go unreported.
-const REPORT_WITHIN: Duration = Duration::from_secs(2);
+/// Maximum time for which used tokens are not reported.
+const REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time after which an unused team is forgotten.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(10);
+/// Time after which an unused team is dropped.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// When a caller is told to come back if no replica can be asked.
-const COME_BACK: Duration = Duration::from_millis(500);
+/// Time after which a caller is told to retry if no replica can be asked.
+const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Least time after which a replica without a token is asked again.
-const LEAST_PAUSE: Duration = Duration::from_millis(20);
+/// Minimum time after which a replica without a token is asked again.
+const MIN_PAUSE: Duration = Duration::from_millis(20);
 
-/// Says what becomes of a request.
+/// Decision on a request of a limited team.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitDecision {
-    /// It has its token.
+    /// The request has a token and may run.
     Run,
-    /// The limit is reached.
+    /// The team's limit is reached.
     OverLimit {
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
     /// No replica could be asked.
     Unconfirmed {
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// Holds tokens of teams. `W` stands for a request that waits.
+/// Caches tokens of teams. `W` identifies a waiting request.
 #[derive(Debug)]
 pub struct TokenCache<W> {
-    teams: BTreeMap<TeamName, Purse<W>>,
-    /// Replicas that are asked at the moment.
+    teams: BTreeMap<TeamName, TeamTokens<W>>,
+    /// Replicas with a token request in progress.
     busy: BTreeSet<SocketAddr>,
-    /// Replicas that gave no answer.
-    silent: BTreeMap<SocketAddr, Silent>,
+    /// Replicas that did not reply.
+    silent: BTreeMap<SocketAddr, SilentReplica>,
     advice: RetryAdvice,
 }
 
 #[derive(Debug)]
-struct Purse<W> {
-    /// The limit that `sharing_replicas` share out; nothing once they may be others.
+struct TeamTokens<W> {
+    /// The limit that `sharing_replicas` share; `None` once these may have changed.
     limit: Option<TeamLimit>,
-    /// The replicas that share the limit out, nearest first.
+    /// Replicas that share the limit, nearest first.
     sharing_replicas: Vec<SocketAddr>,
-    /// When those that had no token may have one again.
+    /// When replicas that had no token may have one again.
     ready_at: BTreeMap<SocketAddr, Instant>,
-    /// When stock is asked for again.
+    /// Earliest time of the next request for stock.
     stock_at: Instant,
-    /// Requests without a token, and since when they wait.
+    /// Requests without a token, and the time since which they wait.
     waiting: VecDeque<(W, Instant)>,
-    /// The replicas that are being asked for waiting requests.
-    asked: BTreeMap<SocketAddr, Asked>,
+    /// Replicas that were asked for tokens for waiting requests and have not replied yet.
+    asked: BTreeMap<SocketAddr, PendingDraw>,
     stock: VecDeque<Stock>,
     used: BTreeMap<SocketAddr, Used>,
     demand: RateMeter,
@@ -117,8 +117,8 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
-    /// Requests that wait for the answer.
+struct PendingDraw {
+    /// Number of requests that wait for the reply.
     count: u32,
     since: Instant,
 }
@@ -137,37 +137,37 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Silent {
-    /// How often in a row it gave no answer.
-    times: u32,
-    /// Until when it isn't asked.
+struct SilentReplica {
+    /// Number of consecutive missing replies.
+    failures: u32,
+    /// Time until which it is not asked.
     until: Instant,
 }
 
-impl Silent {
+impl SilentReplica {
     fn next(before: Option<&Self>, now: Instant) -> Self {
-        let times = before.map_or(0, |before| before.times);
-        let doubled = SILENT_FOR * (1 << times.min(8));
+        let failures = before.map_or(0, |before| before.failures);
+        let doubled = SILENT_BACKOFF * (1 << failures.min(8));
         Self {
-            times: times + 1,
-            until: now + doubled.min(LONGEST_SILENT),
+            failures: failures + 1,
+            until: now + doubled.min(MAX_SILENT_BACKOFF),
         }
     }
 }
 
-/// Asks a replica for tokens.
+/// A request to a replica for tokens.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TokenRequest {
     /// The replica.
     pub replica: SocketAddr,
-    /// When it is asked.
+    /// Time of the request.
     pub asked_at: Instant,
-    /// What for.
+    /// Tokens requested, by team.
     pub draws: Vec<Draw>,
 }
 
 impl<W> TokenCache<W> {
-    /// Starts without tokens; `seed` spreads the returns of refused callers.
+    /// Creates a cache without tokens; `seed` randomizes the retry times of refused callers.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -178,9 +178,10 @@
         }
     }
 
-    /// Takes a token for a request of `team`. Where it isn't known who shares its limit out,
-    /// `find_sharing_replicas` says so, nearest first. Returns whom to tell what; `waiter` has to wait if
-    /// it isn't among them.
+    /// Takes a token for a request of `team`. `find_sharing_replicas` returns the replicas that
+    /// share the team's limit, nearest first; it is called if they are not known. Returns the
+    /// decisions that result for this and other waiting requests; if `waiter` is not among them, it
+    /// has to wait.
     pub fn take(
         &mut self,
         now: Instant,
@@ -189,51 +190,52 @@
         find_sharing_replicas: impl FnOnce() -> Vec<SocketAddr>,
         waiter: W,
     ) -> Vec<(W, LimitDecision)> {
-        let purse = self
+        let tokens = self
             .teams
             .entry(team.clone())
-            .or_insert_with(|| Purse::new(now));
-        if purse.limit != Some(*limit) {
-            purse.limit = Some(*limit);
-            purse.follow(find_sharing_replicas());
+            .or_insert_with(|| TeamTokens::new(now));
+        if tokens.limit != Some(*limit) {
+            tokens.limit = Some(*limit);
+            tokens.set_replicas(find_sharing_replicas());
         }
-        purse.last = now;
-        purse.demand.note(now);
-        if purse.spend(now) {
+        tokens.last = now;
+        tokens.demand.note(now);
+        if tokens.take_from_stock(now) {
             return vec![(waiter, LimitDecision::Run)];
         }
-        purse.waiting.push_back((waiter, now));
-        purse.give_up(now, &self.silent, &mut self.advice)
+        tokens.waiting.push_back((waiter, now));
+        tokens.refuse_hopeless(now, &self.silent, &mut self.advice)
     }
 
-    /// Forgets who shares limits out: the replicas have changed.
+    /// Discards which replicas share limits, because the replicas have changed.
     pub fn forget_sharing_replicas(&mut self) {
-        for purse in self.teams.values_mut() {
-            purse.limit = None;
+        for tokens in self.teams.values_mut() {
+            tokens.limit = None;
         }
     }
 
-    /// Returns what replicas are to be asked now. Each must be answered for.
+    /// Returns the token requests that are due. The outcome of each must be passed to
+    /// [`Self::answered`].
     pub fn token_requests(&mut self, now: Instant) -> Vec<TokenRequest> {
         let silent = &self.silent;
-        self.teams.retain(|_, purse| !purse.is_over(now));
+        self.teams.retain(|_, tokens| !tokens.is_idle(now));
         let mut token_requests: BTreeMap<SocketAddr, Vec<Draw>> = BTreeMap::new();
-        for (team, purse) in &mut self.teams {
-            purse.lapse(now);
-            let asked = purse
+        for (team, tokens) in &mut self.teams {
+            tokens.drop_expired(now);
+            let asked = tokens
                 .ready(now, silent)
                 .find(|replica| !self.busy.contains(replica));
             if let Some(replica) = asked
-                && let Some(draw) = purse.draw(now, team, replica)
+                && let Some(draw) = tokens.draw(now, team, replica)
             {
                 token_requests.entry(replica).or_default().push(draw);
             }
         }
-        for (team, purse) in &mut self.teams {
-            let due = purse.unreported(now, |replica| token_requests.contains_key(replica));
+        for (team, tokens) in &mut self.teams {
+            let due = tokens.unreported(now, |replica| token_requests.contains_key(replica));
             for replica in due {
                 if !self.busy.contains(&replica) {
-                    let draw = purse.report_alone(team, replica);
+                    let draw = tokens.report_only(team, replica);
                     token_requests.entry(replica).or_default().push(draw);
                 }
             }
@@ -249,8 +251,8 @@
             .collect()
     }
 
-    /// Takes a replica's answer to `token_request`; nothing if none came in time. Returns whom to
-    /// tell what.
+    /// Applies a replica's reply to `token_request`, or `None` if there was none in time. Returns
+    /// decisions on waiting requests.
     pub fn answered(
         &mut self,
         now: Instant,
@@ -261,35 +263,35 @@
         if answer.is_some() {
             self.silent.remove(&token_request.replica);
         } else {
-            let silent = Silent::next(self.silent.get(&token_request.replica), now);
+            let silent = SilentReplica::next(self.silent.get(&token_request.replica), now);
             self.silent.insert(token_request.replica, silent);
         }
         let is_fresh = now.saturating_duration_since(token_request.asked_at) <= TOKEN_USE_TIMEOUT;
-        let mut told = Vec::new();
+        let mut decisions = Vec::new();
         for draw in &token_request.draws {
-            let Some(purse) = self.teams.get_mut(&draw.team) else {
+            let Some(tokens) = self.teams.get_mut(&draw.team) else {
                 continue;
             };
-            purse.asked.remove(&token_request.replica);
+            tokens.asked.remove(&token_request.replica);
             let drawn = answer.and_then(|answer| answer.iter().find(|d| d.team == draw.team));
             if let Some(drawn) = drawn {
                 let count = if is_fresh { drawn.waiting } else { 0 };
-                told.extend(purse.serve(now, count));
-                purse.take_in(now, token_request, draw, drawn);
+                decisions.extend(tokens.serve(now, count));
+                tokens.apply_drawn(now, token_request, draw, drawn);
             } else if answer.is_some() {
-                // It doesn't know the team yet.
-                let ready_at = now + SILENT_FOR;
-                purse.ready_at.insert(token_request.replica, ready_at);
+                // The replica does not know the team yet.
+                let ready_at = now + SILENT_BACKOFF;
+                tokens.ready_at.insert(token_request.replica, ready_at);
             } else {
-                purse.wait_anew(now);
+                tokens.restart_waits(now);
             }
-            told.extend(purse.give_up(now, &self.silent, &mut self.advice));
+            decisions.extend(tokens.refuse_hopeless(now, &self.silent, &mut self.advice));
         }
-        told
+        decisions
     }
 
-    /// Returns when [`Self::token_requests`] is to be asked again at the latest; nothing while no team
-    /// has asked lately.
+    /// Returns the latest time at which [`Self::token_requests`] must be called again; `None` while
+    /// there is no team in the cache.
     #[must_use]
     pub fn next_poll_at(&self, now: Instant) -> Option<Instant> {
         if self.teams.is_empty() {
@@ -298,15 +300,15 @@
         let waiting = self
             .teams
             .values()
-            .filter(|purse| !purse.waiting.is_empty());
-        let ready = waiting.flat_map(|purse| purse.ready_at.values());
+            .filter(|tokens| !tokens.waiting.is_empty());
+        let ready = waiting.flat_map(|tokens| tokens.ready_at.values());
         let ready = ready.filter(|at| **at > now).min();
-        let report = now + REPORT_WITHIN;
-        Some(ready.map_or(report, |at| report.min(*at)))
+        let report_at = now + REPORT_INTERVAL;
+        Some(ready.map_or(report_at, |at| report_at.min(*at)))
     }
 }
 
-impl<W> Purse<W> {
+impl<W> TeamTokens<W> {
     fn new(now: Instant) -> Self {
         Self {
             limit: None,
@@ -324,16 +326,16 @@
         }
     }
 
-    fn follow(&mut self, sharing_replicas: Vec<SocketAddr>) {
+    fn set_replicas(&mut self, sharing_replicas: Vec<SocketAddr>) {
         if self.sharing_replicas != sharing_replicas {
             self.sharing_replicas = sharing_replicas;
             self.ready_at.clear();
         }
     }
 
-    /// Uses a token of the stock, if there is one.
-    fn spend(&mut self, now: Instant) -> bool {
-        self.lapse(now);
+    /// Takes a token from stock, if there is one.
+    fn take_from_stock(&mut self, now: Instant) -> bool {
+        self.drop_expired(now);
         let Some(stock) = self.stock.front_mut() else {
             return false;
         };
@@ -356,8 +358,8 @@
         used.count += count;
     }
 
-    /// Drops tokens that were held for too long.
-    fn lapse(&mut self, now: Instant) {
+    /// Drops tokens that were in stock for longer than [`STOCK_TTL`].
+    fn drop_expired(&mut self, now: Instant) {
         while let Some(stock) = self.stock.front().copied()
             && stock.until <= now
         {
@@ -370,16 +372,16 @@
     fn ready(
         &self,
         now: Instant,
-        silent: &BTreeMap<SocketAddr, Silent>,
+        silent: &BTreeMap<SocketAddr, SilentReplica>,
     ) -> impl Iterator<Item = SocketAddr> {
         let is_ready = move |replica: &&SocketAddr| {
             let ready_at = self.ready_at.get(*replica);
-            is_awake(now, silent, replica) && ready_at.is_none_or(|at| *at <= now)
+            is_available(now, silent, replica) && ready_at.is_none_or(|at| *at <= now)
         };
         self.sharing_replicas.iter().filter(is_ready).copied()
     }
 
-    /// Returns what to ask `replica` for, if anything.
+    /// Returns the tokens to request from `replica`, or `None` if none are needed.
     fn draw(&mut self, now: Instant, team: &TeamName, replica: SocketAddr) -> Option<Draw> {
         let waiting = u32::try_from(self.waiting.len()).unwrap_or(u32::MAX);
         let asked: u32 = self.asked.values().map(|asked| asked.count).sum();
@@ -387,60 +389,60 @@
         let stock = if self.stock_at > now {
             0
         } else {
-            self.wanted(now)
+            self.missing_stock(now)
         };
         if waiting == 0 && stock == 0 {
             return None;
         }
         if waiting > 0 {
-            let asked = Asked {
+            let asked = PendingDraw {
                 count: waiting,
                 since: now,
             };
             self.asked.insert(replica, asked);
         }
-        self.stock_at = self.stock_at.max(now + STOCK_EVERY);
+        self.stock_at = self.stock_at.max(now + STOCK_REQUEST_INTERVAL);
         Some(Draw {
             team: team.clone(),
             waiting,
             stock,
-            used: self.report(replica),
+            used: self.take_report(replica),
         })
     }
 
-    /// Returns the tokens that the stock lacks.
+    /// Returns the number of tokens that the stock lacks.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "clamped to the range of the type"
     )]
-    fn wanted(&mut self, now: Instant) -> u32 {
-        let expected = self.demand.per_second(now) * STOCK_FOR.as_secs_f64();
-        let wanted = expected.clamp(0.0, f64::from(MOST_STOCK)).ceil() as u32;
+    fn missing_stock(&mut self, now: Instant) -> u32 {
+        let expected = self.demand.per_second(now) * STOCK_COVERAGE.as_secs_f64();
+        let wanted = expected.clamp(0.0, f64::from(MAX_STOCK)).ceil() as u32;
         let held: u32 = self.stock.iter().map(|stock| stock.count).sum();
         if 2 * held > wanted { 0 } else { wanted - held }
     }
 
-    /// Returns the replicas to tell what was used: those that haven't heard of it for long, and
-    /// those that are asked anyway.
+    /// Returns the replicas to which used tokens must be reported: those with tokens unreported for
+    /// [`REPORT_INTERVAL`], and those that are asked for tokens anyway.
     fn unreported(&self, now: Instant, is_asked: impl Fn(&SocketAddr) -> bool) -> Vec<SocketAddr> {
         let is_due = |(replica, used): &(&SocketAddr, &Used)| {
-            is_asked(replica) || now.saturating_duration_since(used.since) >= REPORT_WITHIN
+            is_asked(replica) || now.saturating_duration_since(used.since) >= REPORT_INTERVAL
         };
         let due = self.used.iter().filter(is_due);
         due.map(|(replica, _)| *replica).collect()
     }
 
-    fn report_alone(&mut self, team: &TeamName, replica: SocketAddr) -> Draw {
+    fn report_only(&mut self, team: &TeamName, replica: SocketAddr) -> Draw {
         Draw {
             team: team.clone(),
             waiting: 0,
             stock: 0,
-            used: self.report(replica),
+            used: self.take_report(replica),
         }
     }
 
-    fn report(&mut self, replica: SocketAddr) -> u32 {
+    fn take_report(&mut self, replica: SocketAddr) -> u32 {
         self.used.remove(&replica).map_or(0, |used| used.count)
     }
 
@@ -456,8 +458,15 @@
             .collect()
     }
 
-    /// Puts tokens into stock, which may be as old as the question, and notes what lacks.
-    fn take_in(&mut self, now: Instant, token_request: &TokenRequest, draw: &Draw, drawn: &Drawn) {
+    /// Adds tokens to the stock, whose age counts from the request, and delays the next requests if
+    /// the replica had too few.
+    fn apply_drawn(
+        &mut self,
+        now: Instant,
+        token_request: &TokenRequest,
+        draw: &Draw,
+        drawn: &Drawn,
+    ) {
         if drawn.stock > 0 {
             self.stock.push_back(Stock {
                 replica: token_request.replica,
@@ -469,35 +478,38 @@
             self.stock_at = now + STOCK_PAUSE;
         }
         if drawn.waiting < draw.waiting {
-            let pause = drawn.retry_after.max(LEAST_PAUSE);
+            let pause = drawn.retry_after.max(MIN_PAUSE);
             self.ready_at.insert(token_request.replica, now + pause);
         }
     }
 
-    /// Returns whether a replica takes so long that it seems to be silent.
-    fn is_held_up(&self, now: Instant) -> bool {
-        let is_slow = |asked: &Asked| now.saturating_duration_since(asked.since) >= SLOW_ANSWER;
+    /// Returns whether the reply of a replica is overdue.
+    fn has_slow_reply(&self, now: Instant) -> bool {
+        let is_slow =
+            |asked: &PendingDraw| now.saturating_duration_since(asked.since) >= SLOW_REPLY_AFTER;
         self.asked.values().any(is_slow)
     }
 
-    /// Has requests wait on that a replica kept waiting without an answer.
-    fn wait_anew(&mut self, now: Instant) {
+    /// Restarts the waiting time of all waiting requests, because a replica that did not reply
+    /// delayed them.
+    fn restart_waits(&mut self, now: Instant) {
         for (_, since) in &mut self.waiting {
             *since = now;
         }
     }
 
-    /// Refuses what waits in vain: all, if no replica can have a token soon, or else those that
-    /// have waited for long, and as many as there are more than replicas.
-    fn give_up(
+    /// Refuses waiting requests that cannot expect a token: all if no replica can have a token
+    /// soon, otherwise those that have waited too long and those in excess of the number of
+    /// replicas.
+    fn refuse_hopeless(
         &mut self,
         now: Instant,
-        silent: &BTreeMap<SocketAddr, Silent>,
+        silent: &BTreeMap<SocketAddr, SilentReplica>,
         advice: &mut RetryAdvice,
     ) -> Vec<(W, LimitDecision)> {
-        let awake = self.sharing_replicas.iter();
-        let awake = awake.filter(|replica| is_awake(now, silent, replica));
-        let ready_at = awake.map(|replica| self.ready_at.get(replica).copied().unwrap_or(now));
+        let available = self.sharing_replicas.iter();
+        let available = available.filter(|replica| is_available(now, silent, replica));
+        let ready_at = available.map(|replica| self.ready_at.get(replica).copied().unwrap_or(now));
         let Some(ready_at) = ready_at.min() else {
             let waiting = std::mem::take(&mut self.waiting).into_iter();
             return waiting
@@ -507,14 +519,15 @@
         let wait = ready_at.saturating_duration_since(now);
         let may_wait = if wait.is_zero() {
             usize::MAX
-        } else if wait <= PATIENCE && self.refused.per_second(now) < SHORT {
+        } else if wait <= MAX_ACCRUAL_WAIT && self.refused.per_second(now) < SCARCITY_REFUSALS_PER_S
+        {
             self.sharing_replicas.len()
         } else {
             0
         };
-        let is_held_up = self.is_held_up(now);
+        let has_slow_reply = self.has_slow_reply(now);
         let waited =
-            |since: Instant| !is_held_up && now.saturating_duration_since(since) >= LONGEST_WAIT;
+            |since: Instant| !has_slow_reply && now.saturating_duration_since(since) >= MAX_WAIT;
         let mut refused = self.waiting.split_off(may_wait.min(self.waiting.len()));
         while let Some((waiter, since)) = self.waiting.pop_front_if(|(_, since)| waited(*since)) {
             refused.push_back((waiter, since));
@@ -525,8 +538,8 @@
             .collect()
     }
 
-    /// Refuses a request. Those who are refused together are to come back when there are tokens
-    /// for them all, and not together.
+    /// Refuses a request. The retry times are chosen so that there are tokens for all the refused
+    /// requests, and so that these do not return at the same time.
     fn over_limit(
         &mut self,
         now: Instant,
@@ -544,16 +557,20 @@
     fn unconfirmed(&mut self, now: Instant, advice: &mut RetryAdvice) -> LimitDecision {
         self.refused.note(now);
         LimitDecision::Unconfirmed {
-            retry_after: advice.after(COME_BACK, 0.0, 1.0),
+            retry_after: advice.after(UNCONFIRMED_RETRY_AFTER, 0.0, 1.0),
         }
     }
 
-    fn is_over(&self, now: Instant) -> bool {
-        let unused = now.saturating_duration_since(self.last) >= FORGOTTEN_AFTER;
+    fn is_idle(&self, now: Instant) -> bool {
+        let unused = now.saturating_duration_since(self.last) >= IDLE_TIMEOUT;
         unused && self.waiting.is_empty() && self.used.is_empty() && self.stock.is_empty()
     }
 }
 
-fn is_awake(now: Instant, silent: &BTreeMap<SocketAddr, Silent>, replica: &SocketAddr) -> bool {
+fn is_available(
+    now: Instant,
+    silent: &BTreeMap<SocketAddr, SilentReplica>,
+    replica: &SocketAddr,
+) -> bool {
     silent.get(replica).is_none_or(|silent| silent.until <= now)
 }
