--- a/lib/src/affinity.rs
+++ b/lib/src/affinity.rs
@@ -1,9 +1,9 @@
 //! Rendezvous hashing: which backend server is the home of an object.
 //!
 //! Every entry VM computes the same ranking of backend servers for an object, without any
-//! communication. When a backend server joins or leaves, only the objects that it ranks first
-//! for move. Requests for one object therefore reach a backend server that already has its data
-//! cached.
+//! communication. When a backend server joins or leaves, only the objects move for which it
+//! ranks first. Requests for one object therefore arrive at a backend server that already has
+//! its data cached.
 
 /// Hash of an object that requests refer to.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
--- a/lib/src/backend_registry.rs
+++ b/lib/src/backend_registry.rs
@@ -105,7 +105,7 @@
     }
 
     /// Applies an announcement; `slots` is the number of slots credited to the server.
-    /// `new_is_warm` tells that a server not known yet has already served a previous owner.
+    /// `new_is_warm` means that a server not known yet has already served a previous owner.
     ///
     /// Returns whether the server has just stopped accepting new work.
     pub fn announce(
--- a/lib/src/cold_tracker.rs
+++ b/lib/src/cold_tracker.rs
@@ -76,7 +76,7 @@
 
     /// Returns when the next queries are due; always later than `now`.
     ///
-    /// A place without any reachable backend server is queried no more. Its due time lies in
+    /// A place without any reachable backend server is not queried again. Its due time lies in
     /// the past and is ignored, since otherwise the querying task would never sleep.
     #[must_use]
     pub fn next_due(&self, now: Instant) -> Instant {
--- a/lib/src/warm_up.rs
+++ b/lib/src/warm_up.rs
@@ -67,7 +67,7 @@
     /// Returns whether one more request from `origin` may run in addition to those already
     /// running.
     ///
-    /// `new_is_warm` tells that an unknown origin counts as warm, as just after a change of
+    /// `new_is_warm` means that an unknown origin counts as warm, as just after a change of
     /// owner: the previous owner has already served it.
     pub fn admits(
         &mut self,
--- a/lib/tests/test_direct_dispatch.rs
+++ b/lib/tests/test_direct_dispatch.rs
@@ -276,7 +276,7 @@
     );
     assert!(
         full.len() < 400,
-        "all requests refused: a recovery of the link can't be detected"
+        "all requests refused: a recovery of the link cannot be detected"
     );
     // Other entry VMs have capacity. A caller that returns soon may still be served in time,
     // and callers refused together do not return together.
