--- a/lib/src/link_congestion.rs
+++ b/lib/src/link_congestion.rs
@@ -41,8 +41,8 @@
 
 /// Round-trip queueing delay from which the link counts as congested. With a new
 /// connection, a request crosses the link six times until its caller has the answer,
-/// three times as often as the connection alone: a quarter of a second, up to half of a
-/// typical latency objective.
+/// three times as often as the connection alone. That adds a quarter of a second, which
+/// is up to half of a typical latency objective.
 const CONGESTED_DELAY: Duration = Duration::from_millis(80);
 
 /// Factors by which the window changes at each evaluation. It shrinks faster than it
--- a/lib/src/steering.rs
+++ b/lib/src/steering.rs
@@ -91,7 +91,8 @@
     tier: Tier,
     pressure: f64,
     refusal_pressure: f64,
-    /// Random sort key within a tier, biased by the number of free slots.
+    /// Number of slots that are likely free; when the candidates are sorted, a random key
+    /// that is biased by it.
     weight: f64,
 }
 
--- a/lib/src/usage_window.rs
+++ b/lib/src/usage_window.rs
@@ -121,7 +121,7 @@
         self.sum
     }
 
-    /// Returns the usage in the window by age, at a resolution of [`REPORT_STEP`].
+    /// Returns the usage in the window by age, at a resolution of `REPORT_STEP`.
     pub fn recent_use(&mut self, now: Instant) -> Vec<RecentUse> {
         self.expire(now);
         let mut reported: Vec<RecentUse> = Vec::new();
