--- a/lib/tests/test_raft_damaged_messages.rs
+++ b/lib/tests/test_raft_damaged_messages.rs
@@ -1,4 +1,4 @@
-//! Messages that no correct replica sends.
+//! Fuzz test of Raft with messages that no correct replica sends.
 
 mod raft_network;
 
@@ -53,23 +53,25 @@
             any::<u32>()
         )
             .prop_map(
-                |(index, term, entries, commit, barrier, answer, contact_ms)| MessageKind::Append {
-                    previous_index: Revision(index),
-                    previous_term: Term(term),
-                    entries,
-                    commit: Revision(commit),
-                    barrier,
-                    answer,
-                    contact_ms,
+                |(index, term, entries, commit, barrier, reply_number, contact_ms)| {
+                    MessageKind::Append {
+                        previous_index: Revision(index),
+                        previous_term: Term(term),
+                        entries,
+                        commit: Revision(commit),
+                        barrier,
+                        reply_number,
+                        contact_ms,
+                    }
                 }
             ),
         (any::<bool>(), number(), number(), number()).prop_map(
-            |(matched, index, barrier, answer)| {
+            |(matched, index, barrier, reply_number)| {
                 MessageKind::AppendReply {
                     matched,
                     index: Revision(index),
                     barrier,
-                    answer,
+                    reply_number,
                 }
             }
         ),
@@ -95,9 +97,9 @@
 
 #[test]
 fn test_raft_damaged_messages_end_no_process() {
-    // Symptom: one replica with a fault takes the others down.
-    // Sequence: messages of the right form arrive with contents that don't fit.
-    // Cause: trusting numbers in a message.
+    // Symptom: a faulty replica crashes the others.
+    // Sequence: well-formed messages arrive with inconsistent contents.
+    // Cause: using numbers from a message without validation.
     let config = Config {
         cases: CASES,
         failure_persistence: None,
--- a/lib/tests/test_raft_simulation.rs
+++ b/lib/tests/test_raft_simulation.rs
@@ -1,7 +1,7 @@
-//! Random faults against the agreement, with its invariants checked after each step.
+//! Simulation of Raft under random faults, with its invariants checked after each step.
 //!
-//! The seed is fixed, so that every run gives the same verdict. `HEATHERRING_SEED`
-//! takes another one and `HEATHERRING_CASES` runs more cases.
+//! The seed is fixed, so that every run gives the same result. `HEATHERRING_SEED` sets
+//! another seed, `HEATHERRING_CASES` the number of cases.
 
 mod raft_network;
 
@@ -24,26 +24,26 @@
 
 use self::raft_network::ELECTION_MAX;
 use self::raft_network::Network;
-use self::raft_network::Weather;
+use self::raft_network::NetworkConditions;
 use self::raft_network::id;
 
 const DEFAULT_SEED: u64 = 20_260;
 const DEFAULT_CASES: u32 = 96;
 const MAX_REPLICAS: usize = 10;
 
-/// Names one fault or request. Numbers choose among the replicas that there are.
+/// A fault or request. A `u8` selects one of the existing replicas, modulo their number.
 #[derive(Clone, Debug)]
 enum Event {
     Propose(u8),
     Read(u8),
     Crash(u8),
     Restart(u8),
-    Bounce(u8),
+    CrashAndRestart(u8),
     PowerLoss,
     CutOneWay(u8, u8),
     Isolate(u8),
     Heal,
-    Storm(Weather),
+    Degrade(NetworkConditions),
     Freeze(u8, u16),
     Compact(u8),
     StepDown,
@@ -52,15 +52,15 @@
     Remove(u8),
 }
 
-/// Holds a run and the repairs that an operator still has to make.
+/// A simulation run with the membership changes that an operator still has to request.
 struct Simulation {
     network: Network,
-    /// New replicas that aren't members yet, with what they replace.
+    /// New replicas that may not be members yet, each with the replica that it replaces.
     joining: Vec<(ReplicaId, Option<ReplicaId>)>,
     next_number: u64,
 }
 
-/// Counts what the cases did, to show that they did something.
+/// Totals over all cases, printed to show how much they exercised.
 #[derive(Debug, Default)]
 struct Totals {
     steps: u64,
@@ -87,12 +87,12 @@
         6 => pick().prop_map(Event::Read),
         3 => pick().prop_map(Event::Crash),
         4 => pick().prop_map(Event::Restart),
-        2 => pick().prop_map(Event::Bounce),
+        2 => pick().prop_map(Event::CrashAndRestart),
         2 => prop::strategy::Just(Event::PowerLoss),
         3 => (pick(), pick()).prop_map(|(from, to)| Event::CutOneWay(from, to)),
         2 => pick().prop_map(Event::Isolate),
         2 => prop::strategy::Just(Event::Heal),
-        2 => storm().prop_map(Event::Storm),
+        2 => degraded_network().prop_map(Event::Degrade),
         2 => (pick(), 0..1_500_u16).prop_map(|(node, ms)| Event::Freeze(node, ms)),
         2 => pick().prop_map(Event::Compact),
         1 => prop::strategy::Just(Event::StepDown),
@@ -102,12 +102,14 @@
     ]
 }
 
-fn storm() -> impl Strategy<Value = Weather> {
-    (0..30_u8, 0..20_u8, 1..100_u64, 0..100_u64).prop_map(|(loss, doubled, delay, sync)| Weather {
-        loss,
-        doubled,
-        max_delay_ms: delay,
-        max_sync_ms: sync,
+fn degraded_network() -> impl Strategy<Value = NetworkConditions> {
+    (0..30_u8, 0..20_u8, 1..100_u64, 0..100_u64).prop_map(|(loss, duplicated, delay, sync)| {
+        NetworkConditions {
+            loss,
+            duplicated,
+            max_delay_ms: delay,
+            max_sync_ms: sync,
+        }
     })
 }
 
@@ -142,7 +144,7 @@
             }
             Event::Crash(node) => self.network.crash(self.pick(*node)),
             Event::Restart(node) => self.network.restart(self.pick(*node)),
-            Event::Bounce(node) => {
+            Event::CrashAndRestart(node) => {
                 let node = self.pick(*node);
                 self.network.crash(node);
                 self.network.restart(node);
@@ -151,7 +153,7 @@
             Event::CutOneWay(from, to) => self.network.cut(self.pick(*from), self.pick(*to)),
             Event::Isolate(node) => self.network.isolate(self.pick(*node)),
             Event::Heal => self.network.heal(),
-            Event::Storm(weather) => self.network.weather = *weather,
+            Event::Degrade(conditions) => self.network.conditions = *conditions,
             Event::Freeze(node, ms) => {
                 let span = Duration::from_millis(u64::from(*ms));
                 self.network.freeze(self.pick(*node), span);
@@ -169,16 +171,16 @@
         self.request_joins();
     }
 
-    /// Loses a voter's disk, unless an earlier loss isn't repaired everywhere yet: a
-    /// second loss before the repair is done takes committed entries with it.
+    /// Loses a replica's disk, unless the repair of an earlier loss has not reached all
+    /// replicas: a second loss before that may lose committed entries.
     fn lose_disk(&mut self, victim: ReplicaId) {
-        let lost = |replica: &ReplicaId| self.network.nodes[replica].lost;
-        let disks = self.network.nodes.values().filter(|node| !node.lost);
+        let disk_lost = |replica: &ReplicaId| self.network.nodes[replica].disk_lost;
+        let disks = self.network.nodes.values().filter(|node| !node.disk_lost);
         let repaired = disks.map(|node| node.disk.membership()).all(|membership| {
-            membership.voters.len() >= 3 && !membership.voters.keys().any(lost)
+            membership.voters.len() >= 3 && !membership.voters.keys().any(disk_lost)
                 || membership.voters.is_empty()
         });
-        if repaired && !lost(&victim) && self.has_room() {
+        if repaired && !disk_lost(&victim) && self.has_room() {
             self.network.lose_disk(victim);
             self.add(Some(victim));
         }
@@ -197,8 +199,8 @@
         }
     }
 
-    /// Asks for a removal, unless it could leave two voters: if one of these loses its
-    /// disk at the same moment, there is no quorum any more, whatever the protocol.
+    /// Requests a removal, unless it could leave two voters: if one of them lost its disk at
+    /// the same time, there would be no quorum, whatever the protocol.
     fn remove(&mut self, replica: ReplicaId) {
         if self.network.voters().len() > 3
             && let Some(leader) = self.network.leader()
@@ -208,15 +210,15 @@
         }
     }
 
-    /// Asks the leader to take in the replicas that aren't members yet, as an operator
-    /// repeats a command that wasn't answered.
+    /// Asks the leader to add the replicas that are not members yet, as an operator repeats a
+    /// command that was not answered.
     fn request_joins(&mut self) {
         let Some(leader) = self.network.leader() else {
             return;
         };
         let membership = self.network.raft(leader).membership().clone();
         for (joining, replaces) in self.joining.clone() {
-            if membership.contains(joining) || self.network.nodes[&joining].lost {
+            if membership.contains(joining) || self.network.nodes[&joining].disk_lost {
                 continue;
             }
             let change = MembershipChange::AddLearner {
@@ -228,7 +230,7 @@
         }
     }
 
-    /// Ends all faults and checks that the replicas agree again.
+    /// Ends all faults and checks that all members apply all entries again.
     fn recover(&mut self) {
         self.network.heal();
         self.network.run(Duration::from_millis(1_500));
@@ -240,13 +242,13 @@
         self.network.run(ELECTION_MAX * 2);
         let last = self.network.commit_one();
         self.network
-            .run_until("all members have all entries", |network| {
+            .run_until("all members have applied all entries", |network| {
                 let Some(leader) = network.leader() else {
                     return false;
                 };
                 let membership = network.raft(leader).membership().clone();
-                let mut members = membership.ids().filter(|id| !network.nodes[id].lost);
-                members.all(|id| network.nodes[&id].machine.applied >= last)
+                let mut members = membership.ids().filter(|id| !network.nodes[id].disk_lost);
+                members.all(|id| network.nodes[&id].state_machine.applied >= last)
             });
     }
 }
@@ -289,62 +291,62 @@
     }
 }
 
-/// Tells how a leader goes.
+/// How a leader stops.
 #[derive(Clone, Copy, Debug)]
-enum Farewell {
-    Death,
+enum LeaderExit {
+    Crash,
     PlannedStop,
 }
 
-impl Farewell {
-    fn say(self, network: &mut Network, leader: ReplicaId) {
+impl LeaderExit {
+    fn apply_to(self, network: &mut Network, leader: ReplicaId) {
         match self {
-            Self::Death => network.crash(leader),
+            Self::Crash => network.crash(leader),
             Self::PlannedStop => network.step(leader, Input::StepDown),
         }
     }
 }
 
-/// Returns how long nothing can be committed when the leader goes, and how many
-/// elections were won until then.
-fn outage(seed: u64, farewell: Farewell, weather: Weather) -> (Duration, u64) {
+/// Returns how long nothing can be committed when the leader stops, and how many elections
+/// were won meanwhile.
+fn outage(seed: u64, exit: LeaderExit, conditions: NetworkConditions) -> (Duration, u64) {
     let mut network = Network::with_voters(seed, 3);
-    network.weather = weather;
+    network.conditions = conditions;
     network.run(ELECTION_MAX * (2 + u32::try_from(seed % 3).unwrap()));
     network.commit_one();
     let leader = network.leader().unwrap();
     let elections = network.checker.elections;
-    let left_at = network.elapsed();
-    let mut ask_at = left_at;
+    let exit_at = network.elapsed();
+    let mut next_request_at = exit_at;
     network.run_until("another replica leads", |network| {
-        if network.elapsed() >= ask_at {
-            // A hand-over whose messages are lost is given up; the shell asks again.
-            ask_at = network.elapsed() + ELECTION_MAX;
-            farewell.say(network, leader);
+        if network.elapsed() >= next_request_at {
+            // A handover is given up if its messages are lost, and the driver requests it again.
+            next_request_at = network.elapsed() + ELECTION_MAX;
+            exit.apply_to(network, leader);
         }
         network.leader().is_some_and(|other| other != leader)
     });
     network.commit_one();
     let won = network.checker.elections - elections;
-    (network.elapsed().saturating_sub(left_at), won)
+    (network.elapsed().saturating_sub(exit_at), won)
 }
 
-fn check_outages(farewell: Farewell, longest: Duration) {
+fn check_outages(exit: LeaderExit, longest: Duration) {
     let seeds = u64::from(from_env("HEATHERRING_CASES", DEFAULT_CASES));
-    let rough = Weather {
+    let degraded = NetworkConditions {
         loss: 5,
-        doubled: 5,
+        duplicated: 5,
         max_delay_ms: 60,
         max_sync_ms: 10,
     };
-    for weather in [Weather::CALM, rough] {
-        let outages = (0..seeds).map(|seed| outage(seed, farewell, weather));
+    for conditions in [NetworkConditions::GOOD, degraded] {
+        let outages = (0..seeds).map(|seed| outage(seed, exit, conditions));
         let mut outages: Vec<_> = outages.collect();
         let won: u64 = outages.iter().map(|(_, won)| won).sum();
         outages.sort_unstable();
         let at = |percent: usize| outages[(outages.len() - 1) * percent / 100].0;
         println!(
-            "{farewell:?}, {weather:?}: p50 {:?}, p99 {:?}, max {:?}, {won} elections in {seeds}",
+            "{exit:?}, {conditions:?}: p50 {:?}, p99 {:?}, max {:?}, {won} elections in {seeds}",
             at(50),
             at(99),
             at(100)
@@ -354,17 +356,17 @@
 }
 
 #[test]
-fn test_raft_simulation_leader_death_is_short() {
-    // Symptom: operators wait for long after a leader's death.
-    // Sequence: the leader dies; the others stand for election at the same time again
-    // and again, or a won election is lost at once.
-    // Cause: election timeouts that are too alike or too short for the delays.
-    check_outages(Farewell::Death, ELECTION_MAX * 6);
+fn test_raft_simulation_leader_crash_outage_is_short() {
+    // Symptom: a long outage after a crash of the leader.
+    // Sequence: the leader crashes; the others start elections at the same time repeatedly,
+    // or a new leader is deposed at once.
+    // Cause: election timeouts are too similar, or too short for the network delays.
+    check_outages(LeaderExit::Crash, ELECTION_MAX * 6);
 }
 
 #[test]
-fn test_raft_simulation_planned_stop_is_short() {
-    // Symptom: a planned stop of the leader takes as long as its death.
-    // Cause: leaving the others to find out by themselves.
-    check_outages(Farewell::PlannedStop, ELECTION_MAX * 6);
+fn test_raft_simulation_planned_stop_outage_is_short() {
+    // Symptom: the outage after a planned stop of the leader is as long as after a crash.
+    // Cause: the leader stops without a handover, and the others wait for a timeout.
+    check_outages(LeaderExit::PlannedStop, ELECTION_MAX * 6);
 }
