--- a/lib/src/follow_lag.rs
+++ b/lib/src/follow_lag.rs
@@ -51,7 +51,7 @@
     /// it until now.
     pub in_force_after: Vec<Duration>,
     /// A version that it lacks beyond [`MAX_IN_FORCE_DELAY`]; told once a version.
-    pub behind: Option<LateManifest>,
+    pub late_manifest: Option<LateManifest>,
 }
 
 /// Follows who has applied what.
@@ -123,7 +123,7 @@
         self.asked.insert(vm.clone(), asked);
         LagObservation {
             in_force_after,
-            behind: late.map(|late| LateManifest {
+            late_manifest: late.map(|late| LateManifest {
                 version: late.version,
                 lag: age(late),
             }),
--- a/lib/tests/test_follow_lag.rs
+++ b/lib/tests/test_follow_lag.rs
@@ -39,11 +39,11 @@
 fn in_force_after(ms: &[u64]) -> LagObservation {
     LagObservation {
         in_force_after: ms.iter().copied().map(Duration::from_millis).collect(),
-        behind: None,
+        late_manifest: None,
     }
 }
 
-fn behind(version: u64, ms: u64) -> LateManifest {
+fn late_manifest(version: u64, ms: u64) -> LateManifest {
     LateManifest {
         version: ManifestVersion(version),
         lag: Duration::from_millis(ms),
@@ -77,15 +77,15 @@
     replica.learns(0, 1, 10);
     replica.learns(1_000, 2, 14);
     replica.learns(2_000, 3, 16);
-    assert_eq!(replica.asked(3_400, "entry-1", 12).behind, None);
+    assert_eq!(replica.asked(3_400, "entry-1", 12).late_manifest, None);
     assert_eq!(
-        replica.asked(3_600, "entry-1", 12).behind,
-        Some(behind(2, 2_600))
+        replica.asked(3_600, "entry-1", 12).late_manifest,
+        Some(late_manifest(2, 2_600))
     );
-    assert_eq!(replica.asked(3_800, "entry-1", 12).behind, None);
+    assert_eq!(replica.asked(3_800, "entry-1", 12).late_manifest, None);
     assert_eq!(
-        replica.asked(4_700, "entry-1", 14).behind,
-        Some(behind(3, 2_700))
+        replica.asked(4_700, "entry-1", 14).late_manifest,
+        Some(late_manifest(3, 2_700))
     );
 }
 
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -106,9 +106,9 @@
         for after in shown.in_force_after {
             metric::in_force(after);
         }
-        if let Some(behind) = shown.behind {
+        if let Some(late_manifest) = shown.late_manifest {
             metric::entry_behind();
-            log::warn!(event = "entry_behind", vm = vm.as_str(), version = behind.version.0, lag_ms = whole_ms(behind.lag), applied = applied.0; "an entry VM goes by an older manifest for too long");
+            log::warn!(event = "entry_behind", vm = vm.as_str(), version = late_manifest.version.0, lag_ms = whole_ms(late_manifest.lag), applied = applied.0; "an entry VM goes by an older manifest for too long");
         }
     }
 
