--- a/lib/src/follow_lag.rs
+++ b/lib/src/follow_lag.rs
@@ -1,4 +1,4 @@
-//! How far entry VMs lag behind the manifests that are confirmed, as one replica hears of it.
+//! Measures how far entry VMs lag behind the confirmed manifests, as one control replica sees it.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -12,115 +12,121 @@
 /// Time within which a confirmed manifest should be in force at every entry VM.
 pub const MAX_IN_FORCE_DELAY: Duration = Duration::from_millis(2_500);
 
-/// Manifests whose times are kept.
-const KEPT_MANIFESTS: usize = 64;
+/// Number of manifests whose times are kept.
+const MAX_KNOWN_MANIFESTS: usize = 64;
 
-/// Age at which their times are dropped, and what entry VMs asked.
-const KEPT_FOR: Duration = Duration::from_mins(1);
+/// Age at which the times of manifests and the last requests of entry VMs are dropped.
+const RETENTION: Duration = Duration::from_mins(1);
 
-/// Holds a manifest that a replica learned of.
+/// A manifest and when this replica learned of it.
 #[derive(Clone, Copy, Debug)]
-struct Learned {
+struct KnownManifest {
     version: ManifestVersion,
     revision: Revision,
     at: Instant,
 }
 
-/// Holds what an entry VM said last.
+/// Last request of an entry VM.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct LastRequest {
     at: Instant,
     revision: Revision,
-    /// The last version that it was told of as late.
+    /// Last version that was reported as late for this entry VM.
     late: ManifestVersion,
 }
 
-/// Tells of an entry VM that goes by an older manifest for too long.
+/// A manifest that an entry VM has not applied in time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LateManifest {
-    /// The oldest version that it lacks.
+    /// Oldest version that the entry VM lacks.
     pub version: ManifestVersion,
     /// Time since this replica learned of that version.
     pub lag: Duration,
 }
 
-/// Tells what an entry VM's question shows.
+/// What a request of an entry VM reveals about its lag.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct LagObservation {
-    /// For each version that is newly in force there, the time from when this replica learned of
-    /// it until now.
+    /// For each version newly in force at the entry VM, the time since this replica learned of it.
     pub in_force_after: Vec<Duration>,
     /// A version that it lacks beyond [`MAX_IN_FORCE_DELAY`]; told once a version.
     pub late_manifest: Option<LateManifest>,
 }
 
-/// Follows who has applied what.
+/// Tracks which manifests entry VMs have applied.
 #[derive(Debug, Default)]
 pub struct FollowLag {
-    manifests: VecDeque<Learned>,
-    asked: BTreeMap<VmName, Asked>,
+    manifests: VecDeque<KnownManifest>,
+    last_requests: BTreeMap<VmName, LastRequest>,
 }
 
 impl FollowLag {
-    /// Notes the manifest in force at this replica. `revision` is the revision of the state that
-    /// has it.
+    /// Records the manifest in force at this replica. `revision` is the revision of the state that
+    /// contains it.
     pub fn note_manifest(&mut self, now: Instant, version: ManifestVersion, revision: Revision) {
-        let is_kept = |learned: &Learned| now.saturating_duration_since(learned.at) < KEPT_FOR;
-        while self.manifests.front().is_some_and(|front| !is_kept(front)) {
+        let is_retained =
+            |known: &KnownManifest| now.saturating_duration_since(known.at) < RETENTION;
+        while self
+            .manifests
+            .front()
+            .is_some_and(|front| !is_retained(front))
+        {
             self.manifests.pop_front();
         }
-        let is_known = |learned: &Learned| learned.version >= version;
+        let is_known = |known: &KnownManifest| known.version >= version;
         if self.manifests.back().is_some_and(is_known) {
             return;
         }
-        if self.manifests.len() == KEPT_MANIFESTS {
+        if self.manifests.len() == MAX_KNOWN_MANIFESTS {
             self.manifests.pop_front();
         }
-        self.asked
-            .retain(|_, asked| now.saturating_duration_since(asked.at) < KEPT_FOR);
-        self.manifests.push_back(Learned {
+        self.last_requests
+            .retain(|_, last_request| now.saturating_duration_since(last_request.at) < RETENTION);
+        self.manifests.push_back(KnownManifest {
             version,
             revision,
             at: now,
         });
     }
 
-    /// Takes a question of an entry VM, which has applied everything up to `revision`; 0 if it has
-    /// just started.
+    /// Handles a request of an entry VM that has applied everything up to `revision`, or 0 if it
+    /// has just started.
     pub fn note_request(
         &mut self,
         now: Instant,
         vm: &VmName,
         revision: Revision,
     ) -> LagObservation {
-        let age = |learned: &Learned| now.saturating_duration_since(learned.at);
-        let before = self.asked.get(vm).copied();
-        // One that followed another replica meanwhile may have applied them long ago.
-        let followed = before.filter(|before| {
-            before.revision.0 > 0 && now.saturating_duration_since(before.at) < MAX_IN_FORCE_DELAY
+        let age = |known: &KnownManifest| now.saturating_duration_since(known.at);
+        let previous = self.last_requests.get(vm).copied();
+        // An entry VM that followed another replica in the meantime may have applied them long ago.
+        let followed = previous.filter(|previous| {
+            previous.revision.0 > 0
+                && now.saturating_duration_since(previous.at) < MAX_IN_FORCE_DELAY
         });
-        let in_force_after = followed.map_or_else(Vec::new, |before| {
-            let newly = before.revision.next()..=revision;
+        let in_force_after = followed.map_or_else(Vec::new, |previous| {
+            let newly = previous.revision.next()..=revision;
             let newly = self
                 .manifests
                 .iter()
-                .filter(|learned| newly.contains(&learned.revision));
+                .filter(|known| newly.contains(&known.revision));
             newly.map(age).collect()
         });
-        let told = before.map_or_else(ManifestVersion::default, |before| before.late);
-        let lacked = self
+        let last_reported =
+            previous.map_or_else(ManifestVersion::default, |previous| previous.late);
+        let missing = self
             .manifests
             .iter()
-            .find(|learned| learned.revision > revision);
-        let late = lacked.filter(|lacked| {
-            revision.0 > 0 && lacked.version > told && age(lacked) > MAX_IN_FORCE_DELAY
+            .find(|known| known.revision > revision);
+        let late = missing.filter(|missing| {
+            revision.0 > 0 && missing.version > last_reported && age(missing) > MAX_IN_FORCE_DELAY
         });
-        let asked = Asked {
+        let last_request = LastRequest {
             at: now,
             revision,
-            late: late.map_or(told, |late| late.version),
+            late: late.map_or(last_reported, |late| late.version),
         };
-        self.asked.insert(vm.clone(), asked);
+        self.last_requests.insert(vm.clone(), last_request);
         LagObservation {
             in_force_after,
             late_manifest: late.map(|late| LateManifest {
