--- a/lib/src/follow_lag.rs
+++ b/lib/src/follow_lag.rs
@@ -49,7 +49,8 @@
 pub struct LagObservation {
     /// For each version newly in force at the entry VM, the time since this replica learned of it.
     pub in_force_after: Vec<Duration>,
-    /// A version that it lacks beyond [`MAX_IN_FORCE_DELAY`]; told once a version.
+    /// Version that the entry VM lacks for longer than [`MAX_IN_FORCE_DELAY`]; reported once per
+    /// version.
     pub late_manifest: Option<LateManifest>,
 }
 
--- a/lib/tests/test_follow_lag.rs
+++ b/lib/tests/test_follow_lag.rs
@@ -77,17 +77,23 @@
 #[test]
 fn test_a_late_manifest_is_reported_once_per_version() {
     let mut replica = Replica::new();
-    replica.learns(0, 1, 10);
-    replica.learns(1_000, 2, 14);
-    replica.learns(2_000, 3, 16);
-    assert_eq!(replica.asked(3_400, "entry-1", 12).late_manifest, None);
+    replica.learn_manifest(0, 1, 10);
+    replica.learn_manifest(1_000, 2, 14);
+    replica.learn_manifest(2_000, 3, 16);
+    assert_eq!(
+        replica.handle_request(3_400, "entry-1", 12).late_manifest,
+        None
+    );
     assert_eq!(
-        replica.asked(3_600, "entry-1", 12).late_manifest,
+        replica.handle_request(3_600, "entry-1", 12).late_manifest,
         Some(late_manifest(2, 2_600))
     );
-    assert_eq!(replica.asked(3_800, "entry-1", 12).late_manifest, None);
     assert_eq!(
-        replica.asked(4_700, "entry-1", 14).late_manifest,
+        replica.handle_request(3_800, "entry-1", 12).late_manifest,
+        None
+    );
+    assert_eq!(
+        replica.handle_request(4_700, "entry-1", 14).late_manifest,
         Some(late_manifest(3, 2_700))
     );
 }
