--- a/lib/src/token_shard.rs
+++ b/lib/src/token_shard.rs
@@ -25,7 +25,7 @@
 /// Maximum time after which an entry VM is told to ask again.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Identifies one incarnation of an entry VM's process. TokenBucket that it held are lost with it.
+/// Identifies one incarnation of an entry VM's process. Tokens that it held are lost with it.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Holder {
     /// The entry VM.
@@ -79,7 +79,7 @@
     held: BTreeMap<Holder, Held>,
 }
 
-/// TokenBucket that an entry VM has in stock.
+/// Tokens that an entry VM has in stock.
 #[derive(Clone, Copy, Debug)]
 struct Held {
     count: u32,
--- a/lib/tests/test_action_primary.rs
+++ b/lib/tests/test_action_primary.rs
@@ -1,4 +1,4 @@
-//! Cases of the primary's and the backup's records that random orders hit too seldom.
+//! Cases of the primary's and the backup's records that random orders rarely produce.
 
 #[path = "common/action_sample.rs"]
 mod action_sample;
@@ -53,7 +53,7 @@
     backup
 }
 
-fn asked(random_part: &str, expires_unix_ms: u64) -> ActionQuery {
+fn action_query(random_part: &str, expires_unix_ms: u64) -> ActionQuery {
     query(&key(random_part, expires_unix_ms), b"body")
 }
 
@@ -66,7 +66,7 @@
 }
 
 fn fingerprint(query: &ActionQuery) -> Fingerprint {
-    query.fingerprint.expect("the request was read as a whole")
+    query.fingerprint.expect("the request was read completely")
 }
 
 fn arrive(primary: &mut ActionPrimary, now_ms: u64, query: &ActionQuery) -> Arrival {
@@ -95,31 +95,31 @@
     }
 }
 
-// Symptom: an action runs after its caller was told "not run" because memory was full.
-// Sequence: the store is full of live records, a third key is refused; the records'
-// tickets end and make room; a delayed copy of the refused request arrives.
-// Cause: a refusal for want of memory that isn't remembered.
+// Symptom: an action runs after its caller was told "not run" because the store was full. Sequence:
+// the store is full of records with valid tickets, and a third key is refused; these tickets expire
+// and make room; a delayed copy of the refused request arrives. Cause: a refusal for lack of room
+// that is not remembered.
 #[rstest]
 fn test_action_primary_full_store_refuses_for_good(mut primary: ActionPrimary) {
     for random_part in ["a", "b"] {
-        let slot = run(&mut primary, &asked(random_part, SOON_MS));
+        let slot = run(&mut primary, &action_query(random_part, SOON_MS));
         primary.ended(slot, answer(1)).expect("the run has ended");
     }
-    let refused = asked("c", LATE_MS);
+    let refused = action_query("c", LATE_MS);
     let full = ActionEnd::not_run(NotRunReason::ActionStoreFull);
     expect_end(&arrive(&mut primary, NOW_MS, &refused), &full);
     expect_end(&arrive(&mut primary, SOON_MS, &refused), &full);
-    let newer = asked("d", LATE_MS + 1);
+    let newer = action_query("d", LATE_MS + 1);
     let arrival = arrive(&mut primary, SOON_MS, &newer);
     assert!(matches!(arrival, Arrival::Start { .. }), "{arrival:?}");
 }
 
-// Symptom: callers of a long action wait for nothing.
-// Sequence: the ticket ends and its retention passes while the action runs.
-// Cause: a record under way that goes by age.
+// Symptom: callers of a long-running action get no answer. Sequence: the ticket expires and its
+// retention passes while the action is running. Cause: a record of an action in progress that is
+// dropped by age.
 #[rstest]
 fn test_action_primary_running_record_outlives_its_ticket(mut primary: ActionPrimary) {
-    let long = asked("a", SOON_MS);
+    let long = action_query("a", SOON_MS);
     let slot = run(&mut primary, &long);
     primary.purge(LATE_MS);
     assert!(
@@ -130,8 +130,10 @@
 }
 
 #[rstest]
-fn test_action_primary_expired_answers_as_long_as_found(mut primary: ActionPrimary) {
-    let action = asked("a", SOON_MS);
+fn test_action_primary_expired_ticket_answers_until_the_record_is_dropped(
+    mut primary: ActionPrimary,
+) {
+    let action = action_query("a", SOON_MS);
     let slot = run(&mut primary, &action);
     primary.ended(slot, answer(1)).expect("the run has ended");
     expect_end(&arrive(&mut primary, SOON_MS + 1, &action), &answer(1));
@@ -140,12 +142,11 @@
     expect_end(&arrive(&mut primary, LATE_MS, &action), &expired);
 }
 
-// Symptom: memory grows with the size of answers.
-// Sequence: answers above the bound of the store.
-// Cause: a bound on records that doesn't count bytes.
+// Symptom: memory use grows with the size of answers. Sequence: answers exceed the size limit of
+// the store. Cause: a limit on the number of records that does not count bytes.
 #[rstest]
-fn test_action_primary_answer_beyond_memory_is_told_once(mut primary: ActionPrimary) {
-    let action = asked("a", SOON_MS);
+fn test_action_primary_answer_too_large_for_the_store_is_returned_once(mut primary: ActionPrimary) {
+    let action = action_query("a", SOON_MS);
     let slot = run(&mut primary, &action);
     let ended = primary.ended(slot, answer(101)).expect("the run has ended");
     assert_eq!(ended.end, answer(101));
@@ -156,17 +157,16 @@
 
 #[rstest]
 fn test_action_primary_ticket_ahead_of_clock(mut primary: ActionPrimary) {
-    let far = asked("a", NOW_MS + LIMITS.max_ahead_ms + 1);
+    let far = action_query("a", NOW_MS + LIMITS.max_ahead_ms + 1);
     let ahead = ActionEnd::Unknown(UnknownReason::TicketAheadOfClock);
     expect_end(&arrive(&mut primary, NOW_MS, &far), &ahead);
 }
 
-// Symptom: an action that was refused before it was recorded runs later.
-// Sequence: the process leaves and refuses; a delayed copy arrives.
-// Cause: a refusal without a record.
+// Symptom: an action that was refused before it was recorded runs later. Sequence: the process is
+// leaving and refuses the action; a delayed copy arrives. Cause: a refusal that leaves no record.
 #[rstest]
 fn test_action_primary_early_refusal_is_final(mut primary: ActionPrimary) {
-    let action = asked("a", SOON_MS);
+    let action = action_query("a", SOON_MS);
     let refused = ActionEnd::not_run(NotRunReason::Leaving);
     expect_end(
         &primary.refuse(NOW_MS, &action, NotRunReason::Leaving),
@@ -177,7 +177,7 @@
 
 #[rstest]
 fn test_action_backup_fence_refuses_a_late_intent(mut backup: ActionBackup) {
-    let action = asked("a", SOON_MS);
+    let action = action_query("a", SOON_MS);
     let fenced = ActionEnd::not_run(NotRunReason::KeyFenced);
     assert_eq!(backup.resolve(NOW_MS, &action), fenced);
     let intent = BackupRecord {
@@ -191,20 +191,23 @@
 #[rstest]
 fn test_action_backup_full_of_fences_is_unknown(mut backup: ActionBackup) {
     for random_part in ["a", "b"] {
-        let end = backup.resolve(NOW_MS, &asked(random_part, SOON_MS));
+        let end = backup.resolve(NOW_MS, &action_query(random_part, SOON_MS));
         assert_eq!(end, ActionEnd::not_run(NotRunReason::KeyFenced));
     }
     let full = ActionEnd::Unknown(UnknownReason::ActionStoreFull);
-    assert_eq!(backup.resolve(NOW_MS, &asked("c", SOON_MS)), full);
+    assert_eq!(backup.resolve(NOW_MS, &action_query("c", SOON_MS)), full);
 }
 
-// Symptom: a restarted backup says "not run" of an action that its former life recorded.
-// Sequence: intent recorded, backup restarts with a new session, someone resolves.
-// Cause: a ticket that names a VM rather than one life of its process.
+// Symptom: a restarted backup reports "not run" for an action that its previous incarnation
+// recorded. Sequence: the intent is recorded, the backup restarts with a new session, and a caller
+// resolves the key. Cause: a ticket that names a VM instead of one incarnation of its process.
 #[rstest]
-fn test_action_backup_of_another_life_is_unknown() {
+fn test_action_backup_of_another_incarnation_is_unknown() {
     let mut restarted = ActionBackup::new(LIMITS);
     restarted.add_session(heatherring_lib::id::SessionId(80));
     let unreachable = ActionEnd::Unknown(UnknownReason::RecordsUnreachable);
-    assert_eq!(restarted.resolve(NOW_MS, &asked("a", SOON_MS)), unreachable);
+    assert_eq!(
+        restarted.resolve(NOW_MS, &action_query("a", SOON_MS)),
+        unreachable
+    );
 }
--- a/lib/tests/test_action_record.rs
+++ b/lib/tests/test_action_record.rs
@@ -94,17 +94,16 @@
     })]
 
     #[test]
-    fn test_action_key_any_text_is_no_panic(text in any::<String>()) {
+    fn test_action_key_any_text_does_not_panic(text in any::<String>()) {
         let service = ServiceName::new("claims");
         assert!(ActionKey::parse(&text, &service, &secret()).is_err());
     }
 }
 
-// Symptom: a caller gets the answer to another request.
-// Sequence: two requests whose parts join to the same bytes.
-// Cause: a digest over parts without their lengths.
+// Symptom: a caller gets the answer to another request. Sequence: two requests have parts that
+// concatenate to the same bytes. Cause: a digest over the parts without their lengths.
 #[test]
-fn test_action_fingerprint_parts_dont_run_together() {
+fn test_action_fingerprint_separates_parts() {
     let key = key("a", EXPIRES_MS);
     let of = |path, body| {
         let request = ActionRequest {
@@ -120,9 +119,8 @@
     assert_ne!(query(&key, b"x").fingerprint, query(&key, b"y").fingerprint);
 }
 
-// Symptom: "not run" is told of a request of which a part ran.
-// Sequence: a backend server answers 503 in the middle of its work.
-// Cause: a bare status taken for a refusal.
+// Symptom: "not run" is reported for a request that was partly processed. Sequence: a backend
+// server answers 503 in the middle of its work. Cause: a bare status is treated as a refusal.
 #[test]
 fn test_outcome_bare_503_proves_nothing() {
     assert_eq!(Refusal::of_backend_server(503, None), None);
@@ -137,9 +135,8 @@
     }
 }
 
-// Symptom: an expired ticket starts a second run.
-// Sequence: the wall clock is set back after the record was dropped.
-// Cause: expiry judged by a clock that steps back.
+// Symptom: an action with an expired ticket runs a second time. Sequence: the wall clock is set
+// back after the record was dropped. Cause: expiry is judged by a clock that can go backwards.
 #[test]
 fn test_wall_anchor_reads_the_wall_once() {
     let start = Instant::now();
--- a/lib/tests/test_action_simulation.rs
+++ b/lib/tests/test_action_simulation.rs
@@ -1,9 +1,8 @@
-//! Drives the primary and the backup of actions through loss, delay, duplication,
-//! reordering, crashes and clocks that run apart, and compares what callers are told
-//! with a ledger of what ran.
+//! Simulates the primary and the backup of actions under loss, delay, duplication and reordering of
+//! messages, crashes and clock drift, and compares what callers are told with a ledger of what ran.
 //!
-//! A freeze of a process and a cut of one direction are delays of its messages, which
-//! the order of steps covers.
+//! A frozen process and a one-way partition amount to delays of messages, which the order of the
+//! steps covers.
 
 #[path = "common/action_sample.rs"]
 mod action_sample;
@@ -53,13 +52,13 @@
     }
 }
 
-/// One possible next event.
+/// A possible next event.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    AskPrimary(usize),
-    AskSuccessor(usize),
-    AskBackup(usize),
-    /// A request that was refused before it was read: its key is fenced.
+    SendToPrimary(usize),
+    SendToSuccessor(usize),
+    ResolveAtBackup(usize),
+    /// Resolves the key of a request that was refused before it was read, which fences the key.
     FenceAtBackup(usize),
     FenceAtPrimary(usize),
     Deliver(usize),
@@ -92,7 +91,7 @@
     },
 }
 
-/// Someone who was promised the end of an action under way.
+/// A caller that waits for the end of an action in progress.
 #[derive(Debug)]
 struct Waiter {
     life: u64,
@@ -108,7 +107,7 @@
 }
 
 #[derive(Debug)]
-struct Told {
+struct ReportedEnd {
     query: ActionQuery,
     end: ActionEnd,
 }
@@ -126,13 +125,13 @@
     waiters: Vec<Waiter>,
     permits: Vec<DispatchPermit>,
     running: Vec<Running>,
-    /// What backend servers ran.
+    /// Actions that backend servers ran.
     ledger: Vec<ActionQuery>,
-    told: Vec<Told>,
+    reported: Vec<ReportedEnd>,
 }
 
 fn fingerprint(query: &ActionQuery) -> Fingerprint {
-    query.fingerprint.expect("the request was read as a whole")
+    query.fingerprint.expect("the request was read completely")
 }
 
 fn new_primary(session: SessionId) -> ActionPrimary {
@@ -170,17 +169,17 @@
             permits: Vec::new(),
             running: Vec::new(),
             ledger: Vec::new(),
-            told: Vec::new(),
+            reported: Vec::new(),
         }
     }
 
-    /// Lists what can happen next.
+    /// Lists the steps that are possible now.
     fn enabled(&self) -> Vec<Step> {
         let mut steps = vec![Step::PrimaryTime, Step::BackupTime];
         for request in 0..self.requests.len() {
-            steps.push(Step::AskPrimary(request));
-            steps.push(Step::AskBackup(request));
-            steps.push(Step::AskSuccessor(request));
+            steps.push(Step::SendToPrimary(request));
+            steps.push(Step::ResolveAtBackup(request));
+            steps.push(Step::SendToSuccessor(request));
             steps.push(Step::FenceAtBackup(request));
             steps.push(Step::FenceAtPrimary(request));
         }
@@ -205,11 +204,12 @@
         steps
     }
 
-    /// Lists what can happen next, the steps that bring an action forward more often.
+    /// Lists the steps that are possible now, with those that advance an action repeated to make
+    /// them more likely.
     fn weighted(&self) -> Vec<Step> {
         let weight = |step: &Step| match step {
             Step::Deliver(_) | Step::Run(_) | Step::Answer(_) => 12,
-            Step::AskPrimary(_) | Step::AskBackup(_) => 2,
+            Step::SendToPrimary(_) | Step::ResolveAtBackup(_) => 2,
             _ => 1,
         };
         let repeated = |step: Step| std::iter::repeat_n(step, weight(&step));
@@ -218,15 +218,15 @@
 
     fn apply(&mut self, step: Step) {
         match step {
-            Step::AskPrimary(request) => {
+            Step::SendToPrimary(request) => {
                 let query = self.requests[request].clone();
                 self.packets.push(Packet::Request(query));
             }
-            Step::AskBackup(request) => {
+            Step::ResolveAtBackup(request) => {
                 let query = self.requests[request].clone();
                 self.packets.push(Packet::Resolve(query));
             }
-            Step::AskSuccessor(request) => self.ask_successor(request),
+            Step::SendToSuccessor(request) => self.send_to_successor(request),
             Step::FenceAtBackup(request) => {
                 let query = self.unread(request);
                 self.packets.push(Packet::Resolve(query));
@@ -234,7 +234,7 @@
             Step::FenceAtPrimary(request) => {
                 let query = self.unread(request);
                 let end = self.primary.resolve(self.primary_ms, &query);
-                self.told.push(Told { query, end });
+                self.reported.push(ReportedEnd { query, end });
             }
             Step::Deliver(packet) => {
                 let packet = self.packets.swap_remove(packet);
@@ -256,7 +256,7 @@
             Step::PrimaryTime => self.primary_ms += CLOCK_STEP_MS,
             Step::BackupTime => self.backup_ms += CLOCK_STEP_MS,
             Step::CrashPrimary => self.crash_primary(),
-            // The process that starts in its place has another session.
+            // The restarted process has a new session.
             Step::CrashBackup => self.backup = new_backup(SessionId(80)),
         }
     }
@@ -268,20 +268,20 @@
         }
     }
 
-    fn ask_successor(&mut self, request: usize) {
+    fn send_to_successor(&mut self, request: usize) {
         let query = self.requests[request].clone();
         let arrival = self
             .successor
             .arrive(self.primary_ms, &query.key, fingerprint(&query));
         match arrival {
             Arrival::Start { slot, .. } => {
-                // A successor that believes that it may start has lost the records.
+                // A successor that starts the action does not have its records.
                 if let BackupReply::Dispatch(_) = self.successor.backup_replied(slot, Ok(())) {
                     self.ledger.push(query);
                 }
             }
             Arrival::Wait(_) => {}
-            Arrival::Ended(end) => self.told.push(Told { query, end }),
+            Arrival::Ended(end) => self.reported.push(ReportedEnd { query, end }),
         }
     }
 
@@ -290,7 +290,7 @@
             Packet::Request(query) => self.arrive(query),
             Packet::Resolve(query) => {
                 let end = self.backup.resolve(self.backup_ms, &query);
-                self.told.push(Told { query, end });
+                self.reported.push(ReportedEnd { query, end });
             }
             Packet::Record { life, slot, record } => {
                 let reply = self.backup.record(self.backup_ms, record);
@@ -322,7 +322,7 @@
                 self.waiters.push(Waiter { life, slot, query });
             }
             Arrival::Wait(slot) => self.waiters.push(Waiter { life, slot, query }),
-            Arrival::Ended(end) => self.told.push(Told { query, end }),
+            Arrival::Ended(end) => self.reported.push(ReportedEnd { query, end }),
         }
     }
 
@@ -335,7 +335,7 @@
     fn after_backup(&mut self, slot: ActionSlot, reply: BackupReply) {
         match reply {
             BackupReply::Dispatch(permit) => self.permits.push(permit),
-            BackupReply::Ended(ended) => self.tell(slot, ended),
+            BackupReply::Ended(ended) => self.report_end(slot, ended),
             BackupReply::Stale => {}
         }
     }
@@ -347,7 +347,7 @@
             .waiters
             .iter()
             .find(|waiter| waiter.slot == slot && waiter.life == life);
-        let query = waiter.expect("someone asked for the run").query.clone();
+        let query = waiter.expect("a caller waits for the run").query.clone();
         let run = self.ledger.len();
         self.ledger.push(query);
         self.running.push(Running { life, slot, run });
@@ -367,11 +367,11 @@
 
     fn end(&mut self, slot: ActionSlot, end: ActionEnd) {
         if let Some(ended) = self.primary.ended(slot, end) {
-            self.tell(slot, ended);
+            self.report_end(slot, ended);
         }
     }
 
-    fn tell(&mut self, slot: ActionSlot, ended: Ended) {
+    fn report_end(&mut self, slot: ActionSlot, ended: Ended) {
         let life = self.primary_life;
         self.packets.push(Packet::Record {
             life,
@@ -382,7 +382,7 @@
         for waiter in waiters {
             if waiter.slot == slot && waiter.life == life {
                 let end = ended.end.clone();
-                self.told.push(Told {
+                self.reported.push(ReportedEnd {
                     query: waiter.query,
                     end,
                 });
@@ -392,7 +392,8 @@
         }
     }
 
-    /// The process dies: what it hasn't sent is gone, what it has sent goes on.
+    /// Crashes the primary: messages that it has not sent are lost, those that it has sent are
+    /// still delivered.
     fn crash_primary(&mut self) {
         self.primary = new_primary(SessionId(70));
         self.primary_life += 1;
@@ -400,7 +401,7 @@
         self.waiters.clear();
     }
 
-    /// Delivers everything that is still under way.
+    /// Completes everything that is still in progress.
     fn flush(&mut self) {
         loop {
             let step = if !self.packets.is_empty() {
@@ -423,26 +424,28 @@
                 return Err("a key ran twice".to_owned());
             }
         }
-        self.told.iter().try_for_each(|told| self.check_told(told))
+        self.reported
+            .iter()
+            .try_for_each(|reported| self.check_report(reported))
     }
 
-    fn check_told(&self, told: &Told) -> Result<(), String> {
-        let asked_for = &told.query;
+    fn check_report(&self, reported: &ReportedEnd) -> Result<(), String> {
+        let asked_for = &reported.query;
         let run = self.ledger.iter().position(|run| {
             run.key == asked_for.key
                 && (asked_for.fingerprint.is_none() || run.fingerprint == asked_for.fingerprint)
         });
-        match (&told.end, run) {
+        match (&reported.end, run) {
             (ActionEnd::NotRun(refusal), Some(_)) => Err(format!(
-                "told \"not run\" ({}), but it ran",
+                "reported \"not run\" ({}), but it ran",
                 refusal.reason.as_str()
             )),
             (ActionEnd::Answer(_), _) if asked_for.fingerprint.is_none() => {
-                Err("got an answer without a request".to_owned())
+                Err("returned an answer although the request was not read".to_owned())
             }
-            (ActionEnd::Answer(_), None) => Err("got an answer to something else".to_owned()),
-            (ActionEnd::Answer(_), Some(run)) if told.end != answer_of(run) => {
-                Err("got another answer".to_owned())
+            (ActionEnd::Answer(_), None) => Err("returned an answer to another request".to_owned()),
+            (ActionEnd::Answer(_), Some(run)) if reported.end != answer_of(run) => {
+                Err("returned an answer from another run".to_owned())
             }
             _ => Ok(()),
         }
@@ -481,8 +484,8 @@
             world.apply(step);
         }
         world.flush();
-        for told in &world.told {
-            let count = match told.end {
+        for reported in &world.reported {
+            let count = match reported.end {
                 ActionEnd::Answer(_) => &answers,
                 ActionEnd::NotRun(_) => &not_runs,
                 ActionEnd::Unknown(_) => &unknowns,
@@ -497,7 +500,7 @@
         panic!("{failure}");
     }
     println!(
-        "told {} answers, {} not run, {} unknown",
+        "reported {} answers, {} not run, {} unknown",
         answers.get(),
         not_runs.get(),
         unknowns.get(),
@@ -508,10 +511,9 @@
 macro_rules! seeds {
     ($($name:ident $seed:literal,)*) => {
         $(
-            // Symptom: an action runs twice, or runs after "not run" was told.
-            // Sequence: any order of resends, losses, copies, delays, crashes and
-            // clocks that run apart.
-            // Cause: any rule of the primary, the backup or the store left out.
+            // Symptom: an action runs twice, or runs although its caller was told "not run".
+            // Sequence: any order of resends, losses, duplicates, delays, crashes and clock drift.
+            // Cause: any rule of the primary, the backup or the store is missing.
             #[test]
             fn $name() {
                 run_random($seed);
@@ -526,9 +528,9 @@
     test_action_simulation_seed_3 3,
 }
 
-/// Visits each order of up to `depth` steps of one key that is sent and asked for.
-fn explore(world_of: &dyn Fn() -> World, path: &mut Vec<usize>, depth: usize) -> u64 {
-    let mut world = world_of();
+/// Visits every sequence of `depth` steps for one key that is sent and resolved.
+fn explore(new_world: &dyn Fn() -> World, path: &mut Vec<usize>, depth: usize) -> u64 {
+    let mut world = new_world();
     for &choice in path.iter() {
         let step = useful_steps(&world)[choice];
         world.apply(step);
@@ -544,34 +546,33 @@
     let mut visited = 0;
     for choice in 0..choices {
         path.push(choice);
-        visited += explore(world_of, path, depth);
+        visited += explore(new_world, path, depth);
         path.pop();
     }
     visited
 }
 
-/// Leaves out losing messages, which random runs do, and asking a successor, which
-/// never changes anything.
+/// Returns the possible steps without losing messages, which the random runs cover, and asking a
+/// successor, which never changes anything.
 fn useful_steps(world: &World) -> Vec<Step> {
     let mut steps = world.enabled();
     steps.retain(|step| {
         !matches!(
             step,
-            Step::AskSuccessor(_) | Step::Lose(_) | Step::FenceAtBackup(_)
+            Step::SendToSuccessor(_) | Step::Lose(_) | Step::FenceAtBackup(_)
         )
     });
     steps
 }
 
-// Symptom: an action runs although a caller was told "not run".
-// Sequence: each order of sending, resolving, copies, time-outs, crashes and ends of
-// tickets, up to the depth.
-// Cause: a pair of steps that random runs hit too seldom.
+// Symptom: an action runs although a caller was told "not run". Sequence: every order of sending,
+// resolving, duplicates, time-outs, crashes and ticket expiries, up to the depth. Cause: a
+// combination of steps that random runs rarely produce.
 #[test]
 fn test_action_simulation_every_short_order() {
     let request = query(&key("a", START_MS + TICKET_MS), b"one");
-    let world_of = || World::new(vec![request.clone()]);
-    let visited = explore(&world_of, &mut Vec::new(), 6);
-    println!("{visited} orders");
+    let new_world = || World::new(vec![request.clone()]);
+    let visited = explore(&new_world, &mut Vec::new(), 6);
+    println!("{visited} sequences");
     assert!(visited > 10_000);
 }
--- a/lib/tests/test_client_block_table.rs
+++ b/lib/tests/test_client_block_table.rs
@@ -1,4 +1,4 @@
-//! The table of client blocks against a naive longest-prefix search.
+//! Compares the client block table with a naive longest-prefix search.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -84,7 +84,7 @@
 #[test]
 fn test_client_block_table_joins_neighbours_of_one_place() {
     let table = table(&[("10.0.0.0/9", 1), ("10.128.0.0/9", 1)]);
-    // Before, within and after.
+    // Three ranges: before, within and after the blocks.
     assert_eq!(table.ranges(), 3);
 }
 
@@ -109,7 +109,8 @@
         .map(|client_block| client_block.place.clone())
 }
 
-/// Draws addresses whose bits vary at both ends only, so that blocks nest and touch.
+/// Generates addresses whose bits vary at both ends only, so that blocks are often nested or
+/// adjacent.
 fn v4_address() -> impl Strategy<Value = u32> {
     (0_u32..4, 0_u32..8).prop_map(|(high, low)| (high << 30) | (high << 15) | low)
 }
@@ -131,7 +132,7 @@
     })
 }
 
-/// Draws blocks, each only once, as a checked manifest has them.
+/// Generates distinct blocks, as in a validated manifest.
 fn client_blocks() -> impl Strategy<Value = Vec<ClientBlock>> {
     vec((prop_oneof![v4_block(), v6_block()], 0..PLACES), 0..24).prop_map(|drawn| {
         let by_block: BTreeMap<BlockPrefix, u8> = drawn.into_iter().collect();
@@ -143,7 +144,7 @@
     })
 }
 
-/// Lists the addresses at and next to both ends of every block.
+/// Lists the first and last address of every block and their neighbours.
 fn edges(blocks: &[ClientBlock]) -> Vec<IpAddr> {
     let mut edges = Vec::new();
     for client_block in blocks {
@@ -173,7 +174,7 @@
     fn test_client_block_table_agrees_with_naive_search(blocks in client_blocks()) {
         let table = ClientBlockTable::new(&manifest(blocks.clone()));
         for address in edges(&blocks) {
-            // A mapped address is an IPv4 one to the table and an IPv6 one to the search.
+            // The table treats an IPv4-mapped address as IPv4, the naive search as IPv6.
             if address.to_canonical() != address {
                 continue;
             }
--- a/lib/tests/test_crash_evidence.rs
+++ b/lib/tests/test_crash_evidence.rs
@@ -1,4 +1,5 @@
-//! What an entry VM takes for the end of a backend server, and what for evidence.
+//! Which observations an entry VM treats as the end of a backend server and as evidence against
+//! requests.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -44,7 +45,7 @@
     }
 }
 
-/// A request that was sent while it was known to be watched.
+/// Returns a request that was sent while it was known to be watched.
 fn request(number: u8) -> InFlightRequest {
     let tag = tag(number);
     InFlightRequest { tag, watched: true }
@@ -57,7 +58,7 @@
     }
 }
 
-/// A view in which backend servers 1 to 5 are in `state` since they were `born`.
+/// Returns a view in which backend servers 1 to 5 are in `state`, in the incarnation `born`.
 fn view(state: BackendState, born: u64) -> FleetView {
     let record = BackendRecord {
         service: ServiceName::new("registry"),
@@ -79,8 +80,8 @@
     view(BackendState::Ready, 10)
 }
 
-/// Has backend servers end with a request on each.
-fn end_under(evidence: &mut CrashEvidence, now: Instant, number: u8, lives: &[u32]) {
+/// Ends each of the given backend servers with the request in flight on it.
+fn end_with_request(evidence: &mut CrashEvidence, now: Instant, number: u8, lives: &[u32]) {
     for ended in lives {
         let unanswered = evidence.note_unanswered(now, &ready(), &life(*ended), request(number));
         assert_eq!(unanswered, None);
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn test_evidence_names_all_that_stood_on_a_backend_server() {
+fn test_evidence_lists_all_requests_in_flight_on_a_backend_server() {
     let mut evidence = CrashEvidence::default();
     let now = Instant::now();
     for number in [1, 2, 1] {
@@ -112,7 +113,7 @@
     let mut expected = vec![request(1), request(2)];
     expected.sort();
     assert_eq!(ended.requests, expected);
-    // One that is given up on later stood there too.
+    // A request that is abandoned later was in flight on it as well.
     let late = evidence.note_unanswered(now, &ready(), &life(1), request(4));
     let expected = Ended {
         life: life(1),
@@ -121,14 +122,14 @@
     assert_eq!(late, Some(expected));
 }
 
-/// Symptom: requests that time out at a backend server count as if it had ended under them.
-/// Sequence: it ended once, and was started again under its name. Cause: what ended is remembered
-/// by name.
+/// Symptom: requests that time out at a backend server count as evidence, as if it had ended under
+/// them. Sequence: the backend server ended once and was restarted under its name. Cause: ended
+/// backend servers are remembered by name.
 #[test]
-fn test_evidence_of_an_earlier_end_lapses_once_connections_are_taken() {
+fn test_evidence_of_an_earlier_end_expires_once_connections_are_accepted() {
     let mut evidence = CrashEvidence::default();
     let now = Instant::now();
-    end_under(&mut evidence, now, 1, &[1]);
+    end_with_request(&mut evidence, now, 1, &[1]);
     evidence.note_reachable(now, &life(1));
     let timed_out = evidence.note_unanswered(now, &ready(), &life(1), request(2));
     assert_eq!(timed_out, None);
@@ -152,9 +153,9 @@
 replaced_cases! {
     test_evidence_of_a_ready_backend_server: ready() => false;
     test_evidence_of_an_address_taken_over: view(BackendState::Superseded, 10) => true;
-    test_evidence_of_a_later_life: view(BackendState::Ready, 11) => true;
-    test_evidence_of_one_that_leaves: view(BackendState::Draining, 10) => false;
-    test_evidence_of_one_that_has_left: FleetView::default() => false;
+    test_evidence_of_a_later_incarnation: view(BackendState::Ready, 11) => true;
+    test_evidence_of_a_draining_backend_server: view(BackendState::Draining, 10) => false;
+    test_evidence_of_a_removed_backend_server: FleetView::default() => false;
 }
 
 #[test]
@@ -167,55 +168,58 @@
 }
 
 #[test]
-fn test_evidence_lapses() {
+fn test_evidence_expires() {
     let mut evidence = CrashEvidence::default();
     let now = Instant::now();
     evidence.note_unanswered(now, &ready(), &life(1), request(1));
     let replaced = view(BackendState::Superseded, 10);
     let later = now + Duration::from_secs(15);
     assert_eq!(evidence.apply_incarnations(later, &replaced), []);
-    // An address that takes connections is another process's for a shorter time.
+    // The retention is shorter once the address accepts connections, since another process may have
+    // it.
     evidence.note_unanswered(later, &ready(), &life(2), request(1));
     evidence.note_reachable(later, &life(2));
     let later = later + Duration::from_secs(3);
     assert_eq!(evidence.apply_incarnations(later, &replaced), []);
 }
 
-/// Symptom: without control a request ends one backend server after the other. Sequence: the
-/// entry VM is cut off; the request comes again there. Cause: verdicts are control's alone.
+/// Symptom: while control is unreachable, a request ends one backend server after another.
+/// Sequence: the entry VM is cut off from control, and the request is sent to it repeatedly. Cause:
+/// only control's verdicts are applied.
 #[test]
 fn test_evidence_of_this_entry_vm_counts_without_control() {
     let mut evidence = CrashEvidence::default();
     let now = Instant::now();
-    end_under(&mut evidence, now, 1, &[1, 2]);
+    end_with_request(&mut evidence, now, 1, &[1, 2]);
     assert_eq!(evidence.treatment(&tag(1)), Some(Treatment::Watched));
-    end_under(&mut evidence, now, 1, &[3]);
+    end_with_request(&mut evidence, now, 1, &[3]);
     assert_eq!(evidence.treatment(&tag(1)), Some(Treatment::Quarantined));
 }
 
 #[test]
-fn test_evidence_against_one_acquits_those_that_stood_beside_it() {
+fn test_evidence_against_one_request_exonerates_the_others_in_flight() {
     let mut evidence = CrashEvidence::default();
     let now = Instant::now();
     for number in 1..=2 {
         evidence.note_unanswered(now, &ready(), &life(number), request(2));
-        end_under(&mut evidence, now, 1, &[number]);
+        end_with_request(&mut evidence, now, 1, &[number]);
     }
     assert_eq!(evidence.treatment(&tag(2)), Some(Treatment::Watched));
-    end_under(&mut evidence, now, 1, &[3]);
+    end_with_request(&mut evidence, now, 1, &[3]);
     assert_eq!(evidence.treatment(&tag(1)), Some(Treatment::Quarantined));
     assert_eq!(evidence.treatment(&tag(2)), None);
 }
 
-/// Symptom: a request that ends backend servers goes on. Sequence: another one stood beside it on
-/// all three. Cause: whichever was counted first acquitted the other.
+/// Symptom: a request that crashes backend servers is not quarantined. Sequence: another request
+/// was in flight with it on all three backend servers. Cause: the request that was counted first
+/// exonerated the other.
 #[test]
-fn test_evidence_against_two_alike_acquits_neither() {
+fn test_evidence_against_two_alike_exonerates_neither() {
     let mut evidence = CrashEvidence::default();
     let now = Instant::now();
     for number in 1..=3 {
         evidence.note_unanswered(now, &ready(), &life(number), request(2));
-        end_under(&mut evidence, now, 1, &[number]);
+        end_with_request(&mut evidence, now, 1, &[number]);
     }
     for number in [1, 2] {
         assert_eq!(
@@ -228,7 +232,7 @@
 #[test]
 fn test_evidence_ends_with_controls_verdict() {
     let mut evidence = CrashEvidence::default();
-    end_under(&mut evidence, Instant::now(), 1, &[1, 2, 3]);
+    end_with_request(&mut evidence, Instant::now(), 1, &[1, 2, 3]);
     evidence.apply_verdicts([(content(1), Verdict::Quarantined)].into());
     evidence.apply_verdicts([(content(1), Verdict::Watched)].into());
     assert_eq!(evidence.treatment(&tag(1)), Some(Treatment::Watched));
@@ -237,27 +241,27 @@
 }
 
 #[test]
-fn test_evidence_is_cleared_by_an_answer_and_control_told() {
+fn test_evidence_is_cleared_by_an_answer_and_reported_to_control() {
     let mut evidence = CrashEvidence::default();
     let now = Instant::now();
     assert_eq!(evidence.note_answered(now, &tag(1)), None);
-    end_under(&mut evidence, now, 1, &[1, 2]);
-    let told = evidence.note_answered(now, &tag(1));
-    assert_eq!(told, Some(SuspectNote::Answered(tag(1))));
+    end_with_request(&mut evidence, now, 1, &[1, 2]);
+    let note = evidence.note_answered(now, &tag(1));
+    assert_eq!(note, Some(SuspectNote::Answered(tag(1))));
     assert_eq!(evidence.treatment(&tag(1)), None);
     evidence.apply_verdicts([(content(2), Verdict::Watched)].into());
-    let told = evidence.note_answered(now, &tag(2));
-    assert_eq!(told, Some(SuspectNote::Answered(tag(2))));
+    let note = evidence.note_answered(now, &tag(2));
+    assert_eq!(note, Some(SuspectNote::Answered(tag(2))));
 }
 
 #[test]
-fn test_evidence_that_a_request_still_comes_is_told_now_and_then() {
+fn test_evidence_of_refusals_is_reported_to_control_at_intervals() {
     let mut evidence = CrashEvidence::default();
     let now = Instant::now();
-    let told = Some(SuspectNote::Refused(content(1)));
-    assert_eq!(evidence.note_refused(now, content(1)), told);
+    let note = Some(SuspectNote::Refused(content(1)));
+    assert_eq!(evidence.note_refused(now, content(1)), note);
     let later = now + Duration::from_mins(1);
     assert_eq!(evidence.note_refused(later, content(1)), None);
     let later = now + Duration::from_mins(2);
-    assert_eq!(evidence.note_refused(later, content(1)), told);
+    assert_eq!(evidence.note_refused(later, content(1)), note);
 }
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are found to end backend servers, and which aren't.
+//! Which requests are quarantined for crashing backend servers, and which are not.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -57,7 +57,7 @@
     }
 }
 
-fn stood(number: usize, from: u8, watched: bool) -> InFlightRequest {
+fn in_flight(number: usize, from: u8, watched: bool) -> InFlightRequest {
     let tag = RequestTag {
         content: request(number),
         caller: caller(from),
@@ -70,29 +70,30 @@
     SuspectNote::Ended(Ended { life, requests })
 }
 
-/// A backend server that ended under requests of one caller, sent before any was suspected.
+/// Returns the end of a backend server under requests of one caller that were sent before any was
+/// suspected.
 fn ended(backend: usize, requests: &[usize]) -> SuspectNote {
-    let requests = requests.iter().map(|number| stood(*number, 1, false));
+    let requests = requests.iter().map(|number| in_flight(*number, 1, false));
     note(backend, requests.collect())
 }
 
-/// The same under requests that were known to be watched.
+/// Returns the end of a backend server under requests that were known to be watched.
 fn ended_watched(backend: usize, requests: &[usize]) -> SuspectNote {
-    let requests = requests.iter().map(|number| stood(*number, 1, true));
+    let requests = requests.iter().map(|number| in_flight(*number, 1, true));
     note(backend, requests.collect())
 }
 
-/// The same under request 0 of another caller.
+/// Returns the end of a backend server under request 0 of the caller `from`, known to be watched.
 fn ended_from(backend: usize, from: u8) -> SuspectNote {
-    note(backend, vec![stood(0, from, true)])
+    note(backend, vec![in_flight(0, from, true)])
 }
 
 fn answered(number: usize, from: u8) -> SuspectNote {
-    SuspectNote::Answered(stood(number, from, false).tag)
+    SuspectNote::Answered(in_flight(number, from, false).tag)
 }
 
-/// Takes notes in one after the other.
-fn noted(notes: impl IntoIterator<Item = SuspectNote>) -> Quarantine {
+/// Applies notes one after the other.
+fn state_after(notes: impl IntoIterator<Item = SuspectNote>) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (index, note) in (1..).zip(notes) {
         quarantine.note(Revision(index), &[note]);
@@ -101,10 +102,10 @@
 }
 
 /// Returns how request 0 of each of three callers is treated.
-fn treated(quarantine: &Quarantine) -> [Option<Treatment>; 3] {
+fn treatments(quarantine: &Quarantine) -> [Option<Treatment>; 3] {
     let mut evidence = CrashEvidence::default();
     evidence.apply_verdicts(quarantine.verdicts());
-    [1, 2, 3].map(|from| evidence.treatment(&stood(0, from, false).tag))
+    [1, 2, 3].map(|from| evidence.treatment(&in_flight(0, from, false).tag))
 }
 
 macro_rules! other_request_cases {
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn test_caller_is_the_same_over_both_protocols() {
+fn test_caller_tag_is_the_same_for_a_mapped_address() {
     let mapped = IpAddr::V6(Ipv4Addr::LOCALHOST.to_ipv6_mapped());
     let plain = IpAddr::V4(Ipv4Addr::LOCALHOST);
     assert_eq!(CallerTag::of(&key(), plain), CallerTag::of(&key(), mapped));
@@ -161,7 +162,7 @@
         $(
             #[test]
             fn $name() {
-                assert_eq!(treated(&noted([$($note),*])), $expected);
+                assert_eq!(treatments(&state_after([$($note),*])), $expected);
             }
         )*
     };
@@ -215,33 +216,33 @@
          ended(5, &[0]), ended_watched(6, &[0])] => FIRST;
 }
 
-/// Symptom: callers of a path that half of all ask for are refused for minutes. Sequence: a
-/// failure domain is lost, and the path stood on each of its backend servers. Cause: more than
-/// three ended under it. All ended before anybody could know that it is suspected; the first
-/// answers clear it.
+/// Symptom: callers of a path that accounts for half of all requests are refused for minutes.
+/// Sequence: a failure domain is lost, and the path was in flight on each of its backend servers.
+/// Cause: more than three ended under it. All of them ended before any entry VM could know that it
+/// is suspected; the first answers clear it.
 #[test]
-fn test_quarantine_is_none_for_a_popular_request_on_a_lost_domain() {
+fn test_quarantine_spares_a_popular_request_on_a_lost_domain() {
     let lost = (0..30).map(|number| {
-        let callers = [1, 2, 3].map(|from| stood(0, from, false));
+        let callers = [1, 2, 3].map(|from| in_flight(0, from, false));
         note(number, callers.to_vec())
     });
-    let mut quarantine = noted(lost);
-    assert_eq!(treated(&quarantine), WATCHED);
+    let mut quarantine = state_after(lost);
+    assert_eq!(treatments(&quarantine), WATCHED);
     for number in 0..30_u8 {
         quarantine.note(Revision(99), &[answered(0, number % 3 + 1)]);
     }
-    assert_eq!(treated(&quarantine), FREE);
+    assert_eq!(treatments(&quarantine), FREE);
 }
 
-/// One request that is quarantined.
+/// Returns a state with one quarantined request.
 fn quarantined() -> Quarantine {
-    noted([ended(1, &[0]), ended(2, &[0]), ended_watched(3, &[0])])
+    state_after([ended(1, &[0]), ended(2, &[0]), ended_watched(3, &[0])])
 }
 
-/// What is noted without changing a verdict is no news to hundreds of entry VMs.
+/// A note that changes no verdict must not cause an update to hundreds of entry VMs.
 #[test]
-fn test_quarantine_numbers_changes_of_verdicts_only() {
-    let mut quarantine = noted([ended(1, &[0, 1, 2])]);
+fn test_quarantine_revision_changes_with_verdicts_only() {
+    let mut quarantine = state_after([ended(1, &[0, 1, 2])]);
     assert_eq!(quarantine.revision(), Revision(0));
     quarantine.note(Revision(5), &[ended(2, &[0])]);
     assert_eq!(quarantine.revision(), Revision(5));
@@ -252,11 +253,11 @@
     assert_eq!(quarantine.revision(), Revision(5));
 }
 
-/// Symptom: a quarantine ends by time and the request ends three backend servers again.
-/// Sequence: the caller was away for ten minutes. Cause: what was known of it was forgotten
-/// whole. It is watched first, and one more that ends brings it back.
+/// Symptom: a quarantine ends after a time, and the request crashes three backend servers again.
+/// Sequence: the caller was away for ten minutes. Cause: all evidence was forgotten at once. The
+/// request must be watched first, so that one more end quarantines it again.
 #[test]
-fn test_quarantine_ends_step_by_step_once_the_request_stays_away() {
+fn test_quarantine_ends_step_by_step_without_the_request() {
     let mut quarantine = quarantined();
     let start = Instant::now();
     let mut times = QuarantineTimes::default();
@@ -267,15 +268,15 @@
     assert_eq!(times.due_for_release(start + RELEASE_AFTER), []);
     let due_for_release = times.due_for_release(halfway + RELEASE_AFTER);
     assert_eq!(due_for_release, [(request(0), Revision(4))]);
-    let mut heard_meanwhile = quarantine.clone();
-    heard_meanwhile.note(Revision(5), &[SuspectNote::Refused(request(0))]);
-    heard_meanwhile.release(Revision(6), &due_for_release);
-    assert_eq!(treated(&heard_meanwhile), FIRST);
+    let mut noted_meanwhile = quarantine.clone();
+    noted_meanwhile.note(Revision(5), &[SuspectNote::Refused(request(0))]);
+    noted_meanwhile.release(Revision(6), &due_for_release);
+    assert_eq!(treatments(&noted_meanwhile), FIRST);
     quarantine.release(Revision(5), &due_for_release);
-    assert_eq!(treated(&quarantine), WATCHED);
-    let mut comes_again = quarantine.clone();
-    comes_again.note(Revision(6), &[ended_watched(4, &[0])]);
-    assert_eq!(treated(&comes_again), FIRST);
+    assert_eq!(treatments(&quarantine), WATCHED);
+    let mut sent_again = quarantine.clone();
+    sent_again.note(Revision(6), &[ended_watched(4, &[0])]);
+    assert_eq!(treatments(&sent_again), FIRST);
     quarantine.release(Revision(6), &[(request(0), Revision(5))]);
     assert_eq!(quarantine.suspects().count(), 0);
 }
@@ -284,16 +285,16 @@
 fn test_quarantine_is_lifted_by_an_operator() {
     let mut quarantine = quarantined();
     quarantine.lift(Revision(9), &request(0));
-    assert_eq!(treated(&quarantine), FREE);
+    assert_eq!(treatments(&quarantine), FREE);
     assert_eq!(quarantine.revision(), Revision(9));
 }
 
-/// Symptom: a request that ends backend servers is let through again. Sequence: another caller
-/// sends thousands of different requests that end one each. Cause: the table is full, and what
-/// was noted last pushes out what was noted first.
+/// Symptom: a request that crashes backend servers is forwarded again. Sequence: another caller
+/// sends thousands of different requests that end one backend server each. Cause: the table is
+/// full, and the newest notes displace the oldest.
 #[test]
-fn test_quarantine_is_pushed_out_by_no_flood() {
-    let mut quarantine = noted([
+fn test_quarantine_is_not_displaced_by_a_flood() {
+    let mut quarantine = state_after([
         ended(1, &[0]),
         ended(2, &[0]),
         ended_watched(3, &[0]),
@@ -304,7 +305,7 @@
         let note = ended(number, &[number]);
         quarantine.note(Revision(u64::try_from(number).unwrap()), &[note]);
     }
-    assert_eq!(treated(&quarantine), FIRST);
+    assert_eq!(treatments(&quarantine), FIRST);
     assert_eq!(quarantine.verdict(&request(1)), Some(Verdict::Watched));
     assert!(quarantine.suspects().count() <= 512);
 }
@@ -317,20 +318,20 @@
 /// Backend servers of the model.
 const BACKENDS: u32 = 20;
 
-/// Requests that stand on each of them when it ends.
-const STANDING: usize = 4;
+/// Requests in flight on each of them when it ends.
+const IN_FLIGHT: usize = 4;
 
-/// A model of heavy trouble: three backend servers of twenty end each second, for minutes, and
-/// callers whose requests stood on one repeat them at once, to any other.
+/// Model of an overload of crashes: three of twenty backend servers end each second for minutes,
+/// and callers whose requests were in flight on one resend them immediately to any other.
 struct Model {
     rng: ChaCha8Rng,
     quarantine: Quarantine,
     revision: u64,
     lives: usize,
-    /// Requests that were cut off.
-    cut_off: Vec<usize>,
-    /// Requests that come again and aren't answered yet.
-    again: Vec<usize>,
+    /// Requests whose backend server has ended.
+    interrupted: Vec<usize>,
+    /// Requests that are resent and not answered yet.
+    resent: Vec<usize>,
     next: usize,
     refused: usize,
 }
@@ -342,91 +343,91 @@
             quarantine: Quarantine::default(),
             revision: 0,
             lives: 0,
-            cut_off: Vec::new(),
-            again: Vec::new(),
+            interrupted: Vec::new(),
+            resent: Vec::new(),
             next: 1,
             refused: 0,
         }
     }
 
-    /// Returns the requests that stand on the backend server that ends next: those that come
-    /// again are spread over all, and the rest are new.
-    fn standing(&mut self) -> Vec<usize> {
+    /// Returns the requests in flight on the backend server that ends next: resent requests are
+    /// spread over all backend servers, and the rest are new.
+    fn in_flight_requests(&mut self) -> Vec<usize> {
         let chance = 1.0 / f64::from(BACKENDS);
-        let (mut standing, elsewhere) = (Vec::new(), std::mem::take(&mut self.again));
+        let (mut in_flight_requests, elsewhere) = (Vec::new(), std::mem::take(&mut self.resent));
         for number in elsewhere {
             if self.rng.random_bool(chance) {
-                standing.push(number);
+                in_flight_requests.push(number);
             } else {
-                self.again.push(number);
+                self.resent.push(number);
             }
         }
-        while standing.len() < STANDING {
-            standing.push(self.next);
+        while in_flight_requests.len() < IN_FLIGHT {
+            in_flight_requests.push(self.next);
             self.next += 1;
         }
-        standing
+        in_flight_requests
     }
 
-    /// Ends one backend server. Whoever stood there is sent again at once.
-    fn end_one(&mut self, poison: Option<usize>) {
+    /// Ends one backend server. The requests in flight on it are resent immediately.
+    fn end_backend(&mut self, crasher: Option<usize>) {
         self.lives += 1;
         self.revision += 1;
-        let mut standing = self.standing();
-        standing.retain(|number| {
+        let mut in_flight_requests = self.in_flight_requests();
+        in_flight_requests.retain(|number| {
             let verdict = self.quarantine.verdict(&request(*number));
-            let holds = verdict.is_some_and(|verdict| verdict != Verdict::Watched);
-            self.refused += usize::from(holds);
-            !holds
+            let is_refused = verdict.is_some_and(|verdict| verdict != Verdict::Watched);
+            self.refused += usize::from(is_refused);
+            !is_refused
         });
-        let stood = standing.iter().chain(&poison).map(|number| {
+        let in_flight = in_flight_requests.iter().chain(&crasher).map(|number| {
             let watched = self.quarantine.verdict(&request(*number)).is_some();
-            stood(*number, 1, watched)
+            in_flight(*number, 1, watched)
         });
-        let note = note(self.lives, stood.collect());
+        let note = note(self.lives, in_flight.collect());
         self.quarantine.note(Revision(self.revision), &[note]);
-        self.cut_off.extend(standing);
+        self.interrupted.extend(in_flight_requests);
     }
 
-    /// Lets the third of a second pass until the next one ends. Whoever was cut off is sent again
-    /// at once; two thirds of these requests are answered meanwhile.
-    fn pass(&mut self) {
-        self.again.append(&mut self.cut_off);
-        let (served, again): (Vec<usize>, Vec<usize>) = std::mem::take(&mut self.again)
+    /// Lets the third of a second pass until the next backend server ends. Interrupted requests are
+    /// resent immediately; two thirds of these requests are answered meanwhile.
+    fn advance(&mut self) {
+        self.resent.append(&mut self.interrupted);
+        let (served, resent): (Vec<usize>, Vec<usize>) = std::mem::take(&mut self.resent)
             .into_iter()
             .partition(|_| self.rng.random_ratio(2, 3));
-        self.again = again;
+        self.resent = resent;
         let notes = served.into_iter().map(|number| answered(number, 1));
         let notes: Vec<SuspectNote> = notes.collect();
         self.quarantine.note(Revision(self.revision), &notes);
     }
 }
 
-/// Innocent requests are cut off by hundreds, beside one that does it: it alone is quarantined,
-/// but for one innocent in a thousand at most.
+/// Hundreds of harmless requests are interrupted, together with one that causes the crashes: only
+/// this one is quarantined, apart from at most one harmless request in a thousand.
 #[test]
-fn test_quarantine_of_innocents_is_rare() {
-    let (mut innocents, mut quarantined) = (0, 0);
+fn test_quarantine_of_harmless_requests_is_rare() {
+    let (mut harmless, mut quarantined) = (0, 0);
     for seed in 0..20 {
         let mut model = Model::new(seed);
         for round in 0..600 {
-            let holds = is_quarantined(&model.quarantine, 0);
-            let poison = (round < 8 && !holds).then_some(0);
-            // Now and then a failure domain is lost: a third of all end at once.
+            let is_refused = is_quarantined(&model.quarantine, 0);
+            let crasher = (round < 8 && !is_refused).then_some(0);
+            // At intervals a failure domain is lost: a third of all backend servers end at once.
             let ends = if round % 60 == 30 { BACKENDS / 3 } else { 1 };
             for _ in 0..ends {
-                model.end_one(poison);
+                model.end_backend(crasher);
             }
-            model.pass();
+            model.advance();
         }
         assert!(is_quarantined(&model.quarantine, 0), "{seed}");
-        innocents += model.next;
+        harmless += model.next;
         let held = (1..model.next).filter(|number| is_quarantined(&model.quarantine, *number));
         quarantined += held.count() + model.refused;
     }
-    println!("{quarantined} of {innocents} innocent requests quarantined");
+    println!("{quarantined} of {harmless} harmless requests quarantined");
     assert!(
-        quarantined * 1_000 <= innocents,
-        "{quarantined} of {innocents} innocent requests"
+        quarantined * 1_000 <= harmless,
+        "{quarantined} of {harmless} harmless requests"
     );
 }
--- a/lib/tests/test_team_tokens.rs
+++ b/lib/tests/test_team_tokens.rs
@@ -1,4 +1,4 @@
-//! Limits of teams over all entry VMs: never exceeded, and seldom refused below.
+//! Limits of teams over all entry VMs: never exceeded, and requests below them rarely refused.
 
 mod token_model;
 
@@ -15,8 +15,8 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
+use token_model::Method;
 use token_model::Model;
-use token_model::Way;
 use token_model::team;
 
 const SEED: u64 = 20_261_203;
@@ -25,9 +25,9 @@
     TeamLimit { rate, burst }
 }
 
-/// What happens to the processes.
+/// A disturbance of the processes or of the traffic.
 #[derive(Clone, Debug)]
-enum Trouble {
+enum Fault {
     CutVm {
         vm: usize,
         time: Duration,
@@ -51,46 +51,45 @@
         replica: usize,
     },
     RestartAll,
-    /// All of team 0's callers go to one entry VM.
+    /// All callers of team 0 send to one entry VM.
     Gather {
         vm: usize,
     },
     Spread,
 }
 
-fn any_trouble() -> impl Strategy<Value = (u64, Trouble)> {
+fn any_fault() -> impl Strategy<Value = (u64, Fault)> {
     let time = (100_u64..6_000).prop_map(Duration::from_millis);
     let kind = prop_oneof![
-        (0_usize..64, time.clone()).prop_map(|(vm, time)| Trouble::CutVm { vm, time }),
-        (0_usize..64, time.clone())
-            .prop_map(|(replica, time)| Trouble::CutReplica { replica, time }),
-        (0_usize..64, time.clone()).prop_map(|(vm, time)| Trouble::FreezeVm { vm, time }),
-        (0_usize..64, time).prop_map(|(replica, time)| Trouble::FreezeReplica { replica, time }),
-        (0_usize..64).prop_map(|vm| Trouble::RestartVm { vm }),
-        (0_usize..64).prop_map(|replica| Trouble::RestartReplica { replica }),
-        Just(Trouble::RestartAll),
-        (0_usize..64).prop_map(|vm| Trouble::Gather { vm }),
-        Just(Trouble::Spread),
+        (0_usize..64, time.clone()).prop_map(|(vm, time)| Fault::CutVm { vm, time }),
+        (0_usize..64, time.clone()).prop_map(|(replica, time)| Fault::CutReplica { replica, time }),
+        (0_usize..64, time.clone()).prop_map(|(vm, time)| Fault::FreezeVm { vm, time }),
+        (0_usize..64, time).prop_map(|(replica, time)| Fault::FreezeReplica { replica, time }),
+        (0_usize..64).prop_map(|vm| Fault::RestartVm { vm }),
+        (0_usize..64).prop_map(|replica| Fault::RestartReplica { replica }),
+        Just(Fault::RestartAll),
+        (0_usize..64).prop_map(|vm| Fault::Gather { vm }),
+        Just(Fault::Spread),
     ];
     (0_u64..20_000, kind)
 }
 
-fn apply(model: &mut Model, vms: usize, replicas: usize, trouble: &Trouble) -> Option<usize> {
-    match trouble {
-        Trouble::CutVm { vm, time } => model.cut_vm(vm % vms, *time),
-        Trouble::CutReplica { replica, time } => model.cut_replica(replica % replicas, *time),
-        Trouble::FreezeVm { vm, time } => model.freeze_vm(vm % vms, *time),
-        Trouble::FreezeReplica { replica, time } => {
+fn apply(model: &mut Model, vms: usize, replicas: usize, fault: &Fault) -> Option<usize> {
+    match fault {
+        Fault::CutVm { vm, time } => model.cut_vm(vm % vms, *time),
+        Fault::CutReplica { replica, time } => model.cut_replica(replica % replicas, *time),
+        Fault::FreezeVm { vm, time } => model.freeze_vm(vm % vms, *time),
+        Fault::FreezeReplica { replica, time } => {
             model.freeze_replica(replica % replicas, *time);
         }
-        Trouble::RestartVm { vm } => model.restart_vm(vm % vms),
-        Trouble::RestartReplica { replica } => model.restart_replica(replica % replicas),
-        Trouble::RestartAll => {
+        Fault::RestartVm { vm } => model.restart_vm(vm % vms),
+        Fault::RestartReplica { replica } => model.restart_replica(replica % replicas),
+        Fault::RestartAll => {
             (0..vms).for_each(|vm| model.restart_vm(vm));
             (0..replicas).for_each(|replica| model.restart_replica(replica));
         }
-        Trouble::Gather { vm } => return Some(vm % vms),
-        Trouble::Spread => return None,
+        Fault::Gather { vm } => return Some(vm % vms),
+        Fault::Spread => return None,
     }
     None
 }
@@ -107,48 +106,48 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Symptom: more requests of a team run than its limit allows.
-    // Sequence: its callers ask for several times the limit, at all entry VMs or at one, while
-    // entry VMs and replicas are cut off, frozen and restarted.
-    // Cause: what a dead or frozen process has handed out or holds is handed out once more.
+    // Symptom: more requests of a team run than its limit allows. Sequence: its callers send
+    // several times the limit, to all entry VMs or to one, while entry VMs and replicas are cut
+    // off, frozen and restarted. Cause: tokens that a crashed or frozen process has issued or holds
+    // are issued a second time.
     #[test]
-    fn test_team_limits_hold_in_any_trouble(
+    fn test_team_limits_hold_under_any_faults(
         vms in 1_usize..24,
         replicas in 1_usize..13,
         rate in 0.2_f64..60.0,
         burst in 0.0_f64..60.0,
         times in 0.5_f64..10.0,
-        mut troubles in prop::collection::vec(any_trouble(), 0..10),
+        mut faults in prop::collection::vec(any_fault(), 0..10),
     ) {
         const LENGTH: Duration = Duration::from_secs(20);
-        let mut model = Model::new(Way::Shares, vms, replicas, vec![limit(rate, burst)]);
+        let mut model = Model::new(Method::Shares, vms, replicas, vec![limit(rate, burst)]);
         let mut rng = ChaCha8Rng::seed_from_u64(SEED);
-        troubles.sort_by_key(|(at, _)| *at);
-        let mut troubles = troubles.iter().peekable();
-        let mut gathered = None;
+        faults.sort_by_key(|(at, _)| *at);
+        let mut faults = faults.iter().peekable();
+        let mut all_at_vm = None;
         let mut at = Duration::ZERO;
         while at < LENGTH {
             at += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / (rate * times));
-            while let Some((when, trouble)) = troubles.peek()
+            while let Some((when, fault)) = faults.peek()
                 && Duration::from_millis(*when) <= at
             {
                 model.run_until(Duration::from_millis(*when));
-                let moved = apply(&mut model, vms, replicas, trouble);
-                if matches!(trouble, Trouble::Gather { .. } | Trouble::Spread) {
-                    gathered = moved;
+                let moved = apply(&mut model, vms, replicas, fault);
+                if matches!(fault, Fault::Gather { .. } | Fault::Spread) {
+                    all_at_vm = moved;
                 }
-                troubles.next();
+                faults.next();
             }
-            let vm = gathered.unwrap_or_else(|| rng.random_range(0..vms));
+            let vm = all_at_vm.unwrap_or_else(|| rng.random_range(0..vms));
             model.request(at, vm, 0);
             model.run_until(at);
         }
         model.run_until(LENGTH + Duration::from_secs(10));
         let excess = model.excess(0);
-        prop_assert!(excess <= 0.0, "{excess} above what is allowed");
+        prop_assert!(excess <= 0.0, "{excess} above the allowed number");
     }
 
-    // Symptom: replicas hand out more than the limit in sum. Cause: shares are rounded up.
+    // Symptom: replicas issue more tokens than the limit in sum. Cause: shares are rounded up.
     #[test]
     fn test_team_shares_add_up(
         rate in 0.0_f64..5_000.0,
@@ -172,45 +171,46 @@
     }
 }
 
-/// How a team asks.
+/// Pattern of a team's requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Kind {
-    /// At all entry VMs, at six tenths of its limit.
+    /// To all entry VMs, at six tenths of its limit.
     Steady,
-    /// The same, at one entry VM.
+    /// Like [`Kind::Steady`], to one entry VM.
     OneVm,
-    /// The same, at another one each second.
+    /// Like [`Kind::Steady`], to a different entry VM each second.
     Moving,
-    /// At all entry VMs, at ten times its limit.
+    /// To all entry VMs, at ten times its limit.
     Flooding,
 }
 
-/// What came of a play.
-struct Played {
-    /// What ran, as a share of what the limit allows without its burst.
+/// Result of a run.
+struct ScenarioResult {
+    /// Requests that ran, as a fraction of what the limit allows without its burst.
     of_limit: f64,
-    /// What ran, as a share of what was asked.
+    /// Requests that ran, as a fraction of those sent.
     served: f64,
     /// Mean wait for a token.
     wait: Duration,
-    /// What ran of the other teams, as a share of what they asked.
+    /// Requests of the other teams that ran, as a fraction of those sent.
     others: f64,
-    /// What ran beyond what may, in some window; below 0 if nothing did.
+    /// Requests that ran in excess of the allowed number in any window; negative if it was never
+    /// exceeded.
     excess: f64,
-    /// Messages to replicas for each request.
+    /// Messages to replicas per request.
     messages: f64,
-    /// Requests that were refused late, as a share of those that were asked.
+    /// Requests that were refused late, as a fraction of those sent.
     refused_late: f64,
 }
 
-/// Plays a team of a kind for 20 s beside others that keep to their limits, 5 s after all
-/// processes have started.
-fn play(kind: Kind, way: Way, vms: usize, rate: f64) -> Played {
+/// Runs a team of a kind for 20 s together with others that keep to their limits, starting 5 s
+/// after all processes.
+fn run_scenario(kind: Kind, method: Method, vms: usize, rate: f64) -> ScenarioResult {
     const WARM_UP: Duration = Duration::from_secs(5);
     const LENGTH: Duration = Duration::from_secs(20);
     let others = 8;
     let limits = vec![limit(rate, rate); 1 + others];
-    let mut model = Model::new(way, vms, 12, limits);
+    let mut model = Model::new(method, vms, 12, limits);
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let factor = if kind == Kind::Flooding { 10.0 } else { 0.6 };
     for team in 0..=others {
@@ -233,12 +233,20 @@
     }
     model.run_until(WARM_UP + LENGTH + Duration::from_secs(2));
     let excess = model.excess(0);
-    assert!(excess <= 0.0 || way != Way::Shares, "{kind:?}: {excess}");
+    assert!(
+        excess <= 0.0 || method != Method::Shares,
+        "{kind:?}: {excess}"
+    );
     for counted in &model.counted {
-        let ruled = u32::try_from(counted.run.len()).unwrap() + counted.over + counted.unconfirmed;
-        assert_eq!(ruled, counted.asked, "each request is told something");
+        let decided =
+            u32::try_from(counted.run.len()).unwrap() + counted.over + counted.unconfirmed;
+        assert_eq!(decided, counted.asked, "each request gets a decision");
         let in_time = counted.longest_wait <= Duration::from_secs(1);
-        assert!(in_time || way != Way::Shares, "{:?}", counted.longest_wait);
+        assert!(
+            in_time || method != Method::Shares,
+            "{:?}",
+            counted.longest_wait
+        );
     }
     let counted = &model.counted[0];
     let run = counted.run.iter().filter(|at| **at >= WARM_UP).count();
@@ -249,7 +257,7 @@
         let run = f64::from(u32::try_from(counted.run.len()).unwrap());
         (sum.0 + run, sum.1 + f64::from(counted.asked))
     });
-    Played {
+    ScenarioResult {
         of_limit: run / allowed,
         served: f64::from(all) / f64::from(counted.asked),
         wait: counted.waited / all.max(1),
@@ -261,8 +269,8 @@
     }
 }
 
-/// Symptom: a team that keeps to its limit is refused. Cause: its share stands where its callers
-/// aren't.
+/// Symptom: a team that keeps to its limit is refused. Cause: its share is where its callers are
+/// not.
 #[rstest]
 #[case::steady_8(Kind::Steady, 8, 20.0)]
 #[case::steady_84(Kind::Steady, 84, 20.0)]
@@ -274,25 +282,22 @@
 #[case::moving_84(Kind::Moving, 84, 20.0)]
 #[case::moving_300(Kind::Moving, 300, 20.0)]
 fn test_team_limits_seldom_refuse_below(#[case] kind: Kind, #[case] vms: usize, #[case] rate: f64) {
-    let Played { served, wait, .. } = play(kind, Way::Shares, vms, rate);
+    let ScenarioResult { served, wait, .. } = run_scenario(kind, Method::Shares, vms, rate);
     assert!(served >= 0.97, "{served} served");
     assert!(wait <= Duration::from_millis(70), "{wait:?}");
 }
 
-/// Symptom: requests within the limit are refused while a replica is down, though others have
-/// tokens.
-///
-/// Sequence: an entry VM asks the nearest replica, which is gone, and the next one too late.
-///
-/// Cause: the time that a silent replica takes counts as a wait for tokens.
+/// Symptom: requests within the limit are refused while a replica is down, although others have
+/// tokens. Sequence: an entry VM asks the nearest replica, which is down, and the next one too
+/// late. Cause: the time that a replica without a reply takes counts as waiting for tokens.
 #[rstest]
 #[case::one_in_three(4)]
 #[case::two_in_three(8)]
-fn test_team_limits_pass_silent_replicas(#[case] down: usize) {
+fn test_team_limits_skip_silent_replicas(#[case] down: usize) {
     const RATE: f64 = 20.0;
     const VMS: usize = 24;
     const LENGTH: Duration = Duration::from_secs(20);
-    let mut model = Model::new(Way::Shares, VMS, 12, vec![limit(RATE, RATE); 8]);
+    let mut model = Model::new(Method::Shares, VMS, 12, vec![limit(RATE, RATE); 8]);
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     for replica in 0..down {
         model.cut_replica(replica, LENGTH * 2);
@@ -320,35 +325,36 @@
     );
 }
 
-/// Symptom: a team that floods takes the room of the others, gets less than its limit, or waits
-/// for refusals that are known at once.
+/// Symptom: a team that floods takes capacity from the others, gets less than its limit, or waits
+/// for refusals that could be sent immediately.
 #[rstest]
 #[case(8)]
 #[case(84)]
 #[case(300)]
 fn test_team_limits_flood(#[case] vms: usize) {
-    let played = play(Kind::Flooding, Way::Shares, vms, 20.0);
-    let Played {
+    let result = run_scenario(Kind::Flooding, Method::Shares, vms, 20.0);
+    let ScenarioResult {
         of_limit,
         others,
         refused_late,
         ..
-    } = played;
+    } = result;
     assert!(refused_late <= 0.01, "{refused_late} refused late");
     assert!(of_limit >= 0.9, "{of_limit} of the limit");
     assert!(others >= 0.97, "{others} of the others");
 }
 
-/// Prints what each way costs. `cargo test -p heatherring-lib --test test_team_tokens ways -- --nocapture --ignored`
+/// Prints the cost of each method: `cargo test -p heatherring-lib --test test_team_tokens methods
+/// -- --nocapture --ignored`
 #[test]
 #[ignore = "a table for the design note, which asserts nothing"]
-fn test_team_limits_ways() {
+fn test_team_limits_methods() {
     let teams = [(8, 20.0), (84, 2.0), (84, 20.0), (84, 400.0), (300, 20.0)];
     for (vms, rate) in teams {
         for kind in [Kind::Steady, Kind::OneVm, Kind::Moving, Kind::Flooding] {
-            for way in [Way::Equal, Way::One, Way::Shares] {
-                let played = play(kind, way, vms, rate);
-                let Played {
+            for method in [Method::Equal, Method::One, Method::Shares] {
+                let result = run_scenario(kind, method, vms, rate);
+                let ScenarioResult {
                     of_limit,
                     served,
                     wait,
@@ -356,10 +362,10 @@
                     excess,
                     messages,
                     refused_late,
-                } = played;
+                } = result;
                 let wait = wait.as_millis();
                 println!(
-                    "| {vms} | {rate} | {kind:?} | {way:?} | {served:.3} | {of_limit:.3} | {wait} | {others:.3} | {excess:.0} | {messages:.2} | {refused_late:.2} |"
+                    "| {vms} | {rate} | {kind:?} | {method:?} | {served:.3} | {of_limit:.3} | {wait} | {others:.3} | {excess:.0} | {messages:.2} | {refused_late:.2} |"
                 );
             }
         }
--- a/lib/tests/test_teams.rs
+++ b/lib/tests/test_teams.rs
@@ -1,4 +1,4 @@
-//! Who may ask, by which keys, and where.
+//! Teams: keys, public routes, limits and home regions.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -70,8 +70,8 @@
     view.teams.identify(&RouteName::new("r"), Some(key))
 }
 
-/// Applies changes one after the other, and has one view follow each and one take all at once.
-/// Both must know the same.
+/// Applies changes one after the other. One view follows each change, another gets all at once;
+/// both must end up with the same teams.
 fn follow(changes: &[FleetChange]) -> (FleetState, FleetView) {
     let mut state = FleetState::default();
     let mut view = FleetView::default();
@@ -125,10 +125,10 @@
     assert_eq!(identify(&view, "K-3"), CallerIdentity::Unknown);
 }
 
-/// Symptom: whoever sends no key is served after the last team was removed. Cause: a manifest
-/// with no team left is taken for one that doesn't know teams.
+/// Symptom: callers without a key are served after the last team was removed. Cause: a team
+/// manifest without teams is treated like a missing one.
 #[test]
-fn test_teams_none_left_lets_nobody_in() {
+fn test_teams_without_teams_every_caller_is_refused() {
     let first = whole(1, 0, Some(teams(&[("t-1", &["k-1"])])));
     let mut none = teams(&[]);
     none.removed_teams.push(TeamName::new("t-1"));
@@ -156,8 +156,8 @@
     assert_eq!(view.teams.identify(&other, None), CallerIdentity::Missing);
 }
 
-/// Symptom: two teams have one key, so that one is served in the other's name. Cause: only
-/// whole manifests are checked, or only the teams that a patch names.
+/// Symptom: two teams have the same key, so that requests of one are attributed to the other.
+/// Cause: only whole manifests are checked, or only the teams that a patch contains.
 #[rstest]
 #[case::whole(whole(2, 1, Some(teams(&[("t-1", &["k-1"]), ("t-2", &["k-2", "k-1"])]))))]
 #[case::patch(patch(2, 1, teams(&[("t-2", &["k-1"])])))]
@@ -181,9 +181,9 @@
 
 #[rstest]
 #[case::negative_rate(Some(-1.0), None)]
-#[case::endless_rate(Some(f64::INFINITY), None)]
+#[case::infinite_rate(Some(f64::INFINITY), None)]
 #[case::negative_burst(Some(1.0), Some(-0.5))]
-fn test_teams_refuse_odd_limits(#[case] rate: Option<f64>, #[case] burst: Option<f64>) {
+fn test_teams_refuse_invalid_limits(#[case] rate: Option<f64>, #[case] burst: Option<f64>) {
     let team = Team {
         rate,
         burst,
@@ -198,7 +198,7 @@
     );
 }
 
-/// Symptom: an operator that lost an answer resends a change of teams and is refused.
+/// Symptom: an operator that did not receive the answer resends a change of teams and is refused.
 #[test]
 fn test_teams_resend_of_a_change_is_accepted() {
     let first = whole(1, 0, Some(teams(&[("t-1", &["k-1"])])));
@@ -219,8 +219,8 @@
 #[case::of_the_team(&["a"], &[], Some(&["a"] as &[&str]))]
 #[case::of_the_route(&[], &["b"], Some(&["b"] as &[&str]))]
 #[case::both(&["a", "b"], &["b", "c"], Some(&["b"] as &[&str]))]
-#[case::apart(&["a"], &["b"], None)]
-fn test_teams_homes_of_team_and_route_both_bind(
+#[case::disjoint(&["a"], &["b"], None)]
+fn test_teams_home_regions_of_team_and_route_both_apply(
     #[case] team: &[&str],
     #[case] route: &[&str],
     #[case] both: Option<&[&str]>,
@@ -233,7 +233,8 @@
     assert_eq!(intersection, both.map(regions));
 }
 
-/// Symptom: a key stands in a log line or in a panic. Cause: something that holds it is printed.
+/// Symptom: a key appears in a log line or in a panic message. Cause: a value that contains it is
+/// printed.
 #[test]
 fn test_teams_debug_shows_no_key() {
     let change = whole(1, 0, Some(teams(&[("t-1", &["secret-key"])])));
--- a/lib/tests/test_ticket_issue.rs
+++ b/lib/tests/test_ticket_issue.rs
@@ -1,4 +1,4 @@
-//! Which sessions tickets name.
+//! Selection of the sessions that tickets name.
 
 #[path = "common/entry_sample.rs"]
 mod entry_sample;
@@ -69,16 +69,16 @@
     view
 }
 
-/// Symptom: all actions of a caller were refused with `ticket_invalid` for as long as it kept a
-/// look-up, after the entry VM that this one names had started.
+/// Symptom: all actions of a caller are refused with `ticket_invalid` for as long as it keeps the
+/// result of a look-up, after the entry VM that the look-up names has started.
 ///
-/// Sequence: an entry VM reads its view for a look-up; a change brings a new session; the session
-/// is named, by the newer view; the ticket is issued by the older one, which hasn't got it. The
-/// look-up is answered without a ticket.
+/// Sequence: an entry VM reads its view for a look-up; an update adds a new session; the look-up
+/// returns this session, based on the newer view; the ticket is issued from the older view, which
+/// does not contain it. The look-up is answered without a ticket.
 ///
-/// Cause: the session that is named was searched for in a view that may be another one.
+/// Cause: the session is searched for in a view that may differ from the one that the look-up used.
 #[test]
-fn test_ticket_for_a_session_that_the_view_hasnt_got_yet() {
+fn test_ticket_for_a_session_that_is_not_in_the_view_yet() {
     let named = session(3, "almaty", "alm-b", false);
     let older = view_of(&[session(2, "almaty", "alm-a", false)]);
     let ticket = issue(&older, &named).expect("the backup is known");
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn test_ticket_for_a_session_that_leaves_is_none() {
+fn test_ticket_for_a_leaving_session_is_none() {
     let named = session(3, "almaty", "alm-b", false);
     let leaving = session(3, "almaty", "alm-b", true);
     let other = session(2, "almaty", "alm-a", false);
@@ -113,7 +113,7 @@
         [session(2, "almaty", "alm-a", false), session(3, "almaty", "alm-b", false)];
     test_ticket_backup_on_another_vm_of_the_place Some(2),
         [session(2, "almaty", "alm-a", false), session(3, "astana", "ast-a", false)];
-    test_ticket_backup_that_leaves_is_passed_over Some(2),
+    test_ticket_backup_that_is_leaving_is_skipped Some(2),
         [session(2, "almaty", "alm-a", false), session(3, "almaty", "alm-b", true)];
     test_ticket_backup_none None, [session(3, "astana", "ast-a", false)];
 }
--- a/lib/tests/token_model/mod.rs
+++ b/lib/tests/token_model/mod.rs
@@ -1,4 +1,4 @@
-//! A model of the limits of teams: entry VMs, control replicas and what travels between them.
+//! Model of the limits of teams: entry VMs, control replicas and the messages between them.
 
 #![allow(dead_code)]
 
@@ -23,17 +23,17 @@
 const REGIONS: usize = 3;
 const NEAR: Duration = Duration::from_millis(1);
 const FAR: Duration = Duration::from_millis(35);
-const ANSWER_WITHIN: Duration = Duration::from_millis(400);
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Says which replicas count for a team.
+/// Method by which a team's limit is divided.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Way {
-    /// As many as the limit allows.
+pub enum Method {
+    /// Among as many replicas as the limit allows.
     Shares,
-    /// One alone.
+    /// One replica issues all tokens.
     One,
-    /// None: each entry VM has an equal share, which nobody else can use.
+    /// No replica is involved: each entry VM has an equal share, which no other can use.
     Equal,
 }
 
@@ -54,7 +54,7 @@
         token_request: TokenRequest,
         drawn: Option<Vec<Drawn>>,
     },
-    Look {
+    Poll {
         vm: usize,
     },
     Ask {
@@ -71,7 +71,7 @@
 }
 
 struct Vm {
-    purse: TokenCache<usize>,
+    cache: TokenCache<usize>,
     equal: TokenShard,
     life: u64,
     up: bool,
@@ -79,22 +79,22 @@
     cut_until: Duration,
 }
 
-/// Counts what became of a team's requests.
+/// Counts of a team's requests by outcome.
 #[derive(Clone, Debug, Default)]
 pub struct Counted {
     pub asked: u32,
     pub run: Vec<Duration>,
     pub over: u32,
     pub unconfirmed: u32,
-    /// Longest time that a request waited for its token, and the sum of all.
+    /// Longest time that a request waited for its token; `waited` is the sum of all waits.
     pub longest_wait: Duration,
-    /// Refusals that took longer than 0.4 s.
+    /// Refusals after more than 0.4 s.
     pub refused_late: u32,
     pub waited: Duration,
 }
 
 pub struct Model {
-    pub way: Way,
+    pub method: Method,
     pub now: Duration,
     origin: Instant,
     tolerance: LimitTolerance,
@@ -105,9 +105,9 @@
     sharing_replicas: BTreeMap<usize, Vec<SocketAddr>>,
     events: BTreeMap<(Duration, u64), Event>,
     number: u64,
-    /// Team and time of each request, by the number that waits in a purse.
+    /// Team and time of each request, indexed by the number that identifies it in a token cache.
     requests: Vec<(usize, Duration)>,
-    /// Questions that were asked.
+    /// Token requests sent to replicas.
     pub token_requests: u32,
     pub draws: u32,
 }
@@ -123,9 +123,9 @@
 }
 
 impl Model {
-    pub fn new(way: Way, vms: usize, replicas: usize, limits: Vec<TeamLimit>) -> Self {
+    pub fn new(method: Method, vms: usize, replicas: usize, limits: Vec<TeamLimit>) -> Self {
         let mut model = Self {
-            way,
+            method,
             now: Duration::ZERO,
             origin: Instant::now(),
             tolerance: LimitTolerance::default(),
@@ -151,14 +151,14 @@
         }
         for vm in 0..vms {
             model.vms.push(Vm {
-                purse: TokenCache::new(vm as u64),
+                cache: TokenCache::new(vm as u64),
                 equal: TokenShard::new(model.origin),
                 life: 1,
                 up: true,
                 frozen_until: Duration::ZERO,
                 cut_until: Duration::ZERO,
             });
-            model.push(LOOK_EVERY, Event::Look { vm });
+            model.push(POLL_INTERVAL, Event::Poll { vm });
         }
         model
     }
@@ -192,24 +192,24 @@
         self.replicas[replica].frozen_until = self.now + time;
     }
 
-    /// Ends the process of an entry VM and starts another one.
+    /// Restarts the process of an entry VM.
     pub fn restart_vm(&mut self, vm: usize) {
         let state = &mut self.vms[vm];
         state.life += 1;
-        state.purse = TokenCache::new(state.life);
+        state.cache = TokenCache::new(state.life);
         state.equal = TokenShard::new(self.origin + self.now);
     }
 
-    /// Ends the process of a replica and starts another one, which knows nothing.
+    /// Restarts the process of a replica, which loses all its state.
     pub fn restart_replica(&mut self, replica: usize) {
         self.replicas[replica].shard = TokenShard::new(self.origin + self.now);
     }
 
-    /// Has an entry VM look again when the purse says so.
-    fn look_again(&mut self, vm: usize) {
+    /// Schedules the next poll of an entry VM's token cache at the time that it returns.
+    fn schedule_poll(&mut self, vm: usize) {
         let now = self.at(self.now);
-        let next = self.vms[vm].purse.next_poll_at(now);
-        if let Some(next) = next.filter(|next| *next < now + LOOK_EVERY) {
+        let next = self.vms[vm].cache.next_poll_at(now);
+        if let Some(next) = next.filter(|next| *next < now + POLL_INTERVAL) {
             let at = next.saturating_duration_since(self.origin);
             self.push(at, Event::Ask { vm });
         }
@@ -231,7 +231,7 @@
     fn handle(&mut self, event: Event) {
         let frozen_until = match &event {
             Event::Request { vm, .. }
-            | Event::Look { vm }
+            | Event::Poll { vm }
             | Event::Ask { vm }
             | Event::Answered { vm, .. } => self.vms[*vm].frozen_until,
             Event::Asked { token_request, .. } => {
@@ -245,13 +245,13 @@
         }
         match event {
             Event::Request { vm, team } => self.take(vm, team),
-            Event::Look { vm } => {
+            Event::Poll { vm } => {
                 self.ask(vm);
-                self.push(self.now + LOOK_EVERY, Event::Look { vm });
+                self.push(self.now + POLL_INTERVAL, Event::Poll { vm });
             }
             Event::Ask { vm } => {
                 self.ask(vm);
-                self.look_again(vm);
+                self.schedule_poll(vm);
             }
             Event::Asked {
                 vm,
@@ -268,10 +268,10 @@
                     return;
                 }
                 let now = self.at(self.now);
-                let ruled = self.vms[vm]
-                    .purse
+                let decisions = self.vms[vm]
+                    .cache
                     .answered(now, &token_request, drawn.as_deref());
-                self.rule(ruled);
+                self.count_decisions(decisions);
                 self.ask(vm);
             }
         }
@@ -292,7 +292,7 @@
         let all: Vec<SocketAddr> = replicas.map(|replica| replica.address).collect();
         let mut sharing_replicas =
             team_share::sharing_replicas(&team(number), &self.limits[number], &all);
-        if self.way == Way::One {
+        if self.method == Method::One {
             sharing_replicas.truncate(1);
         }
         self.sharing_replicas
@@ -313,8 +313,8 @@
         self.counted[number].asked += 1;
         let request = self.requests.len();
         self.requests.push((number, self.now));
-        if self.way == Way::Equal {
-            self.take_equal(vm, number, request);
+        if self.method == Method::Equal {
+            self.take_from_equal_share(vm, number, request);
             return;
         }
         let mut sharing_replicas = self.sharing_replicas(number);
@@ -327,14 +327,14 @@
         });
         let now = self.at(self.now);
         let limit = self.limits[number];
-        let purse = &mut self.vms[vm].purse;
-        let ruled = purse.take(now, &name, &limit, || sharing_replicas, request);
-        self.rule(ruled);
+        let cache = &mut self.vms[vm].cache;
+        let decisions = cache.take(now, &name, &limit, || sharing_replicas, request);
+        self.count_decisions(decisions);
         self.ask(vm);
-        self.look_again(vm);
+        self.schedule_poll(vm);
     }
 
-    fn take_equal(&mut self, vm: usize, number: usize, request: usize) {
+    fn take_from_equal_share(&mut self, vm: usize, number: usize, request: usize) {
         let share = LimitShare::of(&self.limits[number], &self.tolerance, self.vms.len());
         let draw = heatherring_lib::token_shard::Draw {
             team: team(number),
@@ -345,25 +345,25 @@
         let holder = holder(vm, 0);
         let now = self.at(self.now);
         let drawn = self.vms[vm].equal.draw(now, &holder, &share, &draw);
-        let ruling = if drawn.waiting == 1 {
+        let decision = if drawn.waiting == 1 {
             LimitDecision::Run
         } else {
             LimitDecision::OverLimit {
                 retry_after: drawn.retry_after,
             }
         };
-        self.rule([(request, ruling)]);
+        self.count_decisions([(request, decision)]);
     }
 
-    fn rule(&mut self, ruled: impl IntoIterator<Item = (usize, LimitDecision)>) {
-        for (request, ruling) in ruled {
+    fn count_decisions(&mut self, decisions: impl IntoIterator<Item = (usize, LimitDecision)>) {
+        for (request, decision) in decisions {
             let (team, asked_at) = self.requests[request];
             let counted = &mut self.counted[team];
             let held = self.now.saturating_sub(asked_at);
-            if ruling != LimitDecision::Run && held > Duration::from_millis(400) {
+            if decision != LimitDecision::Run && held > Duration::from_millis(400) {
                 counted.refused_late += 1;
             }
-            match ruling {
+            match decision {
                 LimitDecision::Run => {
                     let waited = self.now.saturating_sub(asked_at);
                     counted.run.push(self.now);
@@ -378,7 +378,7 @@
 
     fn ask(&mut self, vm: usize) {
         let now = self.at(self.now);
-        let token_requests = self.vms[vm].purse.token_requests(now);
+        let token_requests = self.vms[vm].cache.token_requests(now);
         let life = self.vms[vm].life;
         for token_request in token_requests {
             self.token_requests += 1;
@@ -391,7 +391,7 @@
                 drawn: None,
             };
             if self.is_cut(vm, replica) {
-                self.push(self.now + ANSWER_WITHIN, late);
+                self.push(self.now + ANSWER_TIMEOUT, late);
             } else {
                 let delay = Self::delay(vm, replica);
                 self.push(
@@ -427,10 +427,10 @@
             .asked_at
             .saturating_duration_since(self.origin);
         let delay = Self::delay(vm, number);
-        // An answer that comes too late is one that never comes.
-        let in_time = self.now + delay <= asked + ANSWER_WITHIN;
+        // A reply after the time-out counts as none.
+        let in_time = self.now + delay <= asked + ANSWER_TIMEOUT;
         let (at, drawn) = if self.is_cut(vm, number) || !in_time {
-            (asked + ANSWER_WITHIN, None)
+            (asked + ANSWER_TIMEOUT, None)
         } else {
             (self.now + delay, Some(answers))
         };
@@ -446,7 +446,8 @@
         );
     }
 
-    /// Returns the most that ran of a team in any window, less what may.
+    /// Returns the maximum number of a team's requests that ran in any window, minus the allowed
+    /// number.
     pub fn excess(&self, number: usize) -> f64 {
         let limit = &self.limits[number];
         let tolerance = &self.tolerance;
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -93,7 +93,7 @@
         let (tx, rx) = mpsc::unbounded_channel();
         let (answers, answered) = mpsc::unbounded_channel();
         let task = TokenTask {
-            purse: TokenCache::new(rand::random()),
+            cache: TokenCache::new(rand::random()),
             clients: HashMap::new(),
             answers,
             setup,
@@ -121,7 +121,7 @@
 
 struct TokenTask {
     setup: TokenSetup,
-    purse: TokenCache<oneshot::Sender<LimitDecision>>,
+    cache: TokenCache<oneshot::Sender<LimitDecision>>,
     clients: HashMap<SocketAddr, FleetClient<Channel>>,
     answers: mpsc::UnboundedSender<Answer>,
 }
@@ -134,7 +134,7 @@
     ) {
         loop {
             let now = self.setup.clock.now();
-            let next_poll_at = self.purse.next_poll_at(now);
+            let next_poll_at = self.cache.next_poll_at(now);
             tokio::select! {
                 ask = rx.recv() => match ask {
                     Some(ask) => self.take(ask),
@@ -142,7 +142,7 @@
                 },
                 Some((token_request, answer)) = answered.recv() => {
                     let now = self.setup.clock.now();
-                    let ruled = self.purse.answered(now, &token_request, answer.as_deref());
+                    let ruled = self.cache.answered(now, &token_request, answer.as_deref());
                     tell(ruled);
                 }
                 Ok(()) = self.setup.sites.changed() => self.follow_sites(),
@@ -153,7 +153,7 @@
     }
 
     fn follow_sites(&mut self) {
-        self.purse.forget_sharing_replicas();
+        self.cache.forget_sharing_replicas();
         let sites = self.setup.sites.borrow_and_update();
         self.clients
             .retain(|address, _| sites.iter().any(|site| site.address == *address));
@@ -164,14 +164,14 @@
         let now = self.setup.clock.now();
         let find_sharing_replicas = || self.setup.sharing_replicas(&team, &limit);
         tell(
-            self.purse
+            self.cache
                 .take(now, &team, &limit, find_sharing_replicas, reply),
         );
     }
 
     /// Asks replicas what is to be asked.
     fn ask(&mut self) {
-        for token_request in self.purse.token_requests(self.setup.clock.now()) {
+        for token_request in self.cache.token_requests(self.setup.clock.now()) {
             let answers = self.answers.clone();
             let holder = self.setup.holder.clone();
             let client = self.client(token_request.replica);
