--- a/lib/src/team_tally.rs
+++ b/lib/src/team_tally.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::log_chain::LogLine;
+use crate::request_diagnosis::LogLine;
 
 /// Counts of one team's requests.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
