--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -38,11 +38,11 @@
 use crate::direct_send::DirectRequest;
 use crate::header::remove_hop_by_hop;
 use crate::http_server::Arrival;
-use crate::known_asker::KnownAsker;
 use crate::metric;
 use crate::request_body;
 use crate::request_body::RequestBody;
 use crate::request_trace::RequestTrace;
+use crate::verified_caller::KnownAsker;
 
 /// Time beyond a route's timeout that a backend server is given, as far as the caller waits.
 /// Requests without their data at hand take about as long as some timeouts; one that is ended
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -47,9 +47,9 @@
 use crate::interface::AnswerMeaning;
 use crate::interface::EntryInterface;
 use crate::interface::OutgoingMarks;
-use crate::known_asker::KnownAsker;
 use crate::refusal_body;
 use crate::stop_watch::StopWatch;
+use crate::verified_caller::KnownAsker;
 
 /// Bytes of an answer up to which it is read whole before its head is passed on. An answer
 /// that breaks off can then be asked for again elsewhere, if that does no harm.
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -4,8 +4,8 @@
 //! made by the core (`heatherring-lib`); this crate carries them out.
 
 pub mod credential;
-pub mod known_asker;
 pub mod peer_security;
+pub mod verified_caller;
 
 /// Code generated from `server/proto/heatherring.proto` by `tools/proto-gen`.
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
