--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -42,7 +42,7 @@
 use crate::request_body;
 use crate::request_body::RequestBody;
 use crate::request_trace::RequestTrace;
-use crate::verified_caller::KnownAsker;
+use crate::verified_caller::VerifiedCaller;
 
 /// Time beyond a route's timeout that a backend server is given, as far as the caller waits.
 /// Requests without their data at hand take about as long as some timeouts; one that is ended
@@ -202,10 +202,10 @@
         patience: Option<Duration>,
         route: &RouteName,
         key: Option<KeyDigest>,
-    ) -> Result<(KnownAsker, Arc<TeamDirectory>), NotRun> {
+    ) -> Result<(VerifiedCaller, Arc<TeamDirectory>), NotRun> {
         let known = || {
             let teams = Arc::clone(&self.view.borrow().teams);
-            KnownAsker::find(&teams, route, key).map(|asker| (asker, teams))
+            VerifiedCaller::find(&teams, route, key).map(|asker| (asker, teams))
         };
         if let Ok(known) = known() {
             return Ok(known);
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -49,7 +49,7 @@
 use crate::interface::OutgoingMarks;
 use crate::refusal_body;
 use crate::stop_watch::StopWatch;
-use crate::verified_caller::KnownAsker;
+use crate::verified_caller::VerifiedCaller;
 
 /// Bytes of an answer up to which it is read whole before its head is passed on. An answer
 /// that breaks off can then be asked for again elsewhere, if that does no harm.
@@ -82,7 +82,7 @@
     /// Identifies the caller's attempt.
     pub request_id: Option<String>,
     /// Who sent it.
-    pub asker: KnownAsker,
+    pub asker: VerifiedCaller,
     /// Names the request, whichever attempt it is.
     pub tag: RequestTag,
     /// When an answer should have come at the latest.
