--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -109,12 +109,12 @@
         trace.route = Some(name.clone());
         let mut headers = head.headers;
         let key = credential::read(&headers);
-        let (asker, teams) = self.asker(arrived, marks.patience, name, key).await?;
+        let (caller, teams) = self.caller(arrived, marks.patience, name, key).await?;
         if teams.requires_keys() {
             credential::remove(&mut headers);
         }
-        trace.team.clone_from(&asker.team);
-        let team = asker.team_in(&teams);
+        trace.team.clone_from(&caller.team);
+        let team = caller.team_in(&teams);
         let own_homes = team.map_or(&[][..], |team| &team.home_regions);
         let homes = home_regions::intersection(own_homes, &route.home_regions)
             .ok_or_else(|| refuse(NotRunReason::NoCommonHome))?;
@@ -154,7 +154,7 @@
             headers,
             body,
             request_id: marks.request_id,
-            asker,
+            caller,
             tag,
             deadline,
             work_until,
@@ -196,7 +196,7 @@
     ///
     /// A key that no team has may have been added a moment ago. It is unknown for certain once
     /// control was heard of after the request came; without that word nothing is certain.
-    async fn asker(
+    async fn caller(
         &self,
         arrived: Instant,
         patience: Option<Duration>,
@@ -205,7 +205,7 @@
     ) -> Result<(VerifiedCaller, Arc<TeamDirectory>), NotRun> {
         let known = || {
             let teams = Arc::clone(&self.view.borrow().teams);
-            VerifiedCaller::find(&teams, route, key).map(|asker| (asker, teams))
+            VerifiedCaller::find(&teams, route, key).map(|caller| (caller, teams))
         };
         if let Ok(known) = known() {
             return Ok(known);
@@ -245,7 +245,7 @@
         admitted: &Admitted,
         attempt: Attempt<Unsent>,
     ) -> Result<Attempt<Unsent>, NotRun> {
-        let (Some(team), Some(limit)) = (&admitted.req.asker.team, admitted.limit) else {
+        let (Some(team), Some(limit)) = (&admitted.req.caller.team, admitted.limit) else {
             return Ok(attempt);
         };
         let ruling = self.tokens.take(team, limit).await;
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -82,7 +82,7 @@
     /// Identifies the caller's attempt.
     pub request_id: Option<String>,
     /// Who sent it.
-    pub asker: VerifiedCaller,
+    pub caller: VerifiedCaller,
     /// Names the request, whichever attempt it is.
     pub tag: RequestTag,
     /// When an answer should have come at the latest.
@@ -260,7 +260,7 @@
     /// Returns why a request isn't sent after all that no byte of was sent yet.
     fn withdrawn(&self, choice: &Choice, req: &DirectRequest) -> Option<NotRunReason> {
         let view = self.view.borrow();
-        if let Err(reason) = req.asker.check(&view.teams) {
+        if let Err(reason) = req.caller.check(&view.teams) {
             return Some(reason);
         }
         if !view.may_send(&choice.name, choice.born) {
@@ -305,7 +305,7 @@
         let marks = OutgoingMarks {
             left: req.work_until.saturating_duration_since(Instant::now()),
             backend: &choice.name,
-            team: req.asker.team.as_ref(),
+            team: req.caller.team.as_ref(),
         };
         self.interface.mark_request(message.headers_mut(), &marks);
         message
