--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -59,7 +59,7 @@
 use crate::replication_service::ReplicationService;
 use crate::session_service::SessionService;
 use crate::shutdown::Shutdown;
-use crate::token_desk::TokenDesk;
+use crate::token_issuer::TokenDesk;
 
 /// Largest submission that is taken, in bytes: a manifest and who submits it.
 const MAX_SUBMISSION_BYTES: usize = MAX_MANIFEST_BYTES + (64 << 10);
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -47,7 +47,7 @@
 use crate::proto::ReportReply;
 use crate::proto::ReportRequest;
 use crate::proto::fleet_server::Fleet;
-use crate::token_desk::TokenDesk;
+use crate::token_issuer::TokenDesk;
 use crate::update_cache::UpdateCache;
 
 /// Longest time for which an answer is held back.
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -111,6 +111,6 @@
 pub mod stop_watch;
 pub mod submit_reply;
 pub mod sync_target;
-pub mod token_desk;
+pub mod token_issuer;
 pub mod token_task;
 pub mod update_cache;
