--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -33,7 +33,7 @@
 pub mod control_session;
 pub mod crash_watch;
 pub mod data_folder;
-pub mod decision_note;
+pub mod decision_recorder;
 pub mod decision_task;
 pub mod demo;
 pub mod demo_backend_server;
