--- a/server/src/interface.rs
+++ b/server/src/interface.rs
@@ -23,7 +23,7 @@
 
 /// Holds what a caller says with a request, besides what HTTP has a place for.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct CallerMarks {
+pub struct CallerMetadata {
     /// Identifies this attempt of the caller.
     pub request_id: Option<String>,
     /// How long the caller waits.
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// Returns what can't be read, for the refusal.
-    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMarks, UnreadableMark>;
+    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableMark>;
 
     /// Writes what a backend server is told into the caller's headers.
     fn mark_request(&self, headers: &mut HeaderMap, marks: &OutgoingMarks<'_>);
--- a/server/src/own_interface.rs
+++ b/server/src/own_interface.rs
@@ -41,7 +41,7 @@
 use crate::header;
 use crate::interface::AnswerMarks;
 use crate::interface::AnswerMeaning;
-use crate::interface::CallerMarks;
+use crate::interface::CallerMetadata;
 use crate::interface::ControlInterface;
 use crate::interface::EntryInterface;
 use crate::interface::HealthMarks;
@@ -70,7 +70,7 @@
 pub struct OwnInterface;
 
 impl EntryInterface for OwnInterface {
-    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMarks, UnreadableMark> {
+    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableMark> {
         let patience = match header::number(headers, &header::DEADLINE_MS) {
             Some(Some(millis)) => Some(Duration::from_millis(millis)),
             Some(None) => {
@@ -80,7 +80,7 @@
             }
             None => None,
         };
-        Ok(CallerMarks {
+        Ok(CallerMetadata {
             request_id: header::text(headers, &header::REQUEST_ID).map(str::to_owned),
             patience,
             object: header::text(headers, &OBJECT).map(str::to_owned),
