--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -46,7 +46,7 @@
 use crate::header::remove_hop_by_hop;
 use crate::interface::AnswerMeaning;
 use crate::interface::EntryInterface;
-use crate::interface::OutgoingMarks;
+use crate::interface::OutgoingMetadata;
 use crate::refusal_body;
 use crate::stop_watch::StopWatch;
 use crate::verified_caller::VerifiedCaller;
@@ -302,7 +302,7 @@
         *message.method_mut() = req.method.clone();
         *message.uri_mut() = req.uri.clone();
         *message.headers_mut() = req.headers.clone();
-        let marks = OutgoingMarks {
+        let marks = OutgoingMetadata {
             left: req.work_until.saturating_duration_since(Instant::now()),
             backend: &choice.name,
             team: req.caller.team.as_ref(),
--- a/server/src/interface.rs
+++ b/server/src/interface.rs
@@ -34,7 +34,7 @@
 
 /// Holds what a backend server is told with a request.
 #[derive(Clone, Copy, Debug)]
-pub struct OutgoingMarks<'a> {
+pub struct OutgoingMetadata<'a> {
     /// The time that is left for the answer.
     pub left: Duration,
     /// The backend server that is meant; any other one must turn the request away.
@@ -108,7 +108,7 @@
     fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableMark>;
 
     /// Writes what a backend server is told into the caller's headers.
-    fn mark_request(&self, headers: &mut HeaderMap, marks: &OutgoingMarks<'_>);
+    fn mark_request(&self, headers: &mut HeaderMap, marks: &OutgoingMetadata<'_>);
 
     /// Reads an answer of a backend server to the request `request_id`.
     fn read_answer(&self, head: &http::response::Parts, request_id: Option<&str>) -> AnswerMarks;
--- a/server/src/own_interface.rs
+++ b/server/src/own_interface.rs
@@ -47,7 +47,7 @@
 use crate::interface::HealthMarks;
 use crate::interface::LookUpInterface;
 use crate::interface::LookUpSource;
-use crate::interface::OutgoingMarks;
+use crate::interface::OutgoingMetadata;
 use crate::interface::UnreadableMark;
 use crate::query_parameter;
 use crate::reply;
@@ -87,7 +87,7 @@
         })
     }
 
-    fn mark_request(&self, headers: &mut HeaderMap, marks: &OutgoingMarks<'_>) {
+    fn mark_request(&self, headers: &mut HeaderMap, marks: &OutgoingMetadata<'_>) {
         headers.insert(header::DEADLINE_MS, whole_ms(marks.left).into());
         if let Ok(backend) = HeaderValue::from_str(marks.backend.as_str()) {
             headers.insert(BACKEND, backend);
