--- a/server/src/interface.rs
+++ b/server/src/interface.rs
@@ -58,7 +58,7 @@
 
 /// Holds what a backend server says with an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct AnswerMarks {
+pub struct AnswerMetadata {
     /// What the answer means.
     pub meaning: AnswerMeaning,
     /// The load that it reports.
@@ -111,7 +111,8 @@
     fn mark_request(&self, headers: &mut HeaderMap, marks: &OutgoingMetadata<'_>);
 
     /// Reads an answer of a backend server to the request `request_id`.
-    fn read_answer(&self, head: &http::response::Parts, request_id: Option<&str>) -> AnswerMarks;
+    fn read_answer(&self, head: &http::response::Parts, request_id: Option<&str>)
+    -> AnswerMetadata;
 
     /// Reads the answer to a health check; nothing if it isn't `backend` that answers.
     fn read_health(
--- a/server/src/own_interface.rs
+++ b/server/src/own_interface.rs
@@ -39,8 +39,8 @@
 use crate::fleet_control::FleetControl;
 use crate::fleet_control::FleetError;
 use crate::header;
-use crate::interface::AnswerMarks;
 use crate::interface::AnswerMeaning;
+use crate::interface::AnswerMetadata;
 use crate::interface::CallerMetadata;
 use crate::interface::ControlInterface;
 use crate::interface::EntryInterface;
@@ -95,7 +95,7 @@
         header::set_or_remove(headers, &TEAM, marks.team.map(TeamName::as_str));
     }
 
-    fn read_answer(&self, head: &Parts, request_id: Option<&str>) -> AnswerMarks {
+    fn read_answer(&self, head: &Parts, request_id: Option<&str>) -> AnswerMetadata {
         let echoed = header::text(&head.headers, &header::REQUEST_ID);
         let outcome = header::text(&head.headers, &header::OUTCOME);
         let meaning = if outcome == Some(OUTCOME_NOT_RUN) {
@@ -107,7 +107,7 @@
         } else {
             AnswerMeaning::Foreign
         };
-        AnswerMarks {
+        AnswerMetadata {
             meaning,
             load: header::text(&head.headers, &LOAD).and_then(load_report),
         }
