--- a/server/src/interface.rs
+++ b/server/src/interface.rs
@@ -67,7 +67,7 @@
 
 /// Holds what a backend server says of itself in a health check.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HealthMarks {
+pub struct HealthMetadata {
     /// How much longer it stays cold; zero if it isn't.
     pub cold_for: Duration,
 }
@@ -119,7 +119,7 @@
         &self,
         head: &http::response::Parts,
         backend: &BackendName,
-    ) -> Option<HealthMarks>;
+    ) -> Option<HealthMetadata>;
 
     /// Answers the question whether this entry VM takes requests.
     fn answer_ready(&self, ready: bool, req: &Request<RequestBody>) -> Response<AnswerBody>;
--- a/server/src/own_interface.rs
+++ b/server/src/own_interface.rs
@@ -44,7 +44,7 @@
 use crate::interface::CallerMetadata;
 use crate::interface::ControlInterface;
 use crate::interface::EntryInterface;
-use crate::interface::HealthMarks;
+use crate::interface::HealthMetadata;
 use crate::interface::LookUpInterface;
 use crate::interface::LookUpSource;
 use crate::interface::OutgoingMetadata;
@@ -113,10 +113,10 @@
         }
     }
 
-    fn read_health(&self, head: &Parts, backend: &BackendName) -> Option<HealthMarks> {
+    fn read_health(&self, head: &Parts, backend: &BackendName) -> Option<HealthMetadata> {
         let answers = header::text(&head.headers, &BACKEND)?;
         let millis = header::number(&head.headers, &COLD_MS).flatten();
-        (answers == backend.as_str()).then(|| HealthMarks {
+        (answers == backend.as_str()).then(|| HealthMetadata {
             cold_for: Duration::from_millis(millis.unwrap_or(0)),
         })
     }
