--- a/server/src/interface.rs
+++ b/server/src/interface.rs
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// Returns what can't be read, for the refusal.
-    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableMark>;
+    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableHeader>;
 
     /// Writes what a backend server is told into the caller's headers.
     fn mark_request(&self, headers: &mut HeaderMap, marks: &OutgoingMetadata<'_>);
@@ -128,7 +128,7 @@
 /// Tells which header of a request can't be read.
 #[derive(Clone, Debug, Eq, PartialEq, snafu::Snafu)]
 #[snafu(display("the header {name} can't be read"))]
-pub struct UnreadableMark {
+pub struct UnreadableHeader {
     /// The header.
     pub name: &'static str,
 }
--- a/server/src/own_interface.rs
+++ b/server/src/own_interface.rs
@@ -48,7 +48,7 @@
 use crate::interface::LookUpInterface;
 use crate::interface::LookUpSource;
 use crate::interface::OutgoingMetadata;
-use crate::interface::UnreadableMark;
+use crate::interface::UnreadableHeader;
 use crate::query_parameter;
 use crate::reply;
 use crate::request_body;
@@ -70,11 +70,11 @@
 pub struct OwnInterface;
 
 impl EntryInterface for OwnInterface {
-    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableMark> {
+    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableHeader> {
         let patience = match header::number(headers, &header::DEADLINE_MS) {
             Some(Some(millis)) => Some(Duration::from_millis(millis)),
             Some(None) => {
-                return Err(UnreadableMark {
+                return Err(UnreadableHeader {
                     name: "heatherring-deadline-ms",
                 });
             }
