--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -307,7 +307,8 @@
             backend: &choice.name,
             team: req.caller.team.as_ref(),
         };
-        self.interface.mark_request(message.headers_mut(), &marks);
+        self.interface
+            .write_request_metadata(message.headers_mut(), &marks);
         message
     }
 
--- a/server/src/own_interface.rs
+++ b/server/src/own_interface.rs
@@ -87,7 +87,7 @@
         })
     }
 
-    fn mark_request(&self, headers: &mut HeaderMap, marks: &OutgoingMetadata<'_>) {
+    fn write_request_metadata(&self, headers: &mut HeaderMap, marks: &OutgoingMetadata<'_>) {
         headers.insert(header::DEADLINE_MS, whole_ms(marks.left).into());
         if let Ok(backend) = HeaderValue::from_str(marks.backend.as_str()) {
             headers.insert(BACKEND, backend);
