--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -98,7 +98,7 @@
         let marks = self.interface.read_request(&head.headers);
         let marks = marks.map_err(|_| refuse(NotRunReason::MalformedRequest))?;
         trace.request_id.clone_from(&marks.request_id);
-        let view = self.first_view(arrived, marks.patience).await?;
+        let view = self.first_view(arrived, marks.caller_timeout).await?;
         trace.version = view.version.0;
         trace.proof_age = self.proof_age();
         let host = host_of(&head.uri, &head.headers)
@@ -109,7 +109,9 @@
         trace.route = Some(name.clone());
         let mut headers = head.headers;
         let key = credential::read(&headers);
-        let (caller, teams) = self.caller(arrived, marks.patience, name, key).await?;
+        let (caller, teams) = self
+            .caller(arrived, marks.caller_timeout, name, key)
+            .await?;
         if teams.requires_keys() {
             credential::remove(&mut headers);
         }
@@ -122,12 +124,14 @@
             team: team.and_then(|team| team.priority),
             route: route.priority,
         };
-        let patience = marks.patience.unwrap_or(route.timeout);
-        let patience = patience.saturating_sub(WAY_BACK).max(patience / 2);
-        trace.patience = patience.min(route.timeout);
-        let deadline = arrived + trace.patience;
-        let work_until = (deadline + WORK_GRACE).min(arrived + patience);
-        let give_up = (deadline + ANSWER_GRACE).min(arrived + patience);
+        let caller_timeout = marks.caller_timeout.unwrap_or(route.timeout);
+        let caller_timeout = caller_timeout
+            .saturating_sub(WAY_BACK)
+            .max(caller_timeout / 2);
+        trace.caller_timeout = caller_timeout.min(route.timeout);
+        let deadline = arrived + trace.caller_timeout;
+        let work_until = (deadline + WORK_GRACE).min(arrived + caller_timeout);
+        let give_up = (deadline + ANSWER_GRACE).min(arrived + caller_timeout);
         let max_bytes = u32::try_from(view.limits.max_body_bytes).unwrap_or(u32::MAX);
         let body = request_body::read(body, max_bytes, deadline)
             .await
@@ -181,9 +185,9 @@
     async fn first_view(
         &self,
         arrived: Instant,
-        patience: Option<Duration>,
+        caller_timeout: Option<Duration>,
     ) -> Result<Arc<FleetView>, NotRun> {
-        let until = start_wait::wait_until(arrived, self.first_view_wait, patience);
+        let until = start_wait::wait_until(arrived, self.first_view_wait, caller_timeout);
         let mut view = self.view.clone();
         let waiting = view.wait_for(|view| view.has_manifest());
         match tokio::time::timeout_at(until.into(), waiting).await {
@@ -199,7 +203,7 @@
     async fn caller(
         &self,
         arrived: Instant,
-        patience: Option<Duration>,
+        caller_timeout: Option<Duration>,
         route: &RouteName,
         key: Option<KeyDigest>,
     ) -> Result<(VerifiedCaller, Arc<TeamDirectory>), NotRun> {
@@ -210,7 +214,7 @@
         if let Ok(known) = known() {
             return Ok(known);
         }
-        let until = start_wait::wait_until(arrived, CONFIRM_WITHIN, patience);
+        let until = start_wait::wait_until(arrived, CONFIRM_WITHIN, caller_timeout);
         let mut heard = self.heard.clone();
         let confirmed = heard.wait_for(|heard| *heard > arrived);
         let confirmed = tokio::time::timeout_at(until.into(), confirmed).await;
--- a/server/src/interface.rs
+++ b/server/src/interface.rs
@@ -27,7 +27,7 @@
     /// Identifies this attempt of the caller.
     pub request_id: Option<String>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The object that the request concerns.
     pub object: Option<String>,
 }
--- a/server/src/own_interface.rs
+++ b/server/src/own_interface.rs
@@ -71,7 +71,7 @@
 
 impl EntryInterface for OwnInterface {
     fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableHeader> {
-        let patience = match header::number(headers, &header::DEADLINE_MS) {
+        let caller_timeout = match header::number(headers, &header::DEADLINE_MS) {
             Some(Some(millis)) => Some(Duration::from_millis(millis)),
             Some(None) => {
                 return Err(UnreadableHeader {
@@ -82,7 +82,7 @@
         };
         Ok(CallerMetadata {
             request_id: header::text(headers, &header::REQUEST_ID).map(str::to_owned),
-            patience,
+            caller_timeout,
             object: header::text(headers, &OBJECT).map(str::to_owned),
         })
     }
