--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -333,7 +333,7 @@
             }
         };
         at.followed.not_run();
-        if refusal_body::read_out(body).await {
+        if refusal_body::read_to_end(body).await {
             let keep = keep_time(&head.headers);
             self.pool.give_back_for(at.connection, keep);
         }
