--- a/server/src/own_interface.rs
+++ b/server/src/own_interface.rs
@@ -192,7 +192,7 @@
     let path: Vec<&str> = head.uri.path().trim_start_matches('/').split('/').collect();
     let max_bytes = match path.as_slice() {
         ["v1", "announcements"] => request_body::MAX_ANNOUNCEMENT_BYTES,
-        _ => request_body::MAX_ORDER_BYTES,
+        _ => request_body::MAX_OPERATOR_CALL_BYTES,
     };
     let Ok(body) = request_body::read_control_call(body, max_bytes).await else {
         return reply::status(StatusCode::BAD_REQUEST);
