--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -371,7 +371,7 @@
 
     /// Steps back because the connection returned the whole request unwritten, which
     /// `hyper` does when it closed before taking it.
-    pub const fn handed_back<R>(self, _unwritten: &R) -> Attempt<Unsent> {
+    pub const fn returned_unsent<R>(self, _unwritten: &R) -> Attempt<Unsent> {
         let MayHaveRun(()) = self.state;
         Attempt { state: Unsent(()) }
     }
@@ -413,7 +413,7 @@
 
     /// Takes a backend server's word that it ran nothing, as its interface words it.
     #[must_use]
-    pub const fn told_by_backend_server(reason: NotRunReason) -> Self {
+    pub const fn reported_by_backend_server(reason: NotRunReason) -> Self {
         Self {
             reason,
             retry_after: None,
--- a/lib/src/log_chain.rs
+++ b/lib/src/request_diagnosis.rs
@@ -8,7 +8,7 @@
 use serde_json::Map;
 use serde_json::Value;
 
-use crate::log_cause;
+use crate::probable_cause;
 
 /// Time before a decision from which changes are shown: heartbeats that stop are noticed
 /// after some seconds, and backend servers stay cold for as long.
@@ -103,7 +103,7 @@
 
 /// Holds what is known of one request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct LogChain {
+pub struct RequestDiagnosis {
     /// The request.
     pub request_id: String,
     /// The decisions on it, in order.
@@ -114,7 +114,7 @@
     pub cause: Vec<String>,
 }
 
-impl LogChain {
+impl RequestDiagnosis {
     /// Finds what `lines` tell of a request; nothing if no line is on it.
     #[must_use]
     pub fn of(request_id: &str, lines: &[LogLine]) -> Option<Self> {
@@ -129,7 +129,7 @@
             .collect();
         changes.sort_by_key(|line| line.at);
         let changes = without_repeats(changes);
-        let cause = log_cause::of(last, &changes);
+        let cause = probable_cause::of(last, &changes);
         Some(Self {
             request_id: request_id.to_owned(),
             decisions,
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -243,7 +243,7 @@
             Ok(Err(mut error)) => {
                 if let Some(unwritten) = error.take_message() {
                     followed.not_run();
-                    return Exchange::Unwritten(sent.handed_back(&unwritten));
+                    return Exchange::Unwritten(sent.returned_unsent(&unwritten));
                 }
                 followed.broken();
                 let unknown = sent.lost(UnknownReason::ConnectionLost);
@@ -337,7 +337,7 @@
             let keep = keep_time(&head.headers);
             self.pool.give_back_for(at.connection, keep);
         }
-        let refusal = Refusal::told_by_backend_server(refused.0);
+        let refusal = Refusal::reported_by_backend_server(refused.0);
         let mut sent = Sent::new(at.sent.refused(refusal), refused.1);
         sent.load = marks.load;
         sent
