--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -413,7 +413,7 @@
 
     /// Takes a backend server's word that it ran nothing, as its interface words it.
     #[must_use]
-    pub const fn told_by_backend_server(reason: NotRunReason) -> Self {
+    pub const fn reported_by_backend_server(reason: NotRunReason) -> Self {
         Self {
             reason,
             retry_after: None,
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -336,7 +336,7 @@
             let keep = keep_time(&head.headers);
             self.pool.give_back_for(at.connection, keep);
         }
-        let refusal = Refusal::told_by_backend_server(refused.0);
+        let refusal = Refusal::reported_by_backend_server(refused.0);
         let mut sent = Sent::new(at.sent.refused(refusal), refused.1);
         sent.load = marks.load;
         sent
