--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -371,7 +371,7 @@
 
     /// Steps back because the connection returned the whole request unwritten, which
     /// `hyper` does when it closed before taking it.
-    pub const fn handed_back<R>(self, _unwritten: &R) -> Attempt<Unsent> {
+    pub const fn returned_unsent<R>(self, _unwritten: &R) -> Attempt<Unsent> {
         let MayHaveRun(()) = self.state;
         Attempt { state: Unsent(()) }
     }
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -243,7 +243,7 @@
             Ok(Err(mut error)) => {
                 if let Some(unwritten) = error.take_message() {
                     followed.not_run();
-                    return Exchange::Unwritten(sent.handed_back(&unwritten));
+                    return Exchange::Unwritten(sent.returned_unsent(&unwritten));
                 }
                 followed.broken();
                 let unknown = sent.lost(UnknownReason::ConnectionLost);
--- a/server/src/dispatcher.rs
+++ b/server/src/dispatcher.rs
@@ -110,9 +110,9 @@
             Ok(Ok(response)) => return read_head(pool, sent, response, connection).await,
             Ok(Err(mut error)) => match error.take_message() {
                 // The server closed an idle connection before it took the request.
-                Some(unwritten) if reused => attempt = sent.handed_back(&unwritten),
+                Some(unwritten) if reused => attempt = sent.returned_unsent(&unwritten),
                 Some(unwritten) => {
-                    let unsent = sent.handed_back(&unwritten);
+                    let unsent = sent.returned_unsent(&unwritten);
                     return unsent.refuse(NotRunReason::BackendUnreachable).into();
                 }
                 None => return sent.lost(UnknownReason::ConnectionLost).into(),
--- a/server/src/forward_client.rs
+++ b/server/src/forward_client.rs
@@ -169,7 +169,7 @@
             Ok(Err(mut error)) => {
                 return match error.take_message() {
                     Some(unwritten) => {
-                        let unsent = sent.handed_back(&unwritten);
+                        let unsent = sent.returned_unsent(&unwritten);
                         unsent.refuse(NotRunReason::OwnerUnreachable).into()
                     }
                     None => sent.lost(UnknownReason::OwnerLost).into(),
