--- a/cli/src/commands/explain_logs.rs
+++ b/cli/src/commands/explain_logs.rs
@@ -1,8 +1,8 @@
 //! `heatherring explain --logs`: tells from log lines what became of a request.
 
 use clap::ArgMatches;
-use heatherring_lib::log_chain::LogChain;
 use heatherring_lib::log_chain::LogLine;
+use heatherring_lib::log_chain::RequestDiagnosis;
 use serde_json::Value;
 use serde_json::json;
 
@@ -22,7 +22,7 @@
     let files = matches.get_many::<String>("logs").into_iter().flatten();
     let lines = log_input::read(files)?;
     let count = lines.len();
-    let Some(chain) = LogChain::of(request_id, &lines) else {
+    let Some(chain) = RequestDiagnosis::of(request_id, &lines) else {
         return Err(CliError::user(format!(
             "none of {count} log lines is on request \"{request_id}\""
         ))
@@ -36,7 +36,7 @@
     }
 }
 
-fn chain_text(chain: &LogChain) -> String {
+fn chain_text(chain: &RequestDiagnosis) -> String {
     let mut text = vec![format!("request {}", chain.request_id)];
     text.push("decisions:".to_owned());
     text.extend(chain.decisions.iter().map(line_text));
--- a/lib/src/log_chain.rs
+++ b/lib/src/log_chain.rs
@@ -103,7 +103,7 @@
 
 /// Holds what is known of one request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct LogChain {
+pub struct RequestDiagnosis {
     /// The request.
     pub request_id: String,
     /// The decisions on it, in order.
@@ -114,7 +114,7 @@
     pub cause: Vec<String>,
 }
 
-impl LogChain {
+impl RequestDiagnosis {
     /// Finds what `lines` tell of a request; nothing if no line is on it.
     #[must_use]
     pub fn of(request_id: &str, lines: &[LogLine]) -> Option<Self> {
--- a/lib/tests/test_log_chain.rs
+++ b/lib/tests/test_log_chain.rs
@@ -1,7 +1,7 @@
 //! What log lines tell about a request.
 
-use heatherring_lib::log_chain::LogChain;
 use heatherring_lib::log_chain::LogLine;
+use heatherring_lib::log_chain::RequestDiagnosis;
 use insta::assert_snapshot;
 use serde_json::Value;
 use serde_json::json;
@@ -19,7 +19,10 @@
 }
 
 fn cause(lines: &[LogLine]) -> String {
-    LogChain::of("9c41", lines).unwrap().cause.join("\n")
+    RequestDiagnosis::of("9c41", lines)
+        .unwrap()
+        .cause
+        .join("\n")
 }
 
 fn refused(second: &str, reason: &str, fields: &Value) -> LogLine {
@@ -170,7 +173,7 @@
     ));
     let fields = json!({"sends": sends, "outcome": "unknown"});
     lines.push(refused("08.0", "connection_lost", &fields));
-    let cause = LogChain::of("9c41", &lines).unwrap().cause;
+    let cause = RequestDiagnosis::of("9c41", &lines).unwrap().cause;
     assert!(
         cause[1].ends_with("backend server server-4 had gone"),
         "{cause:?}"
@@ -194,5 +197,5 @@
     for text in damaged {
         assert_eq!(LogLine::read("file", text), None, "{text}");
     }
-    assert_eq!(LogChain::of("9c41", &[]), None);
+    assert_eq!(RequestDiagnosis::of("9c41", &[]), None);
 }
