--- a/cli/src/commands/explain_logs.rs
+++ b/cli/src/commands/explain_logs.rs
@@ -1,8 +1,8 @@
 //! `heatherring explain --logs`: tells from log lines what became of a request.
 
 use clap::ArgMatches;
-use heatherring_lib::log_chain::LogLine;
-use heatherring_lib::log_chain::RequestDiagnosis;
+use heatherring_lib::request_diagnosis::LogLine;
+use heatherring_lib::request_diagnosis::RequestDiagnosis;
 use serde_json::Value;
 use serde_json::json;
 
--- a/cli/src/commands/team.rs
+++ b/cli/src/commands/team.rs
@@ -6,7 +6,7 @@
 use clap::ArgAction;
 use clap::ArgMatches;
 use clap::Command;
-use heatherring_lib::log_chain::LogLine;
+use heatherring_lib::request_diagnosis::LogLine;
 use heatherring_lib::team_tally;
 use heatherring_lib::team_tally::TeamTally;
 use heatherring_server::proto::TeamStatus;
--- a/cli/src/log_input.rs
+++ b/cli/src/log_input.rs
@@ -5,7 +5,7 @@
 use std::io::BufRead;
 use std::io::BufReader;
 
-use heatherring_lib::log_chain::LogLine;
+use heatherring_lib::request_diagnosis::LogLine;
 
 use crate::cli_error::CliError;
 
--- a/lib/src/log_cause.rs
+++ b/lib/src/log_cause.rs
@@ -3,7 +3,7 @@
 use crate::cold_tracker::CONTROL_LOST_AFTER;
 use crate::duration_text::whole_ms;
 use crate::follow_lag::MAX_IN_FORCE_DELAY;
-use crate::log_chain::LogLine;
+use crate::request_diagnosis::LogLine;
 
 /// Changes that are named at most. Under a storm of changes there are dozens in the seconds
 /// before a decision, of which the first few are worth a look.
--- a/lib/src/team_tally.rs
+++ b/lib/src/team_tally.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::log_chain::LogLine;
+use crate::request_diagnosis::LogLine;
 
 /// Counts the requests of one team.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
--- a/lib/tests/test_log_chain.rs
+++ b/lib/tests/test_log_chain.rs
@@ -1,7 +1,7 @@
 //! What log lines tell about a request.
 
-use heatherring_lib::log_chain::LogLine;
-use heatherring_lib::log_chain::RequestDiagnosis;
+use heatherring_lib::request_diagnosis::LogLine;
+use heatherring_lib::request_diagnosis::RequestDiagnosis;
 use insta::assert_snapshot;
 use serde_json::Value;
 use serde_json::json;
--- a/server/tests/test_log_writer.rs
+++ b/server/tests/test_log_writer.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use heatherring_lib::clock::SystemClock;
-use heatherring_lib::log_chain::LogLine;
+use heatherring_lib::request_diagnosis::LogLine;
 use heatherring_server::log_writer::LogWriter;
 use heatherring_testutils::wait::wait_for;
 use logforth::Append;
