--- a/lib/src/request_diagnosis.rs
+++ b/lib/src/request_diagnosis.rs
@@ -8,7 +8,7 @@
 use serde_json::Map;
 use serde_json::Value;
 
-use crate::log_cause;
+use crate::probable_cause;
 
 /// Time before a decision from which changes are shown: heartbeats that stop are noticed
 /// after some seconds, and backend servers stay cold for as long.
@@ -129,7 +129,7 @@
             .collect();
         changes.sort_by_key(|line| line.at);
         let changes = without_repeats(changes);
-        let cause = log_cause::of(last, &changes);
+        let cause = probable_cause::of(last, &changes);
         Some(Self {
             request_id: request_id.to_owned(),
             decisions,
