--- a/lib/src/crash_evidence.rs
+++ b/lib/src/crash_evidence.rs
@@ -19,8 +19,8 @@
 use crate::fleet_update::FleetView;
 use crate::id::BackendName;
 use crate::quarantine::Ended;
-use crate::quarantine::MOST_STANDING;
-use crate::quarantine::Stood;
+use crate::quarantine::InFlightRequest;
+use crate::quarantine::MAX_IN_FLIGHT_PER_END;
 use crate::quarantine::Suspect;
 use crate::quarantine::SuspectNote;
 use crate::quarantine::Verdict;
@@ -51,7 +51,7 @@
 const OWN_FOR: Duration = Duration::from_mins(3);
 
 /// Time between two notes that a quarantined request still comes.
-pub const REFUSED_INTERVAL: Duration = Duration::from_mins(2);
+pub const REFUSED_NOTE_INTERVAL: Duration = Duration::from_mins(2);
 
 /// Time between two notes that requests of a watched content are answered, where none of this
 /// caller ended a backend server here: there may be hundreds a second.
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug)]
 struct Unanswered {
     life: BackendIncarnation,
-    stood: Stood,
+    stood: InFlightRequest,
     until: Instant,
 }
 
@@ -96,16 +96,16 @@
 }
 
 /// Knows of the lives of backend servers.
-pub trait BackendLives: Debug + Send + Sync {
+pub trait BackendIncarnations: Debug + Send + Sync {
     /// Returns whether another process has the address by now, or the same one began another
     /// life.
     fn was_replaced(&self, life: &BackendIncarnation) -> bool;
 
     /// Returns whether a backend server said that it leaves, or has left: its end was planned.
-    fn leaves(&self, life: &BackendIncarnation) -> bool;
+    fn is_leaving(&self, life: &BackendIncarnation) -> bool;
 }
 
-impl BackendLives for FleetView {
+impl BackendIncarnations for FleetView {
     fn was_replaced(&self, life: &BackendIncarnation) -> bool {
         let is_superseded = self
             .backends
@@ -114,7 +114,7 @@
         is_superseded || self.has_later_incarnation(&life.backend, life.born)
     }
 
-    fn leaves(&self, life: &BackendIncarnation) -> bool {
+    fn is_leaving(&self, life: &BackendIncarnation) -> bool {
         let known = self.backends.get(&life.backend);
         known.is_none_or(|record| record.drains_in(life))
     }
@@ -167,9 +167,9 @@
     pub fn note_unanswered(
         &mut self,
         now: Instant,
-        lives: &dyn BackendLives,
+        lives: &dyn BackendIncarnations,
         life: &BackendIncarnation,
-        stood: Stood,
+        stood: InFlightRequest,
     ) -> Option<Ended> {
         self.forget_old(now);
         if self.unanswered.len() >= MOST_UNANSWERED {
@@ -191,7 +191,7 @@
     pub fn note_ended(
         &mut self,
         now: Instant,
-        lives: &dyn BackendLives,
+        lives: &dyn BackendIncarnations,
         life: &BackendIncarnation,
     ) -> Option<Ended> {
         if !self.ended.contains(life) {
@@ -201,7 +201,7 @@
             self.ended.push_back(life.clone());
         }
         let requests = self.take_unanswered(life);
-        if requests.is_empty() || lives.leaves(life) {
+        if requests.is_empty() || lives.is_leaving(life) {
             return None;
         }
         // A request that is known to do it explains the end.
@@ -224,7 +224,7 @@
 
     /// Returns the present life of a backend server that doesn't tell its lives apart itself.
     #[must_use]
-    pub fn life_of(&self, backend: &BackendName) -> BackendIncarnation {
+    pub fn incarnation_of(&self, backend: &BackendName) -> BackendIncarnation {
         let ended = self.ended.iter().filter(|life| life.backend == *backend);
         BackendIncarnation {
             backend: backend.clone(),
@@ -234,7 +234,7 @@
 
     /// Notes that connections are taken where a backend server was. It may be another process, or
     /// one that was started again under its name and doesn't tell its lives apart.
-    pub fn note_alive(&mut self, now: Instant, life: &BackendIncarnation) {
+    pub fn note_reachable(&mut self, now: Instant, life: &BackendIncarnation) {
         self.ended.retain(|ended| ended != life);
         let until = now + ANNOUNCED_WITHIN;
         let stood = self
@@ -247,7 +247,11 @@
     }
 
     /// Returns which backend servers have ended as a view has it.
-    pub fn apply_lives(&mut self, now: Instant, lives: &dyn BackendLives) -> Vec<Ended> {
+    pub fn apply_incarnations(
+        &mut self,
+        now: Instant,
+        lives: &dyn BackendIncarnations,
+    ) -> Vec<Ended> {
         self.forget_old(now);
         let stood_on = self.unanswered.iter().map(|unanswered| &unanswered.life);
         let replaced: Vec<BackendIncarnation> = stood_on
@@ -289,7 +293,7 @@
         let own = self.own_entry(now, request);
         let is_lately = own
             .refused_at
-            .is_some_and(|at| now.saturating_duration_since(at) < REFUSED_INTERVAL);
+            .is_some_and(|at| now.saturating_duration_since(at) < REFUSED_NOTE_INTERVAL);
         if is_lately {
             return None;
         }
@@ -332,7 +336,7 @@
         own
     }
 
-    fn take_unanswered(&mut self, life: &BackendIncarnation) -> Vec<Stood> {
+    fn take_unanswered(&mut self, life: &BackendIncarnation) -> Vec<InFlightRequest> {
         let mut requests = BTreeSet::new();
         self.unanswered.retain(|unanswered| {
             let stood = unanswered.life == *life;
@@ -341,7 +345,7 @@
             }
             !stood
         });
-        requests.into_iter().take(MOST_STANDING).collect()
+        requests.into_iter().take(MAX_IN_FLIGHT_PER_END).collect()
     }
 
     fn forget_old(&mut self, now: Instant) {
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -133,7 +133,7 @@
 pub mod team_tally;
 pub mod ticket;
 pub mod ticket_issue;
-pub mod token_purse;
+pub mod token_cache;
 pub mod token_shard;
 pub mod usage_window;
 pub mod view;
--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -23,11 +23,11 @@
 use crate::request_fingerprint::RequestTag;
 
 /// Backend servers that end under a request before it is quarantined.
-pub const QUARANTINED_AT: usize = 3;
+pub const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Backend servers that end under a request before it is watched: it isn't sent on once more
 /// within the same try.
-pub const WATCHED_AT: usize = 2;
+pub const WATCH_THRESHOLD: usize = 2;
 
 /// Requests that are remembered, some 300 bytes each. Each of them has ended a backend server
 /// or stood on one, so that it takes hundreds of ended ones to fill the table.
@@ -37,7 +37,7 @@
 const MOST_ENDS: usize = 12;
 
 /// Requests noted of one backend server that ended; more than it has slots and waiting room.
-pub const MOST_STANDING: usize = 64;
+pub const MAX_IN_FLIGHT_PER_END: usize = 64;
 
 /// Says how entry VMs treat the requests of one content. The greater one goes first.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
@@ -80,7 +80,7 @@
 
 /// Names a request that stood on a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Stood {
+pub struct InFlightRequest {
     /// The request.
     pub tag: RequestTag,
     /// Whether it was sent while its entry VM knew that it is watched.
@@ -93,7 +93,7 @@
     /// The backend server.
     pub life: BackendIncarnation,
     /// The requests, each named once.
-    pub requests: Vec<Stood>,
+    pub requests: Vec<InFlightRequest>,
 }
 
 /// Says what an entry VM saw of requests.
@@ -143,7 +143,7 @@
     #[must_use]
     pub fn verdict(&self) -> Option<Verdict> {
         // Nearly all have one, and all are looked at with each note.
-        if self.ends.len() < WATCHED_AT {
+        if self.ends.len() < WATCH_THRESHOLD {
             return None;
         }
         let ended = self.ended().len();
@@ -154,11 +154,11 @@
         if !guilty.is_empty() {
             return Some(Verdict::QuarantinedFrom(guilty));
         }
-        (ended >= WATCHED_AT).then_some(Verdict::Watched)
+        (ended >= WATCH_THRESHOLD).then_some(Verdict::Watched)
     }
 
     /// Notes that a backend server ended under a request of this content.
-    pub fn note_end(&mut self, life: &BackendIncarnation, stood: &Stood) {
+    pub fn note_end(&mut self, life: &BackendIncarnation, stood: &InFlightRequest) {
         let caller = stood.tag.caller;
         let known = |end: &&mut EndUnder| end.life == *life && end.caller == caller;
         if let Some(end) = self.ends.iter_mut().find(known) {
@@ -186,7 +186,7 @@
         self.answers += 1;
         let repeats = self
             .callers()
-            .any(|caller| self.ended_by(caller) >= WATCHED_AT);
+            .any(|caller| self.ended_by(caller) >= WATCH_THRESHOLD);
         if !repeats && self.answers >= self.ended().len() {
             self.ends.clear();
         }
@@ -212,7 +212,7 @@
         }
         let mut kept = BTreeSet::new();
         self.ends
-            .retain(|end| kept.insert(end.life.clone()) && kept.len() <= WATCHED_AT);
+            .retain(|end| kept.insert(end.life.clone()) && kept.len() <= WATCH_THRESHOLD);
         for end in &mut self.ends {
             end.watched = false;
         }
@@ -233,11 +233,11 @@
 
     fn is_guilty(&self, caller: CallerTag) -> bool {
         let mut ends = self.ends.iter().filter(|end| end.caller == caller);
-        self.ended_by(caller) >= QUARANTINED_AT && ends.any(|end| end.watched)
+        self.ended_by(caller) >= QUARANTINE_THRESHOLD && ends.any(|end| end.watched)
     }
 
     fn is_guilty_from_anywhere(&self, ended: usize) -> bool {
-        ended >= QUARANTINED_AT + self.answers
+        ended >= QUARANTINE_THRESHOLD + self.answers
             && self.callers().nth(1).is_some()
             && self.ends.iter().any(|end| end.watched)
     }
@@ -245,7 +245,7 @@
 
 /// Holds a suspect and when it was heard of.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Noted {
+pub struct SuspectRecord {
     /// What is known.
     pub suspect: Suspect,
     /// The last position at which it was heard of.
@@ -257,7 +257,7 @@
 pub struct Quarantine {
     /// The last position that changed a verdict.
     revision: Revision,
-    suspects: BTreeMap<Fingerprint, Noted>,
+    suspects: BTreeMap<Fingerprint, SuspectRecord>,
 }
 
 impl Quarantine {
@@ -268,13 +268,13 @@
     }
 
     /// Returns all suspected requests.
-    pub fn suspects(&self) -> impl Iterator<Item = (&Fingerprint, &Noted)> {
+    pub fn suspects(&self) -> impl Iterator<Item = (&Fingerprint, &SuspectRecord)> {
         self.suspects.iter()
     }
 
     /// Returns what is known of requests of a content.
     #[must_use]
-    pub fn suspect(&self, request: &Fingerprint) -> Option<&Noted> {
+    pub fn suspect(&self, request: &Fingerprint) -> Option<&SuspectRecord> {
         self.suspects.get(request)
     }
 
@@ -342,7 +342,8 @@
     }
 
     fn note_ended(&mut self, index: Revision, ended: &Ended) {
-        let requests: BTreeSet<&Stood> = ended.requests.iter().take(MOST_STANDING).collect();
+        let requests: BTreeSet<&InFlightRequest> =
+            ended.requests.iter().take(MAX_IN_FLIGHT_PER_END).collect();
         // A request that is known to end backend servers explains why this one did. It may have
         // been sent before the verdict was known there.
         let guilty = requests.iter().find(|stood| self.is_guilty(stood));
@@ -365,7 +366,7 @@
         self.keep_bounds();
     }
 
-    fn is_guilty(&self, stood: &Stood) -> bool {
+    fn is_guilty(&self, stood: &InFlightRequest) -> bool {
         let verdict = self.verdict(&stood.tag.content);
         verdict.is_some_and(|verdict| verdict.quarantines(stood.tag.caller))
     }
@@ -413,7 +414,7 @@
     /// whoever sends many requests that end backend servers pushes out no verdict.
     fn keep_bounds(&mut self) {
         while self.suspects.len() > MOST_SUSPECTS {
-            let rank = |(_, noted): &(&Fingerprint, &Noted)| {
+            let rank = |(_, noted): &(&Fingerprint, &SuspectRecord)| {
                 (
                     noted.suspect.verdict(),
                     noted.suspect.ended().len(),
--- a/lib/src/quarantine_times.rs
+++ b/lib/src/quarantine_times.rs
@@ -9,8 +9,8 @@
 use crate::request_fingerprint::Fingerprint;
 
 /// Time without word of a suspected request after which it is let go one step. A caller that
-/// sends it again and again is heard of every [`crate::crash_evidence::REFUSED_INTERVAL`].
-pub const QUIET: Duration = Duration::from_mins(10);
+/// sends it again and again is heard of every [`crate::crash_evidence::REFUSED_NOTE_INTERVAL`].
+pub const RELEASE_AFTER: Duration = Duration::from_mins(10);
 
 /// Follows when each suspected request was heard of. A replica that starts or becomes the leader
 /// counts from when it first saw them.
@@ -32,10 +32,10 @@
         }
     }
 
-    /// Returns the requests that nothing was heard of for [`QUIET`], and when they were noted.
+    /// Returns the requests that nothing was heard of for [`RELEASE_AFTER`], and when they were noted.
     #[must_use]
-    pub fn quiet(&self, now: Instant) -> Vec<(Fingerprint, Revision)> {
-        let is_quiet = |at: Instant| now.saturating_duration_since(at) >= QUIET;
+    pub fn due_for_release(&self, now: Instant) -> Vec<(Fingerprint, Revision)> {
+        let is_quiet = |at: Instant| now.saturating_duration_since(at) >= RELEASE_AFTER;
         let heard = self.heard.iter();
         heard
             .filter(|(_, (_, at))| is_quiet(*at))
--- a/lib/src/team_directory.rs
+++ b/lib/src/team_directory.rs
@@ -35,7 +35,7 @@
 
 /// Says who a caller is.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Asker<'a> {
+pub enum CallerIdentity<'a> {
     /// Nobody needs to be known.
     Anybody,
     /// The caller of a team.
@@ -49,23 +49,23 @@
 impl TeamDirectory {
     /// Returns whether requests need a key, those on public routes aside.
     #[must_use]
-    pub const fn is_keyed(&self) -> bool {
+    pub const fn requires_keys(&self) -> bool {
         self.keyed
     }
 
     /// Says who sends a request on `route` with `key`. A key that some team has names it on
     /// public routes, too.
     #[must_use]
-    pub fn asker(&self, route: &RouteName, key: Option<KeyDigest>) -> Asker<'_> {
+    pub fn identify(&self, route: &RouteName, key: Option<KeyDigest>) -> CallerIdentity<'_> {
         if !self.keyed {
-            return Asker::Anybody;
+            return CallerIdentity::Anybody;
         }
         let team = key.and_then(|key| self.by_key.get(&key));
         match (team, key) {
-            (Some(team), _) => Asker::Team(team),
-            _ if self.public_routes.contains(route) => Asker::Anybody,
-            (None, None) => Asker::Missing,
-            (None, Some(_)) => Asker::Unknown,
+            (Some(team), _) => CallerIdentity::Team(team),
+            _ if self.public_routes.contains(route) => CallerIdentity::Anybody,
+            (None, None) => CallerIdentity::Missing,
+            (None, Some(_)) => CallerIdentity::Unknown,
         }
     }
 
--- a/lib/src/team_share.rs
+++ b/lib/src/team_share.rs
@@ -7,7 +7,7 @@
 //!
 //! What runs of a team in any window of `window` stays below
 //! `(rate * window + burst) * (1 + over) + slack`:
-//! - tokens that are handed out to waiting requests are used within [`USED_WITHIN`] or not at
+//! - tokens that are handed out to waiting requests are used within [`TOKEN_USE_TIMEOUT`] or not at
 //!   all, and the rate at which they are handed out leaves room for that;
 //! - tokens that entry VMs hold in stock never exceed [`LimitShare::stock`] in sum, and lapse;
 //! - a replica that starts has no token yet.
@@ -29,10 +29,10 @@
 
 /// Time within which a token for a waiting request is used: the way of the reply, and until the
 /// request reaches its backend server.
-pub const USED_WITHIN: Duration = Duration::from_millis(500);
+pub const TOKEN_USE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time for which a token may be held in stock.
-pub const HELD_FOR: Duration = Duration::from_secs(5);
+pub const STOCK_TTL: Duration = Duration::from_secs(5);
 
 /// Tokens that a share holds at least. A share that holds less than one can't ever give one.
 const LEAST_TOKENS: f64 = 2.0;
@@ -81,7 +81,7 @@
     pub fn of(limit: &TeamLimit, tolerance: &LimitTolerance, shares: usize) -> Self {
         let shares = u32::try_from(shares.max(1)).map_or(f64::MAX, f64::from);
         let window = tolerance.window.0.as_secs_f64();
-        let counted = window + USED_WITHIN.as_secs_f64();
+        let counted = window + TOKEN_USE_TIMEOUT.as_secs_f64();
         let allowed = limit.rate * window + limit.burst;
         let allowed = allowed * (1.0 + tolerance.over) + tolerance.slack;
         let rate = limit.rate.min((allowed - limit.burst).max(0.0) / counted);
@@ -100,7 +100,11 @@
 /// Returns the replicas that share the limit of a team out: as many as leave each of them
 /// tokens enough, by rendezvous hashing.
 #[must_use]
-pub fn sharers(team: &TeamName, limit: &TeamLimit, replicas: &[SocketAddr]) -> Vec<SocketAddr> {
+pub fn sharing_replicas(
+    team: &TeamName,
+    limit: &TeamLimit,
+    replicas: &[SocketAddr],
+) -> Vec<SocketAddr> {
     let mut ranked: Vec<(u64, SocketAddr)> = replicas
         .iter()
         .map(|replica| {
--- a/lib/src/token_purse.rs
+++ b/lib/src/token_cache.rs
@@ -16,8 +16,8 @@
 use crate::rate_meter::RateMeter;
 use crate::retry_advice::RetryAdvice;
 use crate::team::TeamLimit;
-use crate::team_share::HELD_FOR;
-use crate::team_share::USED_WITHIN;
+use crate::team_share::STOCK_TTL;
+use crate::team_share::TOKEN_USE_TIMEOUT;
 use crate::token_shard::Draw;
 use crate::token_shard::Drawn;
 
@@ -68,7 +68,7 @@
 
 /// Says what becomes of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Ruling {
+pub enum LimitDecision {
     /// It has its token.
     Run,
     /// The limit is reached.
@@ -85,7 +85,7 @@
 
 /// Holds tokens of teams. `W` stands for a request that waits.
 #[derive(Debug)]
-pub struct TokenPurse<W> {
+pub struct TokenCache<W> {
     teams: BTreeMap<TeamName, Purse<W>>,
     /// Replicas that are asked at the moment.
     busy: BTreeSet<SocketAddr>,
@@ -96,10 +96,10 @@
 
 #[derive(Debug)]
 struct Purse<W> {
-    /// The limit that `sharers` share out; nothing once they may be others.
+    /// The limit that `sharing_replicas` share out; nothing once they may be others.
     limit: Option<TeamLimit>,
     /// The replicas that share the limit out, nearest first.
-    sharers: Vec<SocketAddr>,
+    sharing_replicas: Vec<SocketAddr>,
     /// When those that had no token may have one again.
     ready_at: BTreeMap<SocketAddr, Instant>,
     /// When stock is asked for again.
@@ -157,7 +157,7 @@
 
 /// Asks a replica for tokens.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Question {
+pub struct TokenRequest {
     /// The replica.
     pub replica: SocketAddr,
     /// When it is asked.
@@ -166,7 +166,7 @@
     pub draws: Vec<Draw>,
 }
 
-impl<W> TokenPurse<W> {
+impl<W> TokenCache<W> {
     /// Starts without tokens; `seed` spreads the returns of refused callers.
     #[must_use]
     pub fn new(seed: u64) -> Self {
@@ -179,45 +179,45 @@
     }
 
     /// Takes a token for a request of `team`. Where it isn't known who shares its limit out,
-    /// `find_sharers` says so, nearest first. Returns whom to tell what; `waiter` has to wait if
+    /// `find_sharing_replicas` says so, nearest first. Returns whom to tell what; `waiter` has to wait if
     /// it isn't among them.
     pub fn take(
         &mut self,
         now: Instant,
         team: &TeamName,
         limit: &TeamLimit,
-        find_sharers: impl FnOnce() -> Vec<SocketAddr>,
+        find_sharing_replicas: impl FnOnce() -> Vec<SocketAddr>,
         waiter: W,
-    ) -> Vec<(W, Ruling)> {
+    ) -> Vec<(W, LimitDecision)> {
         let purse = self
             .teams
             .entry(team.clone())
             .or_insert_with(|| Purse::new(now));
         if purse.limit != Some(*limit) {
             purse.limit = Some(*limit);
-            purse.follow(find_sharers());
+            purse.follow(find_sharing_replicas());
         }
         purse.last = now;
         purse.demand.note(now);
         if purse.spend(now) {
-            return vec![(waiter, Ruling::Run)];
+            return vec![(waiter, LimitDecision::Run)];
         }
         purse.waiting.push_back((waiter, now));
         purse.give_up(now, &self.silent, &mut self.advice)
     }
 
     /// Forgets who shares limits out: the replicas have changed.
-    pub fn forget_sharers(&mut self) {
+    pub fn forget_sharing_replicas(&mut self) {
         for purse in self.teams.values_mut() {
             purse.limit = None;
         }
     }
 
     /// Returns what replicas are to be asked now. Each must be answered for.
-    pub fn questions(&mut self, now: Instant) -> Vec<Question> {
+    pub fn token_requests(&mut self, now: Instant) -> Vec<TokenRequest> {
         let silent = &self.silent;
         self.teams.retain(|_, purse| !purse.is_over(now));
-        let mut questions: BTreeMap<SocketAddr, Vec<Draw>> = BTreeMap::new();
+        let mut token_requests: BTreeMap<SocketAddr, Vec<Draw>> = BTreeMap::new();
         for (team, purse) in &mut self.teams {
             purse.lapse(now);
             let asked = purse
@@ -226,22 +226,22 @@
             if let Some(replica) = asked
                 && let Some(draw) = purse.draw(now, team, replica)
             {
-                questions.entry(replica).or_default().push(draw);
+                token_requests.entry(replica).or_default().push(draw);
             }
         }
         for (team, purse) in &mut self.teams {
-            let due = purse.unreported(now, |replica| questions.contains_key(replica));
+            let due = purse.unreported(now, |replica| token_requests.contains_key(replica));
             for replica in due {
                 if !self.busy.contains(&replica) {
                     let draw = purse.report_alone(team, replica);
-                    questions.entry(replica).or_default().push(draw);
+                    token_requests.entry(replica).or_default().push(draw);
                 }
             }
         }
-        self.busy.extend(questions.keys());
-        let questions = questions.into_iter();
-        questions
-            .map(|(replica, draws)| Question {
+        self.busy.extend(token_requests.keys());
+        let token_requests = token_requests.into_iter();
+        token_requests
+            .map(|(replica, draws)| TokenRequest {
                 replica,
                 asked_at: now,
                 draws,
@@ -249,37 +249,37 @@
             .collect()
     }
 
-    /// Takes a replica's answer to `question`; nothing if none came in time. Returns whom to
+    /// Takes a replica's answer to `token_request`; nothing if none came in time. Returns whom to
     /// tell what.
     pub fn answered(
         &mut self,
         now: Instant,
-        question: &Question,
+        token_request: &TokenRequest,
         answer: Option<&[Drawn]>,
-    ) -> Vec<(W, Ruling)> {
-        self.busy.remove(&question.replica);
+    ) -> Vec<(W, LimitDecision)> {
+        self.busy.remove(&token_request.replica);
         if answer.is_some() {
-            self.silent.remove(&question.replica);
+            self.silent.remove(&token_request.replica);
         } else {
-            let silent = Silent::next(self.silent.get(&question.replica), now);
-            self.silent.insert(question.replica, silent);
+            let silent = Silent::next(self.silent.get(&token_request.replica), now);
+            self.silent.insert(token_request.replica, silent);
         }
-        let is_fresh = now.saturating_duration_since(question.asked_at) <= USED_WITHIN;
+        let is_fresh = now.saturating_duration_since(token_request.asked_at) <= TOKEN_USE_TIMEOUT;
         let mut told = Vec::new();
-        for draw in &question.draws {
+        for draw in &token_request.draws {
             let Some(purse) = self.teams.get_mut(&draw.team) else {
                 continue;
             };
-            purse.asked.remove(&question.replica);
+            purse.asked.remove(&token_request.replica);
             let drawn = answer.and_then(|answer| answer.iter().find(|d| d.team == draw.team));
             if let Some(drawn) = drawn {
                 let count = if is_fresh { drawn.waiting } else { 0 };
                 told.extend(purse.serve(now, count));
-                purse.take_in(now, question, draw, drawn);
+                purse.take_in(now, token_request, draw, drawn);
             } else if answer.is_some() {
                 // It doesn't know the team yet.
                 let ready_at = now + SILENT_FOR;
-                purse.ready_at.insert(question.replica, ready_at);
+                purse.ready_at.insert(token_request.replica, ready_at);
             } else {
                 purse.wait_anew(now);
             }
@@ -288,10 +288,10 @@
         told
     }
 
-    /// Returns when [`Self::questions`] is to be asked again at the latest; nothing while no team
+    /// Returns when [`Self::token_requests`] is to be asked again at the latest; nothing while no team
     /// has asked lately.
     #[must_use]
-    pub fn next_look(&self, now: Instant) -> Option<Instant> {
+    pub fn next_poll_at(&self, now: Instant) -> Option<Instant> {
         if self.teams.is_empty() {
             return None;
         }
@@ -310,7 +310,7 @@
     fn new(now: Instant) -> Self {
         Self {
             limit: None,
-            sharers: Vec::new(),
+            sharing_replicas: Vec::new(),
             ready_at: BTreeMap::new(),
             stock_at: now,
             waiting: VecDeque::new(),
@@ -324,9 +324,9 @@
         }
     }
 
-    fn follow(&mut self, sharers: Vec<SocketAddr>) {
-        if self.sharers != sharers {
-            self.sharers = sharers;
+    fn follow(&mut self, sharing_replicas: Vec<SocketAddr>) {
+        if self.sharing_replicas != sharing_replicas {
+            self.sharing_replicas = sharing_replicas;
             self.ready_at.clear();
         }
     }
@@ -376,7 +376,7 @@
             let ready_at = self.ready_at.get(*replica);
             is_awake(now, silent, replica) && ready_at.is_none_or(|at| *at <= now)
         };
-        self.sharers.iter().filter(is_ready).copied()
+        self.sharing_replicas.iter().filter(is_ready).copied()
     }
 
     /// Returns what to ask `replica` for, if anything.
@@ -444,23 +444,25 @@
         self.used.remove(&replica).map_or(0, |used| used.count)
     }
 
-    fn serve(&mut self, now: Instant, count: u32) -> Vec<(W, Ruling)> {
+    fn serve(&mut self, now: Instant, count: u32) -> Vec<(W, LimitDecision)> {
         let count = usize::try_from(count).unwrap_or(usize::MAX);
         let count = count.min(self.waiting.len());
         for _ in 0..count {
             self.served.note(now);
         }
         let served = self.waiting.drain(..count);
-        served.map(|(waiter, _)| (waiter, Ruling::Run)).collect()
+        served
+            .map(|(waiter, _)| (waiter, LimitDecision::Run))
+            .collect()
     }
 
     /// Puts tokens into stock, which may be as old as the question, and notes what lacks.
-    fn take_in(&mut self, now: Instant, question: &Question, draw: &Draw, drawn: &Drawn) {
+    fn take_in(&mut self, now: Instant, token_request: &TokenRequest, draw: &Draw, drawn: &Drawn) {
         if drawn.stock > 0 {
             self.stock.push_back(Stock {
-                replica: question.replica,
+                replica: token_request.replica,
                 count: drawn.stock,
-                until: question.asked_at + HELD_FOR,
+                until: token_request.asked_at + STOCK_TTL,
             });
         }
         if drawn.stock < draw.stock {
@@ -468,7 +470,7 @@
         }
         if drawn.waiting < draw.waiting {
             let pause = drawn.retry_after.max(LEAST_PAUSE);
-            self.ready_at.insert(question.replica, now + pause);
+            self.ready_at.insert(token_request.replica, now + pause);
         }
     }
 
@@ -492,8 +494,8 @@
         now: Instant,
         silent: &BTreeMap<SocketAddr, Silent>,
         advice: &mut RetryAdvice,
-    ) -> Vec<(W, Ruling)> {
-        let awake = self.sharers.iter();
+    ) -> Vec<(W, LimitDecision)> {
+        let awake = self.sharing_replicas.iter();
         let awake = awake.filter(|replica| is_awake(now, silent, replica));
         let ready_at = awake.map(|replica| self.ready_at.get(replica).copied().unwrap_or(now));
         let Some(ready_at) = ready_at.min() else {
@@ -506,7 +508,7 @@
         let may_wait = if wait.is_zero() {
             usize::MAX
         } else if wait <= PATIENCE && self.refused.per_second(now) < SHORT {
-            self.sharers.len()
+            self.sharing_replicas.len()
         } else {
             0
         };
@@ -525,18 +527,23 @@
 
     /// Refuses a request. Those who are refused together are to come back when there are tokens
     /// for them all, and not together.
-    fn over_limit(&mut self, now: Instant, wait: Duration, advice: &mut RetryAdvice) -> Ruling {
+    fn over_limit(
+        &mut self,
+        now: Instant,
+        wait: Duration,
+        advice: &mut RetryAdvice,
+    ) -> LimitDecision {
         self.refused.note(now);
         let refused = self.refused.per_second(now);
         let served = self.served.per_second(now);
-        Ruling::OverLimit {
+        LimitDecision::OverLimit {
             retry_after: advice.after(wait, refused, served),
         }
     }
 
-    fn unconfirmed(&mut self, now: Instant, advice: &mut RetryAdvice) -> Ruling {
+    fn unconfirmed(&mut self, now: Instant, advice: &mut RetryAdvice) -> LimitDecision {
         self.refused.note(now);
-        Ruling::Unconfirmed {
+        LimitDecision::Unconfirmed {
             retry_after: advice.after(COME_BACK, 0.0, 1.0),
         }
     }
--- a/lib/src/token_shard.rs
+++ b/lib/src/token_shard.rs
@@ -9,8 +9,8 @@
 
 use crate::id::TeamName;
 use crate::id::VmName;
-use crate::team_share::HELD_FOR;
 use crate::team_share::LimitShare;
+use crate::team_share::STOCK_TTL;
 
 /// Time after which a share that has grown is used in full. Until then others may go by what
 /// they were entitled to before.
@@ -208,7 +208,7 @@
         let room = whole(self.share.stock).saturating_sub(held);
         let taken = self.take(wanted.min(room), KEPT_FOR_WAITING * self.share.burst);
         if taken > 0 {
-            let until = now + HELD_FOR;
+            let until = now + STOCK_TTL;
             let held = self.held.entry(holder.clone());
             let held = held.or_insert(Held { count: 0, until });
             held.count += taken;
--- a/lib/tests/test_control_state.rs
+++ b/lib/tests/test_control_state.rs
@@ -31,7 +31,7 @@
 use heatherring_lib::id::TeamName;
 use heatherring_lib::id::VmName;
 use heatherring_lib::quarantine::Ended;
-use heatherring_lib::quarantine::Stood;
+use heatherring_lib::quarantine::InFlightRequest;
 use heatherring_lib::quarantine::SuspectNote;
 use heatherring_lib::raft_message::Membership;
 use heatherring_lib::raft_message::ReplicaInfo;
@@ -330,7 +330,7 @@
                 backend: BackendName::new(backend),
                 born: 0,
             },
-            requests: vec![Stood { tag, watched: true }],
+            requests: vec![InFlightRequest { tag, watched: true }],
         });
         let command = FleetCommand::NoteSuspects(vec![note]);
         apply(&mut state, CommandKind::Fleet(Box::new(command)));
--- a/lib/tests/test_crash_evidence.rs
+++ b/lib/tests/test_crash_evidence.rs
@@ -17,7 +17,7 @@
 use heatherring_lib::id::PlaceName;
 use heatherring_lib::id::ServiceName;
 use heatherring_lib::quarantine::Ended;
-use heatherring_lib::quarantine::Stood;
+use heatherring_lib::quarantine::InFlightRequest;
 use heatherring_lib::quarantine::SuspectNote;
 use heatherring_lib::quarantine::Verdict;
 use heatherring_lib::request_fingerprint::CallerTag;
@@ -45,9 +45,9 @@
 }
 
 /// A request that was sent while it was known to be watched.
-fn request(number: u8) -> Stood {
+fn request(number: u8) -> InFlightRequest {
     let tag = tag(number);
-    Stood { tag, watched: true }
+    InFlightRequest { tag, watched: true }
 }
 
 fn life(number: u32) -> BackendIncarnation {
@@ -95,7 +95,7 @@
     for number in 1..=5 {
         let noted = evidence.note_unanswered(now, &ready(), &life(number), request(1));
         assert_eq!(noted, None);
-        evidence.note_alive(now, &life(number));
+        evidence.note_reachable(now, &life(number));
     }
     assert_eq!(evidence.treatment(&tag(1)), None);
 }
@@ -129,7 +129,7 @@
     let mut evidence = CrashEvidence::default();
     let now = Instant::now();
     end_under(&mut evidence, now, 1, &[1]);
-    evidence.note_alive(now, &life(1));
+    evidence.note_reachable(now, &life(1));
     let timed_out = evidence.note_unanswered(now, &ready(), &life(1), request(2));
     assert_eq!(timed_out, None);
 }
@@ -142,7 +142,7 @@
                 let mut evidence = CrashEvidence::default();
                 let now = Instant::now();
                 evidence.note_unanswered(now, &ready(), &life(1), request(1));
-                let ended = evidence.apply_lives(now, &$view);
+                let ended = evidence.apply_incarnations(now, &$view);
                 assert_eq!(!ended.is_empty(), $is_evidence);
             }
         )*
@@ -173,12 +173,12 @@
     evidence.note_unanswered(now, &ready(), &life(1), request(1));
     let replaced = view(BackendState::Superseded, 10);
     let later = now + Duration::from_secs(15);
-    assert_eq!(evidence.apply_lives(later, &replaced), []);
+    assert_eq!(evidence.apply_incarnations(later, &replaced), []);
     // An address that takes connections is another process's for a shorter time.
     evidence.note_unanswered(later, &ready(), &life(2), request(1));
-    evidence.note_alive(later, &life(2));
+    evidence.note_reachable(later, &life(2));
     let later = later + Duration::from_secs(3);
-    assert_eq!(evidence.apply_lives(later, &replaced), []);
+    assert_eq!(evidence.apply_incarnations(later, &replaced), []);
 }
 
 /// Symptom: without control a request ends one backend server after the other. Sequence: the
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -11,12 +11,12 @@
 use heatherring_lib::id::ClusterId;
 use heatherring_lib::id::Revision;
 use heatherring_lib::quarantine::Ended;
+use heatherring_lib::quarantine::InFlightRequest;
 use heatherring_lib::quarantine::Quarantine;
-use heatherring_lib::quarantine::Stood;
 use heatherring_lib::quarantine::SuspectNote;
 use heatherring_lib::quarantine::Verdict;
-use heatherring_lib::quarantine_times::QUIET;
 use heatherring_lib::quarantine_times::QuarantineTimes;
+use heatherring_lib::quarantine_times::RELEASE_AFTER;
 use heatherring_lib::request_fingerprint::CallerTag;
 use heatherring_lib::request_fingerprint::Fingerprint;
 use heatherring_lib::request_fingerprint::FingerprintKey;
@@ -57,15 +57,15 @@
     }
 }
 
-fn stood(number: usize, from: u8, watched: bool) -> Stood {
+fn stood(number: usize, from: u8, watched: bool) -> InFlightRequest {
     let tag = RequestTag {
         content: request(number),
         caller: caller(from),
     };
-    Stood { tag, watched }
+    InFlightRequest { tag, watched }
 }
 
-fn note(backend: usize, requests: Vec<Stood>) -> SuspectNote {
+fn note(backend: usize, requests: Vec<InFlightRequest>) -> SuspectNote {
     let life = life(backend);
     SuspectNote::Ended(Ended { life, requests })
 }
@@ -261,17 +261,17 @@
     let start = Instant::now();
     let mut times = QuarantineTimes::default();
     times.follow(start, &quarantine);
-    let halfway = start + QUIET / 2;
+    let halfway = start + RELEASE_AFTER / 2;
     quarantine.note(Revision(4), &[SuspectNote::Refused(request(0))]);
     times.follow(halfway, &quarantine);
-    assert_eq!(times.quiet(start + QUIET), []);
-    let quiet = times.quiet(halfway + QUIET);
-    assert_eq!(quiet, [(request(0), Revision(4))]);
+    assert_eq!(times.due_for_release(start + RELEASE_AFTER), []);
+    let due_for_release = times.due_for_release(halfway + RELEASE_AFTER);
+    assert_eq!(due_for_release, [(request(0), Revision(4))]);
     let mut heard_meanwhile = quarantine.clone();
     heard_meanwhile.note(Revision(5), &[SuspectNote::Refused(request(0))]);
-    heard_meanwhile.release(Revision(6), &quiet);
+    heard_meanwhile.release(Revision(6), &due_for_release);
     assert_eq!(treated(&heard_meanwhile), FIRST);
-    quarantine.release(Revision(5), &quiet);
+    quarantine.release(Revision(5), &due_for_release);
     assert_eq!(treated(&quarantine), WATCHED);
     let mut comes_again = quarantine.clone();
     comes_again.note(Revision(6), &[ended_watched(4, &[0])]);
--- a/lib/tests/test_team_tokens.rs
+++ b/lib/tests/test_team_tokens.rs
@@ -159,13 +159,13 @@
         let all: Vec<_> = (1_u8..=40)
             .map(|last| std::net::SocketAddr::from(([10, 0, 0, last], 7_000)))
             .collect();
-        let sharers = team_share::sharers(&team(1), &limit, &all[..replicas]);
-        prop_assert!((1..=replicas).contains(&sharers.len()));
+        let sharing_replicas = team_share::sharing_replicas(&team(1), &limit, &all[..replicas]);
+        prop_assert!((1..=replicas).contains(&sharing_replicas.len()));
         let tolerance = LimitTolerance::default();
-        let share = LimitShare::of(&limit, &tolerance, sharers.len());
-        let count = f64::from(u32::try_from(sharers.len()).unwrap());
+        let share = LimitShare::of(&limit, &tolerance, sharing_replicas.len());
+        let count = f64::from(u32::try_from(sharing_replicas.len()).unwrap());
         let window = tolerance.window.0.as_secs_f64();
-        let late = team_share::USED_WITHIN.as_secs_f64();
+        let late = team_share::TOKEN_USE_TIMEOUT.as_secs_f64();
         let most = count * (share.rate * (window + late) + share.burst + share.stock);
         let allowed = (rate * window + burst) * (1.0 + tolerance.over) + tolerance.slack;
         prop_assert!(most <= allowed + 1e-6, "{most} of {allowed}");
@@ -256,7 +256,7 @@
         others: others.0 / others.1,
         excess,
         refused_late: f64::from(counted.refused_late) / f64::from(counted.asked),
-        messages: f64::from(model.questions)
+        messages: f64::from(model.token_requests)
             / f64::from(model.counted.iter().map(|c| c.asked).sum::<u32>()),
     }
 }
--- a/lib/tests/test_teams.rs
+++ b/lib/tests/test_teams.rs
@@ -23,7 +23,7 @@
 use heatherring_lib::team::KeyDigest;
 use heatherring_lib::team::Team;
 use heatherring_lib::team::TeamKey;
-use heatherring_lib::team_directory::Asker;
+use heatherring_lib::team_directory::CallerIdentity;
 use heatherring_lib::team_manifest::FleetChange;
 use heatherring_lib::team_manifest::TeamChange;
 use rstest::rstest;
@@ -65,9 +65,9 @@
     change
 }
 
-fn asker<'a>(view: &'a FleetView, key: &str) -> Asker<'a> {
+fn identify<'a>(view: &'a FleetView, key: &str) -> CallerIdentity<'a> {
     let key = KeyDigest::of(key.as_bytes());
-    view.teams.asker(&RouteName::new("r"), Some(key))
+    view.teams.identify(&RouteName::new("r"), Some(key))
 }
 
 /// Applies changes one after the other, and has one view follow each and one take all at once.
@@ -91,7 +91,7 @@
             .collect()
     };
     assert_eq!(known(&view), known(&at_once));
-    assert_eq!(view.teams.is_keyed(), at_once.teams.is_keyed());
+    assert_eq!(view.teams.requires_keys(), at_once.teams.requires_keys());
     (state, view)
 }
 
@@ -107,13 +107,22 @@
     moved.removed_teams.push(TeamName::new("t-2"));
     let moved = patch(3, 2, moved);
     let (_, view) = follow(std::slice::from_ref(&first));
-    assert_eq!(asker(&view, "k-1"), Asker::Team(&TeamName::new("t-1")));
+    assert_eq!(
+        identify(&view, "k-1"),
+        CallerIdentity::Team(&TeamName::new("t-1"))
+    );
     let (_, view) = follow(&[first.clone(), taken_away.clone()]);
-    assert_eq!(asker(&view, "k-1"), Asker::Unknown);
-    assert_eq!(asker(&view, "k-2"), Asker::Team(&TeamName::new("t-1")));
+    assert_eq!(identify(&view, "k-1"), CallerIdentity::Unknown);
+    assert_eq!(
+        identify(&view, "k-2"),
+        CallerIdentity::Team(&TeamName::new("t-1"))
+    );
     let (_, view) = follow(&[first, taken_away, moved]);
-    assert_eq!(asker(&view, "k-3"), Asker::Team(&TeamName::new("t-3")));
-    assert_eq!(asker(&view, "K-3"), Asker::Unknown);
+    assert_eq!(
+        identify(&view, "k-3"),
+        CallerIdentity::Team(&TeamName::new("t-3"))
+    );
+    assert_eq!(identify(&view, "K-3"), CallerIdentity::Unknown);
 }
 
 /// Symptom: whoever sends no key is served after the last team was removed. Cause: a manifest
@@ -124,11 +133,11 @@
     let mut none = teams(&[]);
     none.removed_teams.push(TeamName::new("t-1"));
     let (_, view) = follow(&[first.clone(), patch(2, 1, none)]);
-    assert_eq!(asker(&view, "k-1"), Asker::Unknown);
+    assert_eq!(identify(&view, "k-1"), CallerIdentity::Unknown);
     let route = RouteName::new("r");
-    assert_eq!(view.teams.asker(&route, None), Asker::Missing);
+    assert_eq!(view.teams.identify(&route, None), CallerIdentity::Missing);
     let (_, view) = follow(&[first, whole(2, 1, None)]);
-    assert_eq!(view.teams.asker(&route, None), Asker::Anybody);
+    assert_eq!(view.teams.identify(&route, None), CallerIdentity::Anybody);
 }
 
 #[test]
@@ -137,11 +146,14 @@
     let mut change = teams(&[("t-1", &["k-1"])]);
     change.public_routes = BTreeSet::from([route.clone()]);
     let (_, view) = follow(&[whole(1, 0, Some(change))]);
-    assert_eq!(view.teams.asker(&route, None), Asker::Anybody);
-    assert_eq!(asker(&view, "k-9"), Asker::Anybody);
-    assert_eq!(asker(&view, "k-1"), Asker::Team(&TeamName::new("t-1")));
+    assert_eq!(view.teams.identify(&route, None), CallerIdentity::Anybody);
+    assert_eq!(identify(&view, "k-9"), CallerIdentity::Anybody);
+    assert_eq!(
+        identify(&view, "k-1"),
+        CallerIdentity::Team(&TeamName::new("t-1"))
+    );
     let other = RouteName::new("other");
-    assert_eq!(view.teams.asker(&other, None), Asker::Missing);
+    assert_eq!(view.teams.identify(&other, None), CallerIdentity::Missing);
 }
 
 /// Symptom: two teams have one key, so that one is served in the other's name. Cause: only
@@ -161,7 +173,10 @@
     };
     assert_eq!(answer, RouteAnswer::Invalid(problem));
     assert_eq!(state, before);
-    assert_eq!(asker(&view, "k-1"), Asker::Team(&TeamName::new("t-1")));
+    assert_eq!(
+        identify(&view, "k-1"),
+        CallerIdentity::Team(&TeamName::new("t-1"))
+    );
 }
 
 #[rstest]
--- a/lib/tests/token_model/mod.rs
+++ b/lib/tests/token_model/mod.rs
@@ -13,9 +13,9 @@
 use heatherring_lib::team_share;
 use heatherring_lib::team_share::LimitShare;
 use heatherring_lib::team_share::LimitTolerance;
-use heatherring_lib::token_purse::Question;
-use heatherring_lib::token_purse::Ruling;
-use heatherring_lib::token_purse::TokenPurse;
+use heatherring_lib::token_cache::LimitDecision;
+use heatherring_lib::token_cache::TokenCache;
+use heatherring_lib::token_cache::TokenRequest;
 use heatherring_lib::token_shard::Drawn;
 use heatherring_lib::token_shard::Holder;
 use heatherring_lib::token_shard::TokenShard;
@@ -46,12 +46,12 @@
     Asked {
         vm: usize,
         life: u64,
-        question: Question,
+        token_request: TokenRequest,
     },
     Answered {
         vm: usize,
         life: u64,
-        question: Question,
+        token_request: TokenRequest,
         drawn: Option<Vec<Drawn>>,
     },
     Look {
@@ -71,7 +71,7 @@
 }
 
 struct Vm {
-    purse: TokenPurse<usize>,
+    purse: TokenCache<usize>,
     equal: TokenShard,
     life: u64,
     up: bool,
@@ -102,13 +102,13 @@
     vms: Vec<Vm>,
     pub limits: Vec<TeamLimit>,
     pub counted: Vec<Counted>,
-    sharers: BTreeMap<usize, Vec<SocketAddr>>,
+    sharing_replicas: BTreeMap<usize, Vec<SocketAddr>>,
     events: BTreeMap<(Duration, u64), Event>,
     number: u64,
     /// Team and time of each request, by the number that waits in a purse.
     requests: Vec<(usize, Duration)>,
     /// Questions that were asked.
-    pub questions: u32,
+    pub token_requests: u32,
     pub draws: u32,
 }
 
@@ -133,11 +133,11 @@
             vms: Vec::new(),
             counted: vec![Counted::default(); limits.len()],
             limits,
-            sharers: BTreeMap::new(),
+            sharing_replicas: BTreeMap::new(),
             events: BTreeMap::new(),
             number: 0,
             requests: Vec::new(),
-            questions: 0,
+            token_requests: 0,
             draws: 0,
         };
         for replica in 0..replicas {
@@ -151,7 +151,7 @@
         }
         for vm in 0..vms {
             model.vms.push(Vm {
-                purse: TokenPurse::new(vm as u64),
+                purse: TokenCache::new(vm as u64),
                 equal: TokenShard::new(model.origin),
                 life: 1,
                 up: true,
@@ -196,7 +196,7 @@
     pub fn restart_vm(&mut self, vm: usize) {
         let state = &mut self.vms[vm];
         state.life += 1;
-        state.purse = TokenPurse::new(state.life);
+        state.purse = TokenCache::new(state.life);
         state.equal = TokenShard::new(self.origin + self.now);
     }
 
@@ -208,7 +208,7 @@
     /// Has an entry VM look again when the purse says so.
     fn look_again(&mut self, vm: usize) {
         let now = self.at(self.now);
-        let next = self.vms[vm].purse.next_look(now);
+        let next = self.vms[vm].purse.next_poll_at(now);
         if let Some(next) = next.filter(|next| *next < now + LOOK_EVERY) {
             let at = next.saturating_duration_since(self.origin);
             self.push(at, Event::Ask { vm });
@@ -234,8 +234,8 @@
             | Event::Look { vm }
             | Event::Ask { vm }
             | Event::Answered { vm, .. } => self.vms[*vm].frozen_until,
-            Event::Asked { question, .. } => {
-                let replica = self.replica(question.replica);
+            Event::Asked { token_request, .. } => {
+                let replica = self.replica(token_request.replica);
                 self.replicas[replica].frozen_until
             }
         };
@@ -253,11 +253,15 @@
                 self.ask(vm);
                 self.look_again(vm);
             }
-            Event::Asked { vm, life, question } => self.draw(vm, life, question),
+            Event::Asked {
+                vm,
+                life,
+                token_request,
+            } => self.draw(vm, life, token_request),
             Event::Answered {
                 vm,
                 life,
-                question,
+                token_request,
                 drawn,
             } => {
                 if self.vms[vm].life != life {
@@ -266,7 +270,7 @@
                 let now = self.at(self.now);
                 let ruled = self.vms[vm]
                     .purse
-                    .answered(now, &question, drawn.as_deref());
+                    .answered(now, &token_request, drawn.as_deref());
                 self.rule(ruled);
                 self.ask(vm);
             }
@@ -280,18 +284,20 @@
             .unwrap()
     }
 
-    fn sharers(&mut self, number: usize) -> Vec<SocketAddr> {
-        if let Some(known) = self.sharers.get(&number) {
+    fn sharing_replicas(&mut self, number: usize) -> Vec<SocketAddr> {
+        if let Some(known) = self.sharing_replicas.get(&number) {
             return known.clone();
         }
         let replicas = self.replicas.iter();
         let all: Vec<SocketAddr> = replicas.map(|replica| replica.address).collect();
-        let mut sharers = team_share::sharers(&team(number), &self.limits[number], &all);
+        let mut sharing_replicas =
+            team_share::sharing_replicas(&team(number), &self.limits[number], &all);
         if self.way == Way::One {
-            sharers.truncate(1);
+            sharing_replicas.truncate(1);
         }
-        self.sharers.insert(number, sharers.clone());
-        sharers
+        self.sharing_replicas
+            .insert(number, sharing_replicas.clone());
+        sharing_replicas
     }
 
     fn delay(vm: usize, replica: usize) -> Duration {
@@ -311,8 +317,8 @@
             self.take_equal(vm, number, request);
             return;
         }
-        let mut sharers = self.sharers(number);
-        sharers.sort_by_key(|sharer| {
+        let mut sharing_replicas = self.sharing_replicas(number);
+        sharing_replicas.sort_by_key(|sharer| {
             let replica = self.replica(*sharer);
             (
                 Self::delay(vm, replica),
@@ -322,7 +328,7 @@
         let now = self.at(self.now);
         let limit = self.limits[number];
         let purse = &mut self.vms[vm].purse;
-        let ruled = purse.take(now, &name, &limit, || sharers, request);
+        let ruled = purse.take(now, &name, &limit, || sharing_replicas, request);
         self.rule(ruled);
         self.ask(vm);
         self.look_again(vm);
@@ -340,55 +346,62 @@
         let now = self.at(self.now);
         let drawn = self.vms[vm].equal.draw(now, &holder, &share, &draw);
         let ruling = if drawn.waiting == 1 {
-            Ruling::Run
+            LimitDecision::Run
         } else {
-            Ruling::OverLimit {
+            LimitDecision::OverLimit {
                 retry_after: drawn.retry_after,
             }
         };
         self.rule([(request, ruling)]);
     }
 
-    fn rule(&mut self, ruled: impl IntoIterator<Item = (usize, Ruling)>) {
+    fn rule(&mut self, ruled: impl IntoIterator<Item = (usize, LimitDecision)>) {
         for (request, ruling) in ruled {
             let (team, asked_at) = self.requests[request];
             let counted = &mut self.counted[team];
             let held = self.now.saturating_sub(asked_at);
-            if ruling != Ruling::Run && held > Duration::from_millis(400) {
+            if ruling != LimitDecision::Run && held > Duration::from_millis(400) {
                 counted.refused_late += 1;
             }
             match ruling {
-                Ruling::Run => {
+                LimitDecision::Run => {
                     let waited = self.now.saturating_sub(asked_at);
                     counted.run.push(self.now);
                     counted.waited += waited;
                     counted.longest_wait = counted.longest_wait.max(waited);
                 }
-                Ruling::OverLimit { .. } => counted.over += 1,
-                Ruling::Unconfirmed { .. } => counted.unconfirmed += 1,
+                LimitDecision::OverLimit { .. } => counted.over += 1,
+                LimitDecision::Unconfirmed { .. } => counted.unconfirmed += 1,
             }
         }
     }
 
     fn ask(&mut self, vm: usize) {
         let now = self.at(self.now);
-        let questions = self.vms[vm].purse.questions(now);
+        let token_requests = self.vms[vm].purse.token_requests(now);
         let life = self.vms[vm].life;
-        for question in questions {
-            self.questions += 1;
-            self.draws += u32::try_from(question.draws.len()).unwrap();
-            let replica = self.replica(question.replica);
+        for token_request in token_requests {
+            self.token_requests += 1;
+            self.draws += u32::try_from(token_request.draws.len()).unwrap();
+            let replica = self.replica(token_request.replica);
             let late = Event::Answered {
                 vm,
                 life,
-                question: question.clone(),
+                token_request: token_request.clone(),
                 drawn: None,
             };
             if self.is_cut(vm, replica) {
                 self.push(self.now + ANSWER_WITHIN, late);
             } else {
                 let delay = Self::delay(vm, replica);
-                self.push(self.now + delay, Event::Asked { vm, life, question });
+                self.push(
+                    self.now + delay,
+                    Event::Asked {
+                        vm,
+                        life,
+                        token_request,
+                    },
+                );
             }
         }
     }
@@ -397,20 +410,22 @@
         self.vms[vm].cut_until > self.now || self.replicas[replica].cut_until > self.now
     }
 
-    fn draw(&mut self, vm: usize, life: u64, question: Question) {
-        let number = self.replica(question.replica);
+    fn draw(&mut self, vm: usize, life: u64, token_request: TokenRequest) {
+        let number = self.replica(token_request.replica);
         let now = self.at(self.now);
         let mut answers = Vec::new();
-        for draw in &question.draws {
+        for draw in &token_request.draws {
             let team = (0..self.limits.len())
                 .find(|n| team(*n) == draw.team)
                 .unwrap();
-            let sharers = self.sharers(team);
-            let share = LimitShare::of(&self.limits[team], &self.tolerance, sharers.len());
+            let sharing_replicas = self.sharing_replicas(team);
+            let share = LimitShare::of(&self.limits[team], &self.tolerance, sharing_replicas.len());
             let tokens = &mut self.replicas[number].shard;
             answers.push(tokens.draw(now, &holder(vm, life), &share, draw));
         }
-        let asked = question.asked_at.saturating_duration_since(self.origin);
+        let asked = token_request
+            .asked_at
+            .saturating_duration_since(self.origin);
         let delay = Self::delay(vm, number);
         // An answer that comes too late is one that never comes.
         let in_time = self.now + delay <= asked + ANSWER_WITHIN;
@@ -425,7 +440,7 @@
             Event::Answered {
                 vm,
                 life,
-                question,
+                token_request,
                 drawn,
             },
         );
--- a/server/src/crash_watch.rs
+++ b/server/src/crash_watch.rs
@@ -15,7 +15,7 @@
 use std::time::Instant;
 
 use heatherring_lib::clock::Clock;
-use heatherring_lib::crash_evidence::BackendLives;
+use heatherring_lib::crash_evidence::BackendIncarnations;
 use heatherring_lib::crash_evidence::CrashEvidence;
 use heatherring_lib::crash_evidence::Treatment;
 use heatherring_lib::dispatch_request::Choice;
@@ -29,7 +29,7 @@
 use heatherring_lib::outcome::NotRunReason;
 use heatherring_lib::outcome::Unsent;
 use heatherring_lib::quarantine::Ended;
-use heatherring_lib::quarantine::Stood;
+use heatherring_lib::quarantine::InFlightRequest;
 use heatherring_lib::quarantine::SuspectNote;
 use heatherring_lib::quarantine::Verdict;
 use heatherring_lib::request_fingerprint::CallerTag;
@@ -94,14 +94,14 @@
 #[derive(Debug)]
 struct State {
     key: FingerprintKey,
-    lives: Arc<dyn BackendLives>,
+    lives: Arc<dyn BackendIncarnations>,
     evidence: CrashEvidence,
     /// Backend servers that are being connected to.
     asked: BTreeSet<BackendIncarnation>,
 }
 
 impl State {
-    fn new(key: FingerprintKey, lives: Arc<dyn BackendLives>) -> Self {
+    fn new(key: FingerprintKey, lives: Arc<dyn BackendIncarnations>) -> Self {
         Self {
             key,
             lives,
@@ -115,12 +115,12 @@
 #[derive(Debug)]
 struct OwnedLives;
 
-impl BackendLives for OwnedLives {
+impl BackendIncarnations for OwnedLives {
     fn was_replaced(&self, _life: &BackendIncarnation) -> bool {
         false
     }
 
-    fn leaves(&self, _life: &BackendIncarnation) -> bool {
+    fn is_leaving(&self, _life: &BackendIncarnation) -> bool {
         false
     }
 }
@@ -198,7 +198,7 @@
     /// Follows a view of the fleet, by which backend servers may have ended.
     pub fn apply_view(&self, view: &Arc<FleetView>) {
         self.state().lives = Arc::clone(view) as Arc<_>;
-        self.learn(|evidence, now, lives| evidence.apply_lives(now, lives));
+        self.learn(|evidence, now, lives| evidence.apply_incarnations(now, lives));
     }
 
     /// Names a request that comes from `caller`.
@@ -244,14 +244,14 @@
         FollowedRequest {
             watch: Some(self.clone()),
             backend,
-            stood: Stood { tag, watched },
+            stood: InFlightRequest { tag, watched },
         }
     }
 
     /// Returns the present life of a backend server that doesn't tell its lives apart itself.
     #[must_use]
-    pub fn life_of(&self, backend: &BackendName) -> BackendIncarnation {
-        self.state().evidence.life_of(backend)
+    pub fn incarnation_of(&self, backend: &BackendName) -> BackendIncarnation {
+        self.state().evidence.incarnation_of(backend)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -259,14 +259,14 @@
         state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_unanswered(&self, life: &BackendIncarnation, stood: Stood) {
+    fn note_unanswered(&self, life: &BackendIncarnation, stood: InFlightRequest) {
         self.learn(|evidence, now, lives| evidence.note_unanswered(now, lives, life, stood));
     }
 
     /// Tells of the backend servers that are found to have ended by what `note` notes.
     fn learn<E: IntoIterator<Item = Ended>>(
         &self,
-        note: impl FnOnce(&mut CrashEvidence, Instant, &dyn BackendLives) -> E,
+        note: impl FnOnce(&mut CrashEvidence, Instant, &dyn BackendIncarnations) -> E,
     ) {
         let now = self.inner.clock.now();
         let mut state = self.state();
@@ -299,7 +299,7 @@
                 Ok(connection) => {
                     pool.give_back(connection);
                     let now = watch.inner.clock.now();
-                    watch.state().evidence.note_alive(now, &life);
+                    watch.state().evidence.note_reachable(now, &life);
                 }
                 Err(error) if error.is_refused() => {
                     watch.learn(|evidence, now, lives| evidence.note_ended(now, lives, &life));
@@ -336,7 +336,7 @@
 pub struct FollowedRequest {
     watch: Option<CrashWatch>,
     backend: BackendAt,
-    stood: Stood,
+    stood: InFlightRequest,
 }
 
 impl FollowedRequest {
--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -26,7 +26,7 @@
 use heatherring_lib::team::KeyDigest;
 use heatherring_lib::team::TeamLimit;
 use heatherring_lib::team_directory::TeamDirectory;
-use heatherring_lib::token_purse::Ruling;
+use heatherring_lib::token_cache::LimitDecision;
 use http::HeaderMap;
 use http::Request;
 use http::Uri;
@@ -110,7 +110,7 @@
         let mut headers = head.headers;
         let key = credential::read(&headers);
         let (asker, teams) = self.asker(arrived, marks.patience, name, key).await?;
-        if teams.is_keyed() {
+        if teams.requires_keys() {
             credential::remove(&mut headers);
         }
         trace.team.clone_from(&asker.team);
@@ -251,11 +251,11 @@
         let ruling = self.tokens.take(team, limit).await;
         metric::limit(ruling);
         match ruling {
-            Ruling::Run => Ok(attempt),
-            Ruling::OverLimit { retry_after } => Err(attempt
+            LimitDecision::Run => Ok(attempt),
+            LimitDecision::OverLimit { retry_after } => Err(attempt
                 .refuse(NotRunReason::TeamLimit)
                 .with_retry_after(retry_after)),
-            Ruling::Unconfirmed { retry_after } => Err(attempt
+            LimitDecision::Unconfirmed { retry_after } => Err(attempt
                 .refuse(NotRunReason::LimitUnconfirmed)
                 .with_retry_after(retry_after)),
         }
--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -16,7 +16,7 @@
 use heatherring_lib::outcome::Outcome;
 use heatherring_lib::outcome::Unknown;
 use heatherring_lib::outcome::Unsent;
-use heatherring_lib::quarantine::WATCHED_AT;
+use heatherring_lib::quarantine::WATCH_THRESHOLD;
 use heatherring_lib::route_manifest::Route;
 use http::HeaderValue;
 use http::Request;
@@ -276,7 +276,7 @@
             Outcome::Unknown(unknown) => {
                 self.unknown = Some(unknown);
                 let broke = verdict == SendOutcome::Broken;
-                let is_harmless = !suspected && self.broken < WATCHED_AT;
+                let is_harmless = !suspected && self.broken < WATCH_THRESHOLD;
                 match idempotent {
                     Some(permission) if may_send && broke && is_harmless => {
                         Ok(Next::Again(unknown.try_again(permission)))
--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -12,7 +12,7 @@
 use heatherring_lib::clock::Clock;
 use heatherring_lib::clock::unix_ms;
 use heatherring_lib::control_state::Response;
-use heatherring_lib::crash_evidence::REFUSED_INTERVAL;
+use heatherring_lib::crash_evidence::REFUSED_NOTE_INTERVAL;
 use heatherring_lib::encoding::EncodingError;
 use heatherring_lib::fleet_command::FleetCommand;
 use heatherring_lib::fleet_record::BackendChange;
@@ -456,7 +456,7 @@
         let now = self.inner.clock.now();
         let refused_at = &self.inner.refused_at;
         let mut refused_at = refused_at.lock().unwrap_or_else(PoisonError::into_inner);
-        refused_at.retain(|_, at| now.saturating_duration_since(*at) < REFUSED_INTERVAL);
+        refused_at.retain(|_, at| now.saturating_duration_since(*at) < REFUSED_NOTE_INTERVAL);
         let is_news = !refused_at.contains_key(request);
         if is_news {
             refused_at.insert(*request, now);
--- a/server/src/known_asker.rs
+++ b/server/src/known_asker.rs
@@ -5,7 +5,7 @@
 use heatherring_lib::outcome::NotRunReason;
 use heatherring_lib::team::KeyDigest;
 use heatherring_lib::team::TeamRecord;
-use heatherring_lib::team_directory::Asker;
+use heatherring_lib::team_directory::CallerIdentity;
 use heatherring_lib::team_directory::TeamDirectory;
 
 /// Holds who sent a request.
@@ -29,11 +29,11 @@
         route: &RouteName,
         key: Option<KeyDigest>,
     ) -> Result<Self, NotRunReason> {
-        let team = match teams.asker(route, key) {
-            Asker::Anybody => None,
-            Asker::Team(team) => Some(team.clone()),
-            Asker::Missing => return Err(NotRunReason::CredentialMissing),
-            Asker::Unknown => return Err(NotRunReason::CredentialUnknown),
+        let team = match teams.identify(route, key) {
+            CallerIdentity::Anybody => None,
+            CallerIdentity::Team(team) => Some(team.clone()),
+            CallerIdentity::Missing => return Err(NotRunReason::CredentialMissing),
+            CallerIdentity::Unknown => return Err(NotRunReason::CredentialUnknown),
         };
         Ok(Self {
             route: route.clone(),
--- a/server/src/metric.rs
+++ b/server/src/metric.rs
@@ -11,7 +11,7 @@
 
 use heatherring_lib::clock::Clock;
 use heatherring_lib::dispatch_request::SendOutcome;
-use heatherring_lib::token_purse::Ruling;
+use heatherring_lib::token_cache::LimitDecision;
 use http::Request;
 use http::Response;
 use http::header;
@@ -93,11 +93,11 @@
 }
 
 /// Counts a request of a team with a limit by what became of it there.
-pub fn limit(ruling: Ruling) {
+pub fn limit(ruling: LimitDecision) {
     let result = match ruling {
-        Ruling::Run => "within",
-        Ruling::OverLimit { .. } => "over",
-        Ruling::Unconfirmed { .. } => "unconfirmed",
+        LimitDecision::Run => "within",
+        LimitDecision::OverLimit { .. } => "over",
+        LimitDecision::Unconfirmed { .. } => "unconfirmed",
     };
     counter!("heatherring_team_limits_total", "result" => result).increment(1);
 }
--- a/server/src/operator_service.rs
+++ b/server/src/operator_service.rs
@@ -10,7 +10,7 @@
 use heatherring_lib::id::Revision;
 use heatherring_lib::id::TeamName;
 use heatherring_lib::manifest_text::read_manifest;
-use heatherring_lib::quarantine::Noted;
+use heatherring_lib::quarantine::SuspectRecord;
 use heatherring_lib::quarantine::Verdict;
 use heatherring_lib::request_fingerprint::Fingerprint;
 use heatherring_lib::submission_history::AcceptedManifest;
@@ -313,7 +313,7 @@
     }
 }
 
-fn suspect_status(request: &Fingerprint, noted: &Noted) -> SuspectStatus {
+fn suspect_status(request: &Fingerprint, noted: &SuspectRecord) -> SuspectStatus {
     let ended = noted.suspect.ended().into_iter();
     let verdict = noted.suspect.verdict();
     SuspectStatus {
--- a/server/src/owner_path.rs
+++ b/server/src/owner_path.rs
@@ -107,7 +107,7 @@
         return attempt.refuse(NotRunReason::ServiceUnknown).into();
     };
     let backend = BackendAt {
-        life: cx.crashes.life_of(&guard.dispatch().backend),
+        life: cx.crashes.incarnation_of(&guard.dispatch().backend),
         address: target.address,
         max_connections: target.max_connections,
     };
--- a/server/src/quarantine_keeper.rs
+++ b/server/src/quarantine_keeper.rs
@@ -6,8 +6,8 @@
 
 use heatherring_lib::clock::Clock;
 use heatherring_lib::fleet_command::FleetCommand;
-use heatherring_lib::quarantine::Noted;
 use heatherring_lib::quarantine::Quarantine;
+use heatherring_lib::quarantine::SuspectRecord;
 use heatherring_lib::quarantine::Verdict;
 use heatherring_lib::quarantine_times::QuarantineTimes;
 use heatherring_lib::request_fingerprint::Fingerprint;
@@ -69,11 +69,11 @@
     }
 
     async fn release(&self) {
-        let quiet = self.times.quiet(self.clock.now());
-        if quiet.is_empty() || !self.picture.read().leads {
+        let due_for_release = self.times.due_for_release(self.clock.now());
+        if due_for_release.is_empty() || !self.picture.read().leads {
             return;
         }
-        let command = FleetCommand::ReleaseSuspects(quiet);
+        let command = FleetCommand::ReleaseSuspects(due_for_release);
         if let Err(error) = self.node.propose_fleet(command).await {
             log::debug!(event = "release_open", error:% = error; "tried again at the next look");
         }
@@ -102,7 +102,7 @@
     }
 }
 
-fn tell(request: &Fingerprint, noted: &Noted, earlier: Option<&Verdict>) {
+fn tell(request: &Fingerprint, noted: &SuspectRecord, earlier: Option<&Verdict>) {
     let ended = noted.suspect.ended().into_iter();
     let ended: Vec<&str> = ended.map(|life| life.backend.as_str()).collect();
     let ended = ended.join(", ");
--- a/server/src/token_desk.rs
+++ b/server/src/token_desk.rs
@@ -74,9 +74,9 @@
     }
 
     fn share(&self, team: &TeamName, limit: &TeamLimit, replicas: &[SocketAddr]) -> LimitShare {
-        let sharers = team_share::sharers(team, limit, replicas);
-        if sharers.contains(&self.own) {
-            LimitShare::of(limit, &self.tolerance, sharers.len())
+        let sharing_replicas = team_share::sharing_replicas(team, limit, replicas);
+        if sharing_replicas.contains(&self.own) {
+            LimitShare::of(limit, &self.tolerance, sharing_replicas.len())
         } else {
             LimitShare::default()
         }
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -15,9 +15,9 @@
 use heatherring_lib::replica_choice::ReplicaSite;
 use heatherring_lib::team::TeamLimit;
 use heatherring_lib::team_share;
-use heatherring_lib::token_purse::Question;
-use heatherring_lib::token_purse::Ruling;
-use heatherring_lib::token_purse::TokenPurse;
+use heatherring_lib::token_cache::LimitDecision;
+use heatherring_lib::token_cache::TokenCache;
+use heatherring_lib::token_cache::TokenRequest;
 use heatherring_lib::token_shard::Drawn;
 use heatherring_lib::token_shard::Holder;
 use tokio::sync::mpsc;
@@ -59,11 +59,17 @@
 
 impl TokenSetup {
     /// Returns the replicas that share a limit out, nearest first.
-    fn sharers(&self, team: &TeamName, limit: &TeamLimit) -> Vec<SocketAddr> {
+    fn sharing_replicas(&self, team: &TeamName, limit: &TeamLimit) -> Vec<SocketAddr> {
         let sites = self.sites.borrow();
         let replicas: Vec<SocketAddr> = sites.iter().map(|site| site.address).collect();
-        let sharers = team_share::sharers(team, limit, &replicas);
-        replica_choice::nearest_first(&self.holder.vm, &self.place, &self.places, &sites, &sharers)
+        let sharing_replicas = team_share::sharing_replicas(team, limit, &replicas);
+        replica_choice::nearest_first(
+            &self.holder.vm,
+            &self.place,
+            &self.places,
+            &sites,
+            &sharing_replicas,
+        )
     }
 }
 
@@ -71,7 +77,7 @@
 struct Ask {
     team: TeamName,
     limit: TeamLimit,
-    reply: oneshot::Sender<Ruling>,
+    reply: oneshot::Sender<LimitDecision>,
 }
 
 /// Reaches the task.
@@ -87,7 +93,7 @@
         let (tx, rx) = mpsc::unbounded_channel();
         let (answers, answered) = mpsc::unbounded_channel();
         let task = TokenTask {
-            purse: TokenPurse::new(rand::random()),
+            purse: TokenCache::new(rand::random()),
             clients: HashMap::new(),
             answers,
             setup,
@@ -97,25 +103,25 @@
     }
 
     /// Takes a token for a request of `team`; waits for it if need be.
-    pub async fn take(&self, team: &TeamName, limit: TeamLimit) -> Ruling {
+    pub async fn take(&self, team: &TeamName, limit: TeamLimit) -> LimitDecision {
         let (reply, ruling) = oneshot::channel();
         let team = team.clone();
         // Sends fail only when the task has ended with its process.
         let _ = self.tx.send(Ask { team, limit, reply });
         match tokio::time::timeout(WAIT_WITHIN, ruling).await {
             Ok(Ok(ruling)) => ruling,
-            _ => Ruling::Unconfirmed {
+            _ => LimitDecision::Unconfirmed {
                 retry_after: COME_BACK,
             },
         }
     }
 }
 
-type Answer = (Question, Option<Vec<Drawn>>);
+type Answer = (TokenRequest, Option<Vec<Drawn>>);
 
 struct TokenTask {
     setup: TokenSetup,
-    purse: TokenPurse<oneshot::Sender<Ruling>>,
+    purse: TokenCache<oneshot::Sender<LimitDecision>>,
     clients: HashMap<SocketAddr, FleetClient<Channel>>,
     answers: mpsc::UnboundedSender<Answer>,
 }
@@ -128,26 +134,26 @@
     ) {
         loop {
             let now = self.setup.clock.now();
-            let next_look = self.purse.next_look(now);
+            let next_poll_at = self.purse.next_poll_at(now);
             tokio::select! {
                 ask = rx.recv() => match ask {
                     Some(ask) => self.take(ask),
                     None => return,
                 },
-                Some((question, answer)) = answered.recv() => {
+                Some((token_request, answer)) = answered.recv() => {
                     let now = self.setup.clock.now();
-                    let ruled = self.purse.answered(now, &question, answer.as_deref());
+                    let ruled = self.purse.answered(now, &token_request, answer.as_deref());
                     tell(ruled);
                 }
                 Ok(()) = self.setup.sites.changed() => self.follow_sites(),
-                () = until(next_look) => {}
+                () = until(next_poll_at) => {}
             }
             self.ask();
         }
     }
 
     fn follow_sites(&mut self) {
-        self.purse.forget_sharers();
+        self.purse.forget_sharing_replicas();
         let sites = self.setup.sites.borrow_and_update();
         self.clients
             .retain(|address, _| sites.iter().any(|site| site.address == *address));
@@ -156,23 +162,26 @@
     fn take(&mut self, ask: Ask) {
         let Ask { team, limit, reply } = ask;
         let now = self.setup.clock.now();
-        let find_sharers = || self.setup.sharers(&team, &limit);
-        tell(self.purse.take(now, &team, &limit, find_sharers, reply));
+        let find_sharing_replicas = || self.setup.sharing_replicas(&team, &limit);
+        tell(
+            self.purse
+                .take(now, &team, &limit, find_sharing_replicas, reply),
+        );
     }
 
     /// Asks replicas what is to be asked.
     fn ask(&mut self) {
-        for question in self.purse.questions(self.setup.clock.now()) {
+        for token_request in self.purse.token_requests(self.setup.clock.now()) {
             let answers = self.answers.clone();
             let holder = self.setup.holder.clone();
-            let client = self.client(question.replica);
+            let client = self.client(token_request.replica);
             tokio::spawn(async move {
                 let drawn = match client {
-                    Some(client) => draw(client, &holder, &question).await,
+                    Some(client) => draw(client, &holder, &token_request).await,
                     None => None,
                 };
                 // The task ends with its process.
-                let _ = answers.send((question, drawn));
+                let _ = answers.send((token_request, drawn));
             });
         }
     }
@@ -203,7 +212,7 @@
     }
 }
 
-fn tell(ruled: impl IntoIterator<Item = (oneshot::Sender<Ruling>, Ruling)>) {
+fn tell(ruled: impl IntoIterator<Item = (oneshot::Sender<LimitDecision>, LimitDecision)>) {
     for (waiter, ruling) in ruled {
         // Its caller has left.
         let _ = waiter.send(ruling);
@@ -214,11 +223,11 @@
 async fn draw(
     mut client: FleetClient<Channel>,
     holder: &Holder,
-    question: &Question,
+    token_request: &TokenRequest,
 ) -> Option<Vec<Drawn>> {
     let request = DrawTokensRequest {
         holder_encoded: postcard::to_stdvec(holder).ok()?,
-        draws_encoded: postcard::to_stdvec(&question.draws).ok()?,
+        draws_encoded: postcard::to_stdvec(&token_request.draws).ok()?,
     };
     let call = client.draw_tokens(Request::new(request));
     let failed = match tokio::time::timeout(ANSWER_WITHIN, call).await {
@@ -229,6 +238,6 @@
         Ok(Err(status)) => status.message().to_owned(),
         Err(_) => "no answer in time".to_owned(),
     };
-    log::debug!(event = "tokens_not_drawn", replica:% = question.replica, error = failed.as_str(); "asking the next replica");
+    log::debug!(event = "tokens_not_drawn", replica:% = token_request.replica, error = failed.as_str(); "asking the next replica");
     None
 }
