--- a/lib/src/action_record.rs
+++ b/lib/src/action_record.rs
@@ -223,7 +223,7 @@
 /// Reason why an action never ran.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RecordedRefusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: NotRunReason,
     /// Time after which the caller should retry, under a new key. `None` if unknown.
     pub retry_after: Option<Duration>,
