--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -262,7 +262,7 @@
 /// All suspected requests, by content.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Quarantine {
-    /// The last position that changed a verdict.
+    /// Log index of the last change of a verdict.
     revision: Revision,
     suspects: BTreeMap<Fingerprint, SuspectRecord>,
 }
--- a/lib/src/request_fingerprint.rs
+++ b/lib/src/request_fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints that identify a request by its content, so that it is recognised when it is sent
+//! Fingerprints that identify a request by its content, so that it is recognized when it is sent
 //! again.
 
 use std::fmt;
--- a/lib/src/team.rs
+++ b/lib/src/team.rs
@@ -111,7 +111,7 @@
 /// `rate * t + burst`.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TeamLimit {
-    /// Requests a second.
+    /// Maximum rate in requests per second.
     pub rate: f64,
     /// Number of requests that may exceed the rate.
     pub burst: f64,
--- a/lib/tests/test_action_primary.rs
+++ b/lib/tests/test_action_primary.rs
@@ -95,10 +95,10 @@
     }
 }
 
-// Symptom: an action runs after its caller was told "not run" because the store was full. Sequence:
-// the store is full of records with valid tickets, and a third key is refused; these tickets expire
-// and make room; a delayed copy of the refused request arrives. Cause: a refusal for lack of room
-// that is not remembered.
+// Symptom: an action runs after its caller was told "not run" because the store was full.
+// Sequence: the store is full of records with valid tickets, and a third key is refused; these
+// tickets expire and make room; a delayed copy of the refused request arrives.
+// Cause: a refusal for lack of room that is not remembered.
 #[rstest]
 fn test_action_primary_full_store_refuses_for_good(mut primary: ActionPrimary) {
     for random_part in ["a", "b"] {
@@ -114,9 +114,9 @@
     assert!(matches!(arrival, Arrival::Start { .. }), "{arrival:?}");
 }
 
-// Symptom: callers of a long-running action get no answer. Sequence: the ticket expires and its
-// retention passes while the action is running. Cause: a record of an action in progress that is
-// dropped by age.
+// Symptom: callers of a long-running action get no answer.
+// Sequence: the ticket expires and its retention passes while the action is running.
+// Cause: a record of an action in progress that is dropped by age.
 #[rstest]
 fn test_action_primary_running_record_outlives_its_ticket(mut primary: ActionPrimary) {
     let long = action_query("a", SOON_MS);
@@ -142,8 +142,9 @@
     expect_end(&arrive(&mut primary, LATE_MS, &action), &expired);
 }
 
-// Symptom: memory use grows with the size of answers. Sequence: answers exceed the size limit of
-// the store. Cause: a limit on the number of records that does not count bytes.
+// Symptom: memory use grows with the size of answers.
+// Sequence: answers exceed the size limit of the store.
+// Cause: a limit on the number of records that does not count bytes.
 #[rstest]
 fn test_action_primary_answer_too_large_for_the_store_is_returned_once(mut primary: ActionPrimary) {
     let action = action_query("a", SOON_MS);
@@ -162,8 +163,9 @@
     expect_end(&arrive(&mut primary, NOW_MS, &far), &ahead);
 }
 
-// Symptom: an action that was refused before it was recorded runs later. Sequence: the process is
-// leaving and refuses the action; a delayed copy arrives. Cause: a refusal that leaves no record.
+// Symptom: an action that was refused before it was recorded runs later.
+// Sequence: the process is leaving and refuses the action; a delayed copy arrives.
+// Cause: a refusal that leaves no record.
 #[rstest]
 fn test_action_primary_early_refusal_is_final(mut primary: ActionPrimary) {
     let action = action_query("a", SOON_MS);
@@ -199,8 +201,10 @@
 }
 
 // Symptom: a restarted backup reports "not run" for an action that its previous incarnation
-// recorded. Sequence: the intent is recorded, the backup restarts with a new session, and a caller
-// resolves the key. Cause: a ticket that names a VM instead of one incarnation of its process.
+// recorded.
+// Sequence: the intent is recorded, the backup restarts with a new session, and a caller resolves
+// the key.
+// Cause: a ticket that names a VM instead of one incarnation of its process.
 #[rstest]
 fn test_action_backup_of_another_incarnation_is_unknown() {
     let mut restarted = ActionBackup::new(LIMITS);
--- a/lib/tests/test_action_record.rs
+++ b/lib/tests/test_action_record.rs
@@ -100,8 +100,9 @@
     }
 }
 
-// Symptom: a caller gets the answer to another request. Sequence: two requests have parts that
-// concatenate to the same bytes. Cause: a digest over the parts without their lengths.
+// Symptom: a caller gets the answer to another request.
+// Sequence: two requests have parts that concatenate to the same bytes.
+// Cause: a digest over the parts without their lengths.
 #[test]
 fn test_action_fingerprint_separates_parts() {
     let key = key("a", EXPIRES_MS);
@@ -119,8 +120,9 @@
     assert_ne!(query(&key, b"x").fingerprint, query(&key, b"y").fingerprint);
 }
 
-// Symptom: "not run" is reported for a request that was partly processed. Sequence: a backend
-// server answers 503 in the middle of its work. Cause: a bare status is treated as a refusal.
+// Symptom: "not run" is reported for a request that was partly processed.
+// Sequence: a backend server answers 503 in the middle of its work.
+// Cause: a bare status is treated as a refusal.
 #[test]
 fn test_outcome_bare_503_proves_nothing() {
     assert_eq!(Refusal::of_backend_server(503, None), None);
@@ -135,8 +137,9 @@
     }
 }
 
-// Symptom: an action with an expired ticket runs a second time. Sequence: the wall clock is set
-// back after the record was dropped. Cause: expiry is judged by a clock that can go backwards.
+// Symptom: an action with an expired ticket runs a second time.
+// Sequence: the wall clock is set back after the record was dropped.
+// Cause: expiry is judged by a clock that can go backwards.
 #[test]
 fn test_wall_anchor_reads_the_wall_once() {
     let start = Instant::now();
--- a/lib/tests/test_action_simulation.rs
+++ b/lib/tests/test_action_simulation.rs
@@ -565,9 +565,10 @@
     steps
 }
 
-// Symptom: an action runs although a caller was told "not run". Sequence: every order of sending,
-// resolving, duplicates, time-outs, crashes and ticket expiries, up to the depth. Cause: a
-// combination of steps that random runs rarely produce.
+// Symptom: an action runs although a caller was told "not run".
+// Sequence: every order of sending, resolving, duplicates, time-outs, crashes and ticket expiries,
+// up to the depth.
+// Cause: a combination of steps that random runs rarely produce.
 #[test]
 fn test_action_simulation_every_short_order() {
     let request = query(&key("a", START_MS + TICKET_MS), b"one");
--- a/lib/tests/test_crash_evidence.rs
+++ b/lib/tests/test_crash_evidence.rs
@@ -123,8 +123,9 @@
 }
 
 /// Symptom: requests that time out at a backend server count as evidence, as if it had ended under
-/// them. Sequence: the backend server ended once and was restarted under its name. Cause: ended
-/// backend servers are remembered by name.
+/// them.
+/// Sequence: the backend server ended once and was restarted under its name.
+/// Cause: ended backend servers are remembered by name.
 #[test]
 fn test_evidence_of_an_earlier_end_expires_once_connections_are_accepted() {
     let mut evidence = CrashEvidence::default();
@@ -184,8 +185,8 @@
 }
 
 /// Symptom: while control is unreachable, a request ends one backend server after another.
-/// Sequence: the entry VM is cut off from control, and the request is sent to it repeatedly. Cause:
-/// only control's verdicts are applied.
+/// Sequence: the entry VM is cut off from control, and the request is sent to it repeatedly.
+/// Cause: only control's verdicts are applied.
 #[test]
 fn test_evidence_of_this_entry_vm_counts_without_control() {
     let mut evidence = CrashEvidence::default();
@@ -210,9 +211,9 @@
     assert_eq!(evidence.treatment(&tag(2)), None);
 }
 
-/// Symptom: a request that crashes backend servers is not quarantined. Sequence: another request
-/// was in flight with it on all three backend servers. Cause: the request that was counted first
-/// exonerated the other.
+/// Symptom: a request that crashes backend servers is not quarantined.
+/// Sequence: another request was in flight with it on all three backend servers.
+/// Cause: the request that was counted first exonerated the other.
 #[test]
 fn test_evidence_against_two_alike_exonerates_neither() {
     let mut evidence = CrashEvidence::default();
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -188,7 +188,7 @@
         [ended(1, &[0]), ended(2, &[0]), ended_from(3, 2)] => ALL;
     test_quarantine_of_one_stays_with_one:
         [ended(1, &[0]), ended(2, &[0]), ended_watched(3, &[0]), ended_watched(4, &[0])] => FIRST;
-    test_quarantine_one_told_by_three_entry_vms:
+    test_quarantine_one_reported_by_three_entry_vms:
         [ended(1, &[0]), ended_watched(1, &[0, 5]), ended(1, &[0])] => FREE;
     test_quarantine_an_answer_clears:
         [ended(1, &[0]), ended(2, &[0]), answered(0, 1), ended_watched(3, &[0])] => FREE;
@@ -254,8 +254,9 @@
 }
 
 /// Symptom: a quarantine ends after a time, and the request crashes three backend servers again.
-/// Sequence: the caller was away for ten minutes. Cause: all evidence was forgotten at once. The
-/// request must be watched first, so that one more end quarantines it again.
+/// Sequence: the caller was away for ten minutes.
+/// Cause: all evidence was forgotten at once. The request must be watched first, so that one more
+/// end quarantines it again.
 #[test]
 fn test_quarantine_ends_step_by_step_without_the_request() {
     let mut quarantine = quarantined();
@@ -289,9 +290,9 @@
     assert_eq!(quarantine.revision(), Revision(9));
 }
 
-/// Symptom: a request that crashes backend servers is forwarded again. Sequence: another caller
-/// sends thousands of different requests that end one backend server each. Cause: the table is
-/// full, and the newest notes displace the oldest.
+/// Symptom: a request that crashes backend servers is forwarded again.
+/// Sequence: another caller sends thousands of different requests that end one backend server each.
+/// Cause: the table is full, and the newest notes displace the oldest.
 #[test]
 fn test_quarantine_is_not_displaced_by_a_flood() {
     let mut quarantine = state_after([
--- a/lib/tests/test_team_tokens.rs
+++ b/lib/tests/test_team_tokens.rs
@@ -106,10 +106,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Symptom: more requests of a team run than its limit allows. Sequence: its callers send
-    // several times the limit, to all entry VMs or to one, while entry VMs and replicas are cut
-    // off, frozen and restarted. Cause: tokens that a crashed or frozen process has issued or holds
-    // are issued a second time.
+    // Symptom: more requests of a team run than its limit allows.
+    // Sequence: its callers send several times the limit, to all entry VMs or to one, while entry
+    // VMs and replicas are cut off, frozen and restarted.
+    // Cause: tokens that a crashed or frozen process has issued or holds are issued a second time.
     #[test]
     fn test_team_limits_hold_under_any_faults(
         vms in 1_usize..24,
@@ -147,7 +147,8 @@
         prop_assert!(excess <= 0.0, "{excess} above the allowed number");
     }
 
-    // Symptom: replicas issue more tokens than the limit in sum. Cause: shares are rounded up.
+    // Symptom: replicas issue more tokens than the limit in sum.
+    // Cause: shares are rounded up.
     #[test]
     fn test_team_shares_add_up(
         rate in 0.0_f64..5_000.0,
@@ -269,8 +270,8 @@
     }
 }
 
-/// Symptom: a team that keeps to its limit is refused. Cause: its share is where its callers are
-/// not.
+/// Symptom: a team that keeps to its limit is refused.
+/// Cause: its share is where its callers are not.
 #[rstest]
 #[case::steady_8(Kind::Steady, 8, 20.0)]
 #[case::steady_84(Kind::Steady, 84, 20.0)]
@@ -288,8 +289,9 @@
 }
 
 /// Symptom: requests within the limit are refused while a replica is down, although others have
-/// tokens. Sequence: an entry VM asks the nearest replica, which is down, and the next one too
-/// late. Cause: the time that a replica without a reply takes counts as waiting for tokens.
+/// tokens.
+/// Sequence: an entry VM asks the nearest replica, which is down, and the next one too late.
+/// Cause: the time that a replica without a reply takes counts as waiting for tokens.
 #[rstest]
 #[case::one_in_three(4)]
 #[case::two_in_three(8)]
@@ -344,8 +346,8 @@
     assert!(others >= 0.97, "{others} of the others");
 }
 
-/// Prints the cost of each method: `cargo test -p heatherring-lib --test test_team_tokens methods
-/// -- --nocapture --ignored`
+/// Prints the cost of each method.
+/// `cargo test -p heatherring-lib --test test_team_tokens methods -- --nocapture --ignored`
 #[test]
 #[ignore = "a table for the design note, which asserts nothing"]
 fn test_team_limits_methods() {
--- a/lib/tests/test_teams.rs
+++ b/lib/tests/test_teams.rs
@@ -125,8 +125,8 @@
     assert_eq!(identify(&view, "K-3"), CallerIdentity::Unknown);
 }
 
-/// Symptom: callers without a key are served after the last team was removed. Cause: a team
-/// manifest without teams is treated like a missing one.
+/// Symptom: callers without a key are served after the last team was removed.
+/// Cause: a team manifest without teams is treated like a missing one.
 #[test]
 fn test_teams_without_teams_every_caller_is_refused() {
     let first = whole(1, 0, Some(teams(&[("t-1", &["k-1"])])));
@@ -233,8 +233,8 @@
     assert_eq!(intersection, both.map(regions));
 }
 
-/// Symptom: a key appears in a log line or in a panic message. Cause: a value that contains it is
-/// printed.
+/// Symptom: a key appears in a log line or in a panic message.
+/// Cause: a value that contains it is printed.
 #[test]
 fn test_teams_debug_shows_no_key() {
     let change = whole(1, 0, Some(teams(&[("t-1", &["secret-key"])])));
