--- a/server/src/fleet_picture.rs
+++ b/server/src/fleet_picture.rs
@@ -22,7 +22,7 @@
 
 /// Applied state of a replica.
 #[derive(Clone, Debug)]
-pub struct ControlPicture {
+pub struct PublishedState {
     /// State on which direct dispatch relies.
     pub fleet: Arc<FleetState>,
     /// All replicas, learners included.
@@ -34,21 +34,21 @@
 /// Publishes a replica's state.
 #[derive(Debug)]
 pub struct FleetPublisher {
-    picture: watch::Sender<ControlPicture>,
+    picture: watch::Sender<PublishedState>,
     proved_at: watch::Sender<Option<Instant>>,
 }
 
 /// Reads a replica's published state.
 #[derive(Clone, Debug)]
 pub struct FleetPicture {
-    picture: watch::Receiver<ControlPicture>,
+    picture: watch::Receiver<PublishedState>,
     proved_at: watch::Receiver<Option<Instant>>,
 }
 
 /// Creates a publisher and a reader; the published state is empty at first.
 #[must_use]
 pub fn channel() -> (FleetPublisher, FleetPicture) {
-    let (picture_tx, picture) = watch::channel(ControlPicture {
+    let (picture_tx, picture) = watch::channel(PublishedState {
         fleet: Arc::default(),
         replicas: Arc::default(),
         leads: false,
@@ -88,7 +88,7 @@
 impl FleetPicture {
     /// Returns the state as last published.
     #[must_use]
-    pub fn read(&self) -> ControlPicture {
+    pub fn read(&self) -> PublishedState {
         self.picture.borrow().clone()
     }
 
