--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -33,7 +33,7 @@
 use crate::data_folder::Identity;
 use crate::fleet_control::FleetControl;
 use crate::fleet_picture;
-use crate::fleet_picture::FleetPicture;
+use crate::fleet_picture::StateReader;
 use crate::fleet_service::FleetService;
 use crate::formation;
 use crate::interface::ControlInterface;
@@ -316,7 +316,7 @@
     settings: &ControlSettings,
     identity: Identity,
     clock: &Arc<dyn Clock>,
-    picture: &FleetPicture,
+    picture: &StateReader,
     node: &NodeHandle,
     channels: &PeerChannels,
 ) -> FleetControl {
@@ -394,7 +394,7 @@
 async fn until_removed(
     settings: &ControlSettings,
     identity: Identity,
-    picture: FleetPicture,
+    picture: StateReader,
     channels: PeerChannels,
     clock: Arc<dyn Clock>,
 ) {
--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -39,7 +39,7 @@
 use tonic::Status;
 
 use crate::announcement_batch::AnnouncementBatch;
-use crate::fleet_picture::FleetPicture;
+use crate::fleet_picture::StateReader;
 use crate::interface::LookUp;
 use crate::interface::LookUpSource;
 use crate::leader_relay::fleet_client;
@@ -123,7 +123,7 @@
 struct Inner {
     clock: Arc<dyn Clock>,
     settings: Option<DirectControlSettings>,
-    picture: FleetPicture,
+    picture: StateReader,
     node: NodeHandle,
     presence: PresenceHandle,
     announcements: AnnouncementBatch,
@@ -141,7 +141,7 @@
     pub fn new(
         clock: Arc<dyn Clock>,
         settings: Option<DirectControlSettings>,
-        picture: FleetPicture,
+        picture: StateReader,
         node: NodeHandle,
         presence: PresenceHandle,
     ) -> Self {
@@ -166,7 +166,7 @@
 
     /// Returns a reader of the replica's applied state.
     #[must_use]
-    pub fn picture(&self) -> &FleetPicture {
+    pub fn picture(&self) -> &StateReader {
         &self.inner.picture
     }
 
--- a/server/src/fleet_picture.rs
+++ b/server/src/fleet_picture.rs
@@ -40,14 +40,14 @@
 
 /// Reads a replica's published state.
 #[derive(Clone, Debug)]
-pub struct FleetPicture {
+pub struct StateReader {
     picture: watch::Receiver<PublishedState>,
     proved_at: watch::Receiver<Option<Instant>>,
 }
 
 /// Creates a publisher and a reader; the published state is empty at first.
 #[must_use]
-pub fn channel() -> (FleetPublisher, FleetPicture) {
+pub fn channel() -> (FleetPublisher, StateReader) {
     let (picture_tx, picture) = watch::channel(PublishedState {
         fleet: Arc::default(),
         replicas: Arc::default(),
@@ -58,7 +58,7 @@
         picture: picture_tx,
         proved_at: proved_tx,
     };
-    (publisher, FleetPicture { picture, proved_at })
+    (publisher, StateReader { picture, proved_at })
 }
 
 impl FleetPublisher {
@@ -85,7 +85,7 @@
     }
 }
 
-impl FleetPicture {
+impl StateReader {
     /// Returns the state as last published.
     #[must_use]
     pub fn read(&self) -> PublishedState {
--- a/server/src/formation.rs
+++ b/server/src/formation.rs
@@ -31,7 +31,7 @@
 use crate::data_folder::FolderDisk;
 use crate::data_folder::IDENTITY_FILE;
 use crate::data_folder::Identity;
-use crate::fleet_picture::FleetPicture;
+use crate::fleet_picture::StateReader;
 use crate::log_disk::DiskError;
 use crate::log_disk::LogDisk;
 use crate::log_disk::Recovered;
@@ -198,7 +198,7 @@
     settings: ControlSettings,
     formation: FormationSettings,
     identity: Identity,
-    picture: FleetPicture,
+    picture: StateReader,
     channels: PeerChannels,
     clock: Arc<dyn Clock>,
 ) {
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -26,7 +26,7 @@
 use tokio::sync::watch;
 use tonic::transport::Channel;
 
-use crate::fleet_picture::FleetPicture;
+use crate::fleet_picture::StateReader;
 use crate::node_request::NodeHandle;
 use crate::peer_channel::PeerChannels;
 use crate::proto::ReportRequest;
@@ -170,7 +170,7 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// What the replica has applied.
-    pub picture: FleetPicture,
+    pub picture: StateReader,
     /// The replica.
     pub node: NodeHandle,
     /// Opens connections to the others.
--- a/server/src/quarantine_keeper.rs
+++ b/server/src/quarantine_keeper.rs
@@ -12,7 +12,7 @@
 use heatherring_lib::quarantine_times::QuarantineTimes;
 use heatherring_lib::request_fingerprint::Fingerprint;
 
-use crate::fleet_picture::FleetPicture;
+use crate::fleet_picture::StateReader;
 use crate::metric;
 use crate::node_request::NodeHandle;
 
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct QuarantineKeeper {
     clock: Arc<dyn Clock>,
-    picture: FleetPicture,
+    picture: StateReader,
     node: NodeHandle,
     known: Arc<Quarantine>,
     times: QuarantineTimes,
@@ -32,7 +32,7 @@
 impl QuarantineKeeper {
     /// Follows what a replica has applied.
     #[must_use]
-    pub fn new(clock: Arc<dyn Clock>, picture: FleetPicture, node: NodeHandle) -> Self {
+    pub fn new(clock: Arc<dyn Clock>, picture: StateReader, node: NodeHandle) -> Self {
         Self {
             clock,
             picture,
--- a/server/src/token_desk.rs
+++ b/server/src/token_desk.rs
@@ -16,7 +16,7 @@
 use heatherring_lib::token_shard::Holder;
 use heatherring_lib::token_shard::TokenShard;
 
-use crate::fleet_picture::FleetPicture;
+use crate::fleet_picture::StateReader;
 use crate::metric;
 
 /// Hands out tokens.
@@ -26,7 +26,7 @@
     /// Where this replica takes messages.
     own: SocketAddr,
     tolerance: LimitTolerance,
-    picture: FleetPicture,
+    picture: StateReader,
     tokens: Arc<Mutex<TokenShard>>,
 }
 
@@ -37,7 +37,7 @@
         clock: Arc<dyn Clock>,
         own: SocketAddr,
         tolerance: LimitTolerance,
-        picture: FleetPicture,
+        picture: StateReader,
     ) -> Self {
         let tokens = TokenShard::new(clock.now());
         Self {
