--- a/server/src/fleet_picture.rs
+++ b/server/src/fleet_picture.rs
@@ -33,7 +33,7 @@
 
 /// Publishes a replica's state.
 #[derive(Debug)]
-pub struct FleetPublisher {
+pub struct StatePublisher {
     picture: watch::Sender<PublishedState>,
     proved_at: watch::Sender<Option<Instant>>,
 }
@@ -47,21 +47,21 @@
 
 /// Creates a publisher and a reader; the published state is empty at first.
 #[must_use]
-pub fn channel() -> (FleetPublisher, StateReader) {
+pub fn channel() -> (StatePublisher, StateReader) {
     let (picture_tx, picture) = watch::channel(PublishedState {
         fleet: Arc::default(),
         replicas: Arc::default(),
         leads: false,
     });
     let (proved_tx, proved_at) = watch::channel(None);
-    let publisher = FleetPublisher {
+    let publisher = StatePublisher {
         picture: picture_tx,
         proved_at: proved_tx,
     };
     (publisher, StateReader { picture, proved_at })
 }
 
-impl FleetPublisher {
+impl StatePublisher {
     /// Publishes the present state; wakes readers only if it changed.
     pub fn publish(&self, raft: &Raft, state: &ControlState) {
         self.proved_at.send_replace(raft.proven_current_at());
