--- a/server/src/control_node.rs
+++ b/server/src/control_node.rs
@@ -40,7 +40,6 @@
 
 use crate::data_folder::Disk;
 use crate::data_folder::Identity;
-use crate::fleet_picture::StatePublisher;
 use crate::log_disk::DiskError;
 use crate::log_disk::LogDisk;
 use crate::log_disk::Recovered;
@@ -55,6 +54,7 @@
 use crate::node_request::NodeError;
 use crate::node_request::NodeRequest;
 use crate::peer_links::PeerLinks;
+use crate::published_state::StatePublisher;
 use crate::session_desk::HeldBatch;
 use crate::session_desk::HeldSync;
 use crate::session_desk::SessionDesk;
--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -32,8 +32,6 @@
 use crate::data_folder::FolderDisk;
 use crate::data_folder::Identity;
 use crate::fleet_control::FleetControl;
-use crate::fleet_picture;
-use crate::fleet_picture::StateReader;
 use crate::fleet_service::FleetService;
 use crate::formation;
 use crate::interface::ControlInterface;
@@ -55,6 +53,8 @@
 use crate::proto::operator_server::OperatorServer;
 use crate::proto::replication_server::ReplicationServer;
 use crate::proto::session_server::SessionServer;
+use crate::published_state;
+use crate::published_state::StateReader;
 use crate::quarantine_keeper::QuarantineKeeper;
 use crate::replication_service::ReplicationService;
 use crate::session_service::SessionService;
@@ -190,7 +190,7 @@
         settings.advertised(),
         channels.clone(),
     );
-    let (publisher, picture) = fleet_picture::channel();
+    let (publisher, picture) = published_state::channel();
     let node = ControlNode::new(
         node_config(&settings),
         Arc::clone(&clock),
--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -39,7 +39,6 @@
 use tonic::Status;
 
 use crate::announcement_batch::AnnouncementBatch;
-use crate::fleet_picture::StateReader;
 use crate::interface::LookUp;
 use crate::interface::LookUpSource;
 use crate::leader_relay::fleet_client;
@@ -51,6 +50,7 @@
 use crate::presence_task::PresenceHandle;
 use crate::proto::ProposeRequest;
 use crate::proto::ReadRoutesRequest;
+use crate::published_state::StateReader;
 
 /// Timeout of a call to the leader. Clients turn to another replica after about one second.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(1_500);
--- a/server/src/formation.rs
+++ b/server/src/formation.rs
@@ -31,7 +31,6 @@
 use crate::data_folder::FolderDisk;
 use crate::data_folder::IDENTITY_FILE;
 use crate::data_folder::Identity;
-use crate::fleet_picture::StateReader;
 use crate::log_disk::DiskError;
 use crate::log_disk::LogDisk;
 use crate::log_disk::Recovered;
@@ -39,6 +38,7 @@
 use crate::proto::AdmitReply;
 use crate::proto::AdmitRequest;
 use crate::proto::fleet_client::FleetClient;
+use crate::published_state::StateReader;
 
 /// Time between two requests to be admitted. An admission takes one commit.
 const ASK_AGAIN: Duration = Duration::from_millis(250);
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -26,11 +26,11 @@
 use tokio::sync::watch;
 use tonic::transport::Channel;
 
-use crate::fleet_picture::StateReader;
 use crate::node_request::NodeHandle;
 use crate::peer_channel::PeerChannels;
 use crate::proto::ReportRequest;
 use crate::proto::fleet_client::FleetClient;
+use crate::published_state::StateReader;
 
 /// Time between two looks at who has fallen silent.
 const LOOK_INTERVAL: Duration = Duration::from_millis(250);
--- a/server/src/quarantine_keeper.rs
+++ b/server/src/quarantine_keeper.rs
@@ -12,9 +12,9 @@
 use heatherring_lib::quarantine_times::QuarantineTimes;
 use heatherring_lib::request_fingerprint::Fingerprint;
 
-use crate::fleet_picture::StateReader;
 use crate::metric;
 use crate::node_request::NodeHandle;
+use crate::published_state::StateReader;
 
 /// Time between two looks at which requests are to be let go.
 const LOOK_INTERVAL: Duration = Duration::from_secs(5);
--- a/server/src/token_desk.rs
+++ b/server/src/token_desk.rs
@@ -16,8 +16,8 @@
 use heatherring_lib::token_shard::Holder;
 use heatherring_lib::token_shard::TokenShard;
 
-use crate::fleet_picture::StateReader;
 use crate::metric;
+use crate::published_state::StateReader;
 
 /// Hands out tokens.
 #[derive(Clone, Debug)]
