--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -123,7 +123,7 @@
 struct Inner {
     clock: Arc<dyn Clock>,
     settings: Option<DirectControlSettings>,
-    picture: StateReader,
+    published: StateReader,
     node: NodeHandle,
     presence: PresenceHandle,
     announcements: AnnouncementBatch,
@@ -141,7 +141,7 @@
     pub fn new(
         clock: Arc<dyn Clock>,
         settings: Option<DirectControlSettings>,
-        picture: StateReader,
+        published: StateReader,
         node: NodeHandle,
         presence: PresenceHandle,
     ) -> Self {
@@ -152,7 +152,7 @@
         let inner = Inner {
             clock,
             settings,
-            picture,
+            published,
             node,
             presence,
             announcements,
@@ -166,8 +166,8 @@
 
     /// Returns a reader of the replica's applied state.
     #[must_use]
-    pub fn picture(&self) -> &StateReader {
-        &self.inner.picture
+    pub fn published(&self) -> &StateReader {
+        &self.inner.published
     }
 
     /// Returns the record of recent heartbeats.
@@ -179,7 +179,7 @@
     /// Returns whether the replica has recently proved to be current.
     #[must_use]
     pub fn is_current(&self) -> bool {
-        self.inner.picture.is_current(self.inner.clock.now())
+        self.inner.published.is_current(self.inner.clock.now())
     }
 
     /// Commits a command, here or at the leader.
@@ -223,7 +223,7 @@
     /// Logs teams whose requests are refused on some routes because team and route have no home
     /// region in common.
     fn warn_about_missing_common_home(&self) {
-        let fleet = self.inner.picture.read().fleet;
+        let fleet = self.inner.published.read().fleet;
         let Some(teams) = fleet.teams() else {
             return;
         };
@@ -297,7 +297,7 @@
             return NotCurrentSnafu.fail();
         }
         self.check(&announcement)?;
-        let fleet = self.inner.picture.read().fleet;
+        let fleet = self.inner.published.read().fleet;
         let Announcement { backend, record } = &announcement;
         let is_outdated = fleet.has_withdrawn(backend, record.born)
             || fleet
@@ -422,7 +422,7 @@
         backend: BackendName,
         born: Option<u64>,
     ) -> Result<(), FleetError> {
-        let fleet = self.inner.picture.read().fleet;
+        let fleet = self.inner.published.read().fleet;
         // Without a record, every incarnation up to now is withdrawn: an announcement of it may
         // not be committed yet.
         let born = born
@@ -498,7 +498,7 @@
         self.inner
             .presence
             .record_entry_heartbeat(vm.clone(), record.life, ready);
-        if self.inner.picture.read().fleet.entry(vm) == Some(&record) {
+        if self.inner.published.read().fleet.entry(vm) == Some(&record) {
             return;
         }
         let command = FleetCommand::EnrollEntry {
@@ -516,7 +516,7 @@
 
 impl LookUpSource for FleetControl {
     fn look_up(&self, host: &str, region: &RegionName) -> Option<LookUp> {
-        let fleet = self.inner.picture.read().fleet;
+        let fleet = self.inner.published.read().fleet;
         let presence = self.inner.presence.view();
         let routes = fleet.manifest().routes.values();
         let homes = place_lookup::homes(routes.map(|route| &**route), host);
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -94,7 +94,7 @@
     }
 
     fn note_manifest(&self) {
-        let fleet = self.control.picture().read().fleet;
+        let fleet = self.control.published().read().fleet;
         let version = fleet.manifest().version;
         let now = self.clock.now();
         self.lag().note_manifest(now, version, fleet.revision());
@@ -117,7 +117,7 @@
     /// `received_at`; negative if before it.
     fn proved_after_ms(&self, received_at: Instant) -> i64 {
         let now = self.clock.now();
-        let age = self.control.picture().proof_age(now).unwrap_or_default();
+        let age = self.control.published().proof_age(now).unwrap_or_default();
         let held = now.saturating_duration_since(received_at);
         let ms = |time| i64::try_from(whole_ms(time)).unwrap_or(i64::MAX);
         ms(held).saturating_sub(ms(age))
@@ -129,14 +129,14 @@
     /// what is committed elsewhere meanwhile must reach the entry VM within its bound.
     async fn wait_for_changes(&self, request: &FollowRequest) {
         let applied = Revision(request.applied_revision);
-        let mut picture = self.control.picture().clone();
+        let mut published = self.control.published().clone();
         let mut presence = self.control.presence().clone();
         let wait = Duration::from_millis(request.wait_ms.into()).min(MAX_HOLD);
-        let proof = picture.clone();
+        let proof = published.clone();
         let changes = async {
             loop {
                 let verdicts = presence.view().number();
-                let fleet = picture.read().fleet;
+                let fleet = published.read().fleet;
                 let has_changes = fleet.revision() > applied
                     || fleet.quarantine().revision().0 > request.known_quarantine
                     || (verdicts != 0 && verdicts != request.known_presence);
@@ -144,7 +144,7 @@
                     return;
                 }
                 tokio::select! {
-                    () = picture.changed() => {}
+                    () = published.changed() => {}
                     () = presence.changed() => {}
                 }
             }
@@ -160,24 +160,24 @@
     }
 
     fn follow_reply(&self, request: &FollowRequest) -> Result<FollowReply, Status> {
-        let picture = self.control.picture().read();
-        if !self.control.picture().is_current(self.clock.now()) {
+        let published = self.control.published().read();
+        if !self.control.published().is_current(self.clock.now()) {
             return Ok(FollowReply::default());
         }
         let applied = Revision(request.applied_revision);
-        let update_encoded = match picture.fleet.revision().cmp(&applied) {
+        let update_encoded = match published.fleet.revision().cmp(&applied) {
             Ordering::Less => return Ok(FollowReply::default()),
             Ordering::Equal => Vec::new(),
             Ordering::Greater => match self
                 .updates
-                .encoded(&picture.fleet, applied)
+                .encoded(&published.fleet, applied)
                 .map_err(internal)?
             {
                 Some(encoded) => encoded,
                 None => return Ok(FollowReply::default()),
             },
         };
-        let quarantine = picture.fleet.quarantine();
+        let quarantine = published.fleet.quarantine();
         let quarantine_revision = quarantine.revision().0;
         let verdicts = match quarantine_revision.cmp(&request.known_quarantine) {
             Ordering::Less => return Ok(FollowReply::default()),
@@ -203,7 +203,7 @@
 
     /// Returns a reply that lists the replicas, unless the entry VM knows the present list.
     fn list_replicas(&self, request: &FollowRequest) -> Result<FollowReply, Status> {
-        let picture = self.control.picture().read();
+        let published = self.control.published().read();
         let known = self.control.presence().view().replicas;
         let place = |address| {
             let known = known
@@ -211,7 +211,7 @@
                 .find(|known| known.endpoints.address == address);
             known.map(|known| known.endpoints.place.clone())
         };
-        let sites: Vec<ReplicaSite> = picture
+        let sites: Vec<ReplicaSite> = published
             .replicas
             .iter()
             .map(|info| ReplicaSite {
--- a/server/src/formation.rs
+++ b/server/src/formation.rs
@@ -198,7 +198,7 @@
     settings: ControlSettings,
     formation: FormationSettings,
     identity: Identity,
-    picture: StateReader,
+    published: StateReader,
     channels: PeerChannels,
     clock: Arc<dyn Clock>,
 ) {
@@ -207,13 +207,13 @@
     loop {
         tokio::time::sleep(WATCH_INTERVAL).await;
         let now = clock.now();
-        let unproved = picture
+        let unproved = published
             .proof_age(now)
             .unwrap_or_else(|| now.saturating_duration_since(began));
         if unproved < ASK_MEMBERSHIP_AFTER {
             continue;
         }
-        let known = picture.read().replicas;
+        let known = published.read().replicas;
         let own = settings.advertised();
         let mut others: Vec<SocketAddr> = known.iter().map(|info| info.address).collect();
         others.extend(formation.peers());
--- a/server/src/published_state.rs
+++ b/server/src/published_state.rs
@@ -34,31 +34,37 @@
 /// Publishes a replica's state.
 #[derive(Debug)]
 pub struct StatePublisher {
-    picture: watch::Sender<PublishedState>,
+    published: watch::Sender<PublishedState>,
     proved_at: watch::Sender<Option<Instant>>,
 }
 
 /// Reads a replica's published state.
 #[derive(Clone, Debug)]
 pub struct StateReader {
-    picture: watch::Receiver<PublishedState>,
+    published: watch::Receiver<PublishedState>,
     proved_at: watch::Receiver<Option<Instant>>,
 }
 
 /// Creates a publisher and a reader; the published state is empty at first.
 #[must_use]
 pub fn channel() -> (StatePublisher, StateReader) {
-    let (picture_tx, picture) = watch::channel(PublishedState {
+    let (picture_tx, published) = watch::channel(PublishedState {
         fleet: Arc::default(),
         replicas: Arc::default(),
         leads: false,
     });
     let (proved_tx, proved_at) = watch::channel(None);
     let publisher = StatePublisher {
-        picture: picture_tx,
+        published: picture_tx,
         proved_at: proved_tx,
     };
-    (publisher, StateReader { picture, proved_at })
+    (
+        publisher,
+        StateReader {
+            published,
+            proved_at,
+        },
+    )
 }
 
 impl StatePublisher {
@@ -66,20 +72,20 @@
     pub fn publish(&self, raft: &Raft, state: &ControlState) {
         self.proved_at.send_replace(raft.proven_current_at());
         let leads = raft.role() == Role::Leader;
-        self.picture.send_if_modified(|picture| {
-            let fleet_changed = !Arc::ptr_eq(&picture.fleet, state.fleet());
+        self.published.send_if_modified(|published| {
+            let fleet_changed = !Arc::ptr_eq(&published.fleet, state.fleet());
             if fleet_changed {
-                picture.fleet = Arc::clone(state.fleet());
+                published.fleet = Arc::clone(state.fleet());
             }
             let membership = raft.membership();
-            let known = picture.replicas.iter();
+            let known = published.replicas.iter();
             let replicas_changed = !known.eq(membership.ids().filter_map(|id| membership.info(id)));
             if replicas_changed {
                 let infos = membership.ids().filter_map(|id| membership.info(id));
-                picture.replicas = Arc::new(infos.cloned().collect());
+                published.replicas = Arc::new(infos.cloned().collect());
             }
-            let leads_changed = picture.leads != leads;
-            picture.leads = leads;
+            let leads_changed = published.leads != leads;
+            published.leads = leads;
             fleet_changed || replicas_changed || leads_changed
         });
     }
@@ -89,7 +95,7 @@
     /// Returns the state as last published.
     #[must_use]
     pub fn read(&self) -> PublishedState {
-        self.picture.borrow().clone()
+        self.published.borrow().clone()
     }
 
     /// Returns whether the last proof of being current is recent enough.
@@ -120,7 +126,7 @@
 
     /// Waits until the published state changes; forever if the replica has ended.
     pub async fn changed(&mut self) {
-        if self.picture.changed().await.is_err() {
+        if self.published.changed().await.is_err() {
             std::future::pending::<()>().await;
         }
     }
