--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -42,7 +42,7 @@
 use crate::interface::LookUp;
 use crate::interface::LookUpSource;
 use crate::leader_relay::fleet_client;
-use crate::leader_relay::pass_on;
+use crate::leader_relay::relayed_request;
 use crate::metric;
 use crate::node_request::LeaderLink;
 use crate::node_request::NodeError;
@@ -571,14 +571,14 @@
     command: &FleetCommand,
 ) -> Result<Response, FleetError> {
     let command_encoded = postcard::to_stdvec(command).context(AnswerSnafu)?;
-    let request = pass_on(ProposeRequest { command_encoded }, LEADER_TIMEOUT);
+    let request = relayed_request(ProposeRequest { command_encoded }, LEADER_TIMEOUT);
     let call = fleet_client(leader).propose(request).await;
     let reply = call.map_err(Box::new).context(LeaderSnafu)?.into_inner();
     postcard::from_bytes(&reply.response_encoded).context(AnswerSnafu)
 }
 
 async fn manifest_at_leader(leader: &LeaderLink) -> Result<FleetManifest, FleetError> {
-    let request = pass_on(ReadRoutesRequest {}, LEADER_TIMEOUT);
+    let request = relayed_request(ReadRoutesRequest {}, LEADER_TIMEOUT);
     let call = fleet_client(leader).read_routes(request).await;
     let reply = call.map_err(Box::new).context(LeaderSnafu)?.into_inner();
     postcard::from_bytes(&reply.manifest_encoded).context(AnswerSnafu)
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -29,7 +29,7 @@
 use crate::fleet_control::FleetControl;
 use crate::leader_relay::fleet_client;
 use crate::leader_relay::is_passed_on;
-use crate::leader_relay::pass_on;
+use crate::leader_relay::relayed_request;
 use crate::metric;
 use crate::node_request::NodeHandle;
 use crate::proto::AdmitReply;
@@ -363,7 +363,7 @@
             })),
             Err(error) => match error.leader().filter(|_| !passed_on) {
                 Some(leader) => {
-                    let request = pass_on(request, ADMIT_TIMEOUT);
+                    let request = relayed_request(request, ADMIT_TIMEOUT);
                     fleet_client(leader).admit(request).await
                 }
                 None => Err(Status::unavailable(error.to_string())),
--- a/server/src/leader_relay.rs
+++ b/server/src/leader_relay.rs
@@ -28,7 +28,7 @@
 
 /// Wraps a request for the leader and marks it as passed on.
 #[must_use]
-pub fn pass_on<T>(message: T, timeout: Duration) -> Request<T> {
+pub fn relayed_request<T>(message: T, timeout: Duration) -> Request<T> {
     let mut request = Request::new(message);
     request
         .metadata_mut()
