--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -28,7 +28,7 @@
 
 use crate::fleet_control::FleetControl;
 use crate::leader_relay::fleet_client;
-use crate::leader_relay::is_passed_on;
+use crate::leader_relay::is_relayed;
 use crate::leader_relay::relayed_request;
 use crate::metric;
 use crate::node_request::NodeHandle;
@@ -346,7 +346,7 @@
     }
 
     async fn admit(&self, request: Request<AdmitRequest>) -> Result<Response<AdmitReply>, Status> {
-        let passed_on = is_passed_on(request.metadata());
+        let passed_on = is_relayed(request.metadata());
         let request = request.into_inner();
         let address = request.address.parse();
         let address = address.map_err(|_| Status::invalid_argument("invalid address"))?;
--- a/server/src/leader_relay.rs
+++ b/server/src/leader_relay.rs
@@ -22,7 +22,7 @@
 
 /// Returns whether another replica has passed the request on already.
 #[must_use]
-pub fn is_passed_on(metadata: &MetadataMap) -> bool {
+pub fn is_relayed(metadata: &MetadataMap) -> bool {
     metadata.contains_key(PASSED_ON)
 }
 
--- a/server/src/operator_service.rs
+++ b/server/src/operator_service.rs
@@ -21,7 +21,7 @@
 use tonic::metadata::MetadataMap;
 
 use crate::leader_relay::RELAY_TIMEOUT;
-use crate::leader_relay::is_passed_on;
+use crate::leader_relay::is_relayed;
 use crate::leader_relay::operator_client;
 use crate::leader_relay::relayed_request;
 use crate::membership_request::membership_change;
@@ -79,7 +79,7 @@
 
 /// Returns the leader to pass a refused request on to, unless it was passed on before.
 fn relay_to<'a>(error: &'a NodeError, metadata: &MetadataMap) -> Option<&'a LeaderLink> {
-    error.leader().filter(|_| !is_passed_on(metadata))
+    error.leader().filter(|_| !is_relayed(metadata))
 }
 
 fn unavailable(error: &NodeError) -> Status {
@@ -160,7 +160,7 @@
         &self,
         request: Request<StatusRequest>,
     ) -> Result<Response<StatusReply>, Status> {
-        let passed_on = is_passed_on(request.metadata());
+        let passed_on = is_relayed(request.metadata());
         let (own, leader) = self
             .node
             .status()
