--- a/server/src/control_node.rs
+++ b/server/src/control_node.rs
@@ -1,7 +1,7 @@
-//! The task that owns a control replica: the agreement, its disk and the state.
+//! The task that owns a control replica: Raft, its disk and the replicated state.
 //!
-//! The task drains its queue, steps each request, makes all records of these steps
-//! durable under one sync, and only then sends, applies and answers.
+//! The task drains its queue, passes each request to Raft, makes all records of these steps
+//! durable with one sync, and only then sends messages, applies entries and answers requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -59,77 +59,77 @@
 use crate::session_desk::HeldSync;
 use crate::session_desk::SessionDesk;
 
-/// Requests that one turn takes, all under one sync.
+/// Largest number of requests handled in one turn, with one sync.
 const MAX_BATCH: usize = 256;
 
-/// Bound on the commands of one append, in bytes.
+/// Largest total size of the commands in one append message, in bytes.
 const MAX_APPEND_BYTES: usize = 512 << 10;
 
-/// Time from which a write is told of. Entry VMs give a call up after twice that, and elections
-/// begin.
+/// Duration from which a write is logged as slow. Entry VMs abandon a call after twice that, and
+/// elections begin.
 const SLOW_WRITE: Duration = Duration::from_millis(500);
 
-/// Size of the parts in which a snapshot travels, in bytes.
+/// Size of the chunks in which a snapshot is sent, in bytes.
 const SNAPSHOT_CHUNK_BYTES: usize = 256 << 10;
 
-/// Tells why the replica stopped. It can't go on after any of these.
+/// Reason for which the replica stopped. None of these can be recovered from.
 #[derive(Debug, Snafu)]
 pub enum ControlNodeError {
     /// The disk failed.
     #[snafu(display("{source}"))]
     Disk {
-        /// How.
+        /// Failed operation.
         source: DiskError,
     },
-    /// The disk's task was aborted.
+    /// The task that writes to the disk panicked or was aborted.
     #[snafu(display("the task that writes to the disk was aborted"))]
     DiskTask {
-        /// How.
+        /// Whether it panicked or was aborted.
         source: JoinError,
     },
     /// The durable records contradict themselves or the settings.
     #[snafu(display("{source}"))]
-    Agreement {
-        /// How.
+    Raft {
+        /// Contradiction that was found.
         source: RaftError,
     },
-    /// A log position can't be applied.
+    /// A log entry or a snapshot cannot be applied, or the state cannot be encoded.
     #[snafu(display("{source}"))]
     State {
-        /// Why.
+        /// Cause of the failure.
         source: ControlStateError,
     },
-    /// A command can't be encoded or decoded.
-    #[snafu(display("position {index} of the log can't be read"))]
+    /// A command of the log cannot be decoded.
+    #[snafu(display("cannot decode the log entry at index {index}"))]
     Command {
-        /// The position.
+        /// Index of its log entry.
         index: Revision,
-        /// Why.
+        /// Cause of the failure.
         source: EncodingError,
     },
 }
 
-/// Holds the settings of the task.
+/// Settings of the task.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeConfig {
-    /// Intervals of the agreement and of sessions.
+    /// Intervals of Raft and of sessions.
     pub timing: ControlTiming,
-    /// Log positions after which a snapshot is taken.
+    /// Number of applied log entries after which a snapshot is taken.
     pub snapshot_every: u64,
     /// Seed of the election timeouts.
     pub seed: u64,
-    /// Replicas that vote, and whether their set repairs itself.
+    /// Number of voters, and who maintains their set.
     pub voters: VoterPolicy,
 }
 
-/// Says how many replicas vote, and who sees to it.
+/// Number of replicas that vote, and who maintains their set.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum VoterPolicy {
-    /// Operators do; every replica that they add votes.
+    /// Operators maintain it; every replica that they add votes.
     Operators,
-    /// The leader removes voters that are lost, and further replicas stand in for them.
+    /// The leader removes lost voters, and promotes learners in their place.
     SelfRepair {
-        /// Replicas that vote.
+        /// Number of voters to maintain.
         target: usize,
     },
 }
@@ -143,7 +143,7 @@
     }
 }
 
-/// Owns a control replica.
+/// A control replica: Raft, its disk, the state, and the requests that wait for answers.
 #[derive(Debug)]
 pub struct ControlNode<D> {
     pub(crate) cfg: NodeConfig,
@@ -160,10 +160,10 @@
     /// Requests for the next read barrier.
     pub(crate) waiting: Vec<Waiter>,
     pub(crate) barrier_in_flight: bool,
-    /// When the next read barrier begins at the latest.
-    barrier_at: Option<Instant>,
-    /// Requests whose barrier was passed for a position that isn't applied yet.
-    pub(crate) parked: Vec<(Revision, Vec<Waiter>)>,
+    /// Latest time at which the next read barrier begins; `None` if no request waits for one.
+    next_barrier_at: Option<Instant>,
+    /// Requests whose barrier was passed at a log index that is not applied yet.
+    pub(crate) awaiting_apply: Vec<(Revision, Vec<Waiter>)>,
     snapshot_index: Revision,
     pub(crate) leaving: Option<Leaving>,
     publisher: Option<StatePublisher>,
@@ -171,11 +171,11 @@
 }
 
 impl<D: Disk> ControlNode<D> {
-    /// Starts a replica from what its disk held.
+    /// Creates a replica from the records recovered from its disk.
     ///
     /// # Errors
     ///
-    /// Returns a [`ControlNodeError`] if that contradicts itself or the settings.
+    /// Returns a [`ControlNodeError`] if the records contradict themselves or the settings.
     pub fn new(
         cfg: NodeConfig,
         clock: Arc<dyn Clock>,
@@ -200,7 +200,7 @@
             max_voters: cfg.voters.max_voters(),
             spread_voters: matches!(cfg.voters, VoterPolicy::SelfRepair { .. }),
         };
-        let raft = Raft::new(raft_cfg, durable, clock.now()).context(AgreementSnafu)?;
+        let raft = Raft::new(raft_cfg, durable, clock.now()).context(RaftSnafu)?;
         Ok(Self {
             cfg,
             identity,
@@ -215,27 +215,27 @@
             pending: SlotMap::with_key(),
             waiting: Vec::new(),
             barrier_in_flight: false,
-            barrier_at: None,
-            parked: Vec::new(),
+            next_barrier_at: None,
+            awaiting_apply: Vec::new(),
             leaving: None,
             publisher: None,
             repair: Repair::default(),
         })
     }
 
-    /// Makes the replica show what it knows to those who serve direct dispatch.
+    /// Makes the replica publish its state to the tasks that serve direct dispatch.
     #[must_use]
-    pub fn publishing(mut self, publisher: StatePublisher) -> Self {
+    pub fn with_publisher(mut self, publisher: StatePublisher) -> Self {
         self.publisher = Some(publisher);
         self
     }
 
-    /// Serves requests until it is asked to leave or all handles are gone.
+    /// Serves requests until the replica has left as requested, or all handles are dropped.
     ///
     /// # Errors
     ///
-    /// Returns a [`ControlNodeError`] if the replica can't go on. The process must stop
-    /// then, without sending anything of the step that failed.
+    /// Returns a [`ControlNodeError`] if the replica cannot continue. The process must then stop
+    /// without sending any message of the failed step.
     pub async fn run(
         mut self,
         mut rx: mpsc::Receiver<NodeRequest>,
@@ -244,19 +244,19 @@
             let pause = self.next_wake().saturating_duration_since(self.clock.now());
             match tokio::time::timeout(pause, rx.recv()).await {
                 Ok(None) => return Ok(()),
-                Ok(Some(request)) => self.take_batch(request, &mut rx),
+                Ok(Some(request)) => self.handle_batch(request, &mut rx),
                 Err(_) => {}
             }
-            // Messages come before the tick: a process that was frozen finds the leader's
-            // heartbeats in its queue, and must not stand for election in spite of them.
+            // Messages are handled before the tick: a process that was frozen finds the leader's
+            // heartbeats in its queue, and must not start an election despite them.
             self.step(Input::Tick);
-            self.propose_lapses();
+            self.propose_lapsed_sessions();
             self.continue_repair();
             self.continue_leaving();
-            self.settle().await?;
+            self.process_effects().await?;
             self.publish();
             if self.has_left() {
-                self.release_all();
+                self.refuse_all_waiters();
                 return Ok(());
             }
         }
@@ -273,21 +273,21 @@
             Some(self.raft.next_wake()),
             self.sessions.next_wake(),
             self.leaving.map(|leaving| leaving.next_wake()),
-            self.barrier_at.filter(|_| !self.barrier_in_flight),
+            self.next_barrier_at.filter(|_| !self.barrier_in_flight),
         ];
         let earliest = wakes.into_iter().flatten().min();
         earliest.unwrap_or_else(|| self.clock.now())
     }
 
-    fn take_batch(&mut self, first: NodeRequest, rx: &mut mpsc::Receiver<NodeRequest>) {
-        self.take(first);
+    fn handle_batch(&mut self, first: NodeRequest, rx: &mut mpsc::Receiver<NodeRequest>) {
+        self.handle(first);
         for _ in 1..MAX_BATCH {
             let Ok(request) = rx.try_recv() else { return };
-            self.take(request);
+            self.handle(request);
         }
     }
 
-    fn take(&mut self, request: NodeRequest) {
+    fn handle(&mut self, request: NodeRequest) {
         match request {
             NodeRequest::Message {
                 from,
@@ -307,17 +307,17 @@
                 change,
                 reply,
             } => self.change_membership(operator, change, reply),
-            NodeRequest::Read(read) => self.wait(Waiter::Read(read)),
-            NodeRequest::Status(reply) => self.wait(Waiter::Status(reply)),
+            NodeRequest::Read(read) => self.wait_for_barrier(Waiter::Read(read)),
+            NodeRequest::Status(reply) => self.wait_for_barrier(Waiter::Status(reply)),
             NodeRequest::Sync { call, reply } => {
                 let received_at = self.clock.now();
                 let held = HeldSync::new(Box::new(call), reply, received_at);
-                self.wait(Waiter::Sync(held));
+                self.wait_for_barrier(Waiter::Sync(held));
             }
             NodeRequest::SyncBatch { renewals, reply } => {
                 let received_at = self.clock.now();
                 let batch = HeldBatch::new(renewals, reply, received_at);
-                self.wait(Waiter::Batch(batch));
+                self.wait_for_barrier(Waiter::Batch(batch));
             }
             NodeRequest::Admit {
                 replica,
@@ -325,7 +325,7 @@
                 question_only,
                 reply,
             } => {
-                // Whoever asked may have gone away meanwhile.
+                // The requester may have stopped waiting.
                 let _ = reply.send(self.admit(replica, &info, question_only));
             }
             NodeRequest::Regions(regions) => self.repair.note_regions(regions),
@@ -333,9 +333,9 @@
         }
     }
 
-    /// Queues a request for the next read barrier. Renewals that bring nothing new wait
-    /// for a heartbeat's time, so that many share a quorum round.
-    fn wait(&mut self, waiter: Waiter) {
+    /// Queues a request for the next read barrier. Renewals without news wait for up to a heartbeat
+    /// interval, so that many share one quorum round.
+    fn wait_for_barrier(&mut self, waiter: Waiter) {
         let urgent = match &waiter {
             Waiter::Read(_) | Waiter::Status(_) => true,
             Waiter::Sync(held) => self.sessions.is_urgent(held),
@@ -347,7 +347,7 @@
             self.cfg.timing.heartbeat()
         };
         let at = self.clock.now() + pause;
-        self.barrier_at = Some(self.barrier_at.map_or(at, |earlier| earlier.min(at)));
+        self.next_barrier_at = Some(self.next_barrier_at.map_or(at, |earlier| earlier.min(at)));
         self.waiting.push(waiter);
     }
 
@@ -362,8 +362,8 @@
             kind,
         };
         let Ok(command) = command.encode() else {
-            // Every command is made of values that encode, so this is never reached;
-            // dropping `pending` tells the asker that the outcome is unknown.
+            // Every command consists of encodable values, so this is never reached; dropping
+            // `pending` tells the requester that the outcome is unknown.
             return;
         };
         let token = token_of(self.pending.insert(pending));
@@ -377,7 +377,7 @@
         reply: oneshot::Sender<Result<Revision, NodeError>>,
     ) {
         if self.has_added(&change) {
-            // A resend whose first answer was lost.
+            // The request was sent again after its first answer was lost.
             let _ = reply.send(Ok(self.state.revision()));
             return;
         }
@@ -396,25 +396,25 @@
         self.raft.role() == Role::Leader && known == Some(info)
     }
 
-    fn propose_lapses(&mut self) {
+    fn propose_lapsed_sessions(&mut self) {
         if self.raft.role() != Role::Leader {
             return;
         }
         for session in self.sessions.lapsed(self.clock.now()) {
-            log::warn!(session = session.0; "the lease of an entry VM's session ran out");
+            log::warn!(session = session.0; "lease of an entry VM's session expired");
             self.propose(CommandKind::LapseSession(session), Pending::Unattended);
         }
     }
 
-    /// Carries out effects until there are none: answers may cause further proposals.
-    async fn settle(&mut self) -> Result<(), ControlNodeError> {
+    /// Applies Raft's effects until there are none left: answers may cause further proposals.
+    async fn process_effects(&mut self) -> Result<(), ControlNodeError> {
         loop {
             self.begin_barrier();
             if self.effects.is_empty() {
                 break;
             }
             let effects = std::mem::take(&mut self.effects);
-            self.carry_out(effects).await?;
+            self.apply_effects(effects).await?;
             self.compact()?;
         }
         let now = self.clock.now();
@@ -422,23 +422,23 @@
         Ok(())
     }
 
-    /// Starts one quorum round for all requests that wait for one. Requests that come
-    /// meanwhile wait for the next round, which begins after they arrived.
+    /// Starts one quorum round for all requests that wait for one. Requests that arrive during the
+    /// round wait for the next one, since a round proves nothing for requests that it predates.
     fn begin_barrier(&mut self) {
         if self.barrier_in_flight || self.waiting.is_empty() {
             return;
         }
-        if self.barrier_at.is_some_and(|at| self.clock.now() < at) {
+        if self.next_barrier_at.is_some_and(|at| self.clock.now() < at) {
             return;
         }
-        self.barrier_at = None;
+        self.next_barrier_at = None;
         let waiters = std::mem::take(&mut self.waiting);
         let token = token_of(self.pending.insert(Pending::Barrier(waiters)));
         self.barrier_in_flight = true;
         self.step(Input::ReadBarrier { token });
     }
 
-    async fn carry_out(&mut self, effects: Effects) -> Result<(), ControlNodeError> {
+    async fn apply_effects(&mut self, effects: Effects) -> Result<(), ControlNodeError> {
         self.write(effects.writes).await?;
         for (to, message) in effects.sends {
             self.links.send(self.raft.membership(), to, message);
@@ -459,7 +459,7 @@
         for answer in effects.answers {
             self.answer(answer, &mut responses);
         }
-        self.serve_parked();
+        self.serve_applied();
         Ok(())
     }
 
@@ -480,7 +480,7 @@
         self.disk = Some(disk);
         let took = self.clock.now().saturating_duration_since(begun);
         if took >= SLOW_WRITE {
-            log::warn!(event = "disk_slow", took_ms = whole_ms(took); "nothing else was handled while records were written");
+            log::warn!(event = "disk_slow", took_ms = whole_ms(took); "slow write to disk; the replica handled nothing else meanwhile");
         }
         Ok(())
     }
@@ -492,10 +492,10 @@
             role = change.role.name(),
             term = change.term.0,
             leader = change.leader.map_or(0, |leader| leader.0);
-            "role changed"
+            "Raft role changed"
         );
         if change.role == Role::Leader {
-            self.repair.elected(self.clock.now());
+            self.repair.restart(self.clock.now());
         } else {
             let leader = self.leader_link();
             self.sessions.stop(leader.as_deref());
@@ -505,7 +505,7 @@
     fn restore(&mut self, snapshot: &Snapshot) -> Result<(), ControlNodeError> {
         self.state = ControlState::decode_snapshot(&snapshot.data).context(StateSnafu)?;
         self.snapshot_index = snapshot.index;
-        log::info!(revision = snapshot.index.0; "took over a snapshot from the leader");
+        log::info!(revision = snapshot.index.0; "restored a snapshot from the leader");
         Ok(())
     }
 
@@ -533,14 +533,14 @@
         };
         let own_term = self.raft.role() == Role::Leader && entry.term == self.raft.term();
         if own_term {
-            // The first entry of its own term: from here on the leader's state includes
-            // everything that its predecessors committed.
+            // With the first entry of its own term applied, the leader's state includes everything
+            // that its predecessors committed.
             self.sessions.start(self.clock.now(), &self.state);
         }
         Ok(response)
     }
 
-    /// Takes a snapshot once enough positions have been applied since the last one.
+    /// Takes a snapshot once enough entries have been applied since the last one.
     fn compact(&mut self) -> Result<(), ControlNodeError> {
         let applied = self.state.revision();
         let since = applied.0.saturating_sub(self.snapshot_index.0);
--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -1,4 +1,4 @@
-//! The process of a control replica: starts and stops its tasks.
+//! Process of a control replica: starts and stops its tasks.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -61,84 +61,86 @@
 use crate::shutdown::Shutdown;
 use crate::token_desk::TokenDesk;
 
-/// Largest submission that is taken, in bytes: a manifest and who submits it.
+/// Largest accepted submission, in bytes: a manifest and the name of its operator.
 const MAX_SUBMISSION_BYTES: usize = MAX_MANIFEST_BYTES + (64 << 10);
 
 /// Largest request of an entry VM, in bytes.
 const MAX_SYNC_BYTES: usize = 64 << 10;
 
-/// Silence of a connection after which it is probed, and time for the answer. Without
-/// it, connections of VMs that vanished would hold their sockets for hours.
+/// Idle time of a connection after which it is probed. Without probes, connections of VMs that
+/// vanished would hold their sockets for hours.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
+/// Time for the answer to a probe.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Requests at one time over one connection: a follower passes on those of all entry VMs.
+/// Largest number of concurrent requests on one connection: a follower relays those of all entry
+/// VMs to the leader.
 const MAX_STREAMS: u32 = 4_096;
 
-/// Time for which answers may still be under way once the replica has stopped.
-const FINISH_WITHIN: Duration = Duration::from_secs(3);
+/// Time for connections to finish once the replica has stopped.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Tells why a control replica can't start or go on.
+/// Reason for which a control replica cannot start or continue.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlError {
-    /// The data folder can't be used.
+    /// The data folder cannot be used.
     #[snafu(display("data folder {}: {source}", folder.display()))]
     Folder {
-        /// The folder.
+        /// Path of the data folder.
         folder: PathBuf,
-        /// Why.
+        /// Cause of the failure.
         source: DiskError,
     },
-    /// The data folder couldn't be formatted.
+    /// The data folder could not be formatted.
     #[snafu(display("{source}"))]
     Format {
-        /// Why.
+        /// Cause of the failure.
         source: FormatError,
     },
-    /// The data folder couldn't be emptied.
-    #[snafu(display("can't empty the data folder: {source}"))]
+    /// The data folder could not be emptied.
+    #[snafu(display("cannot empty the data folder: {source}"))]
     Erase {
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The address of the settings can't be listened on.
-    #[snafu(display("can't listen on {address}: {source}"))]
+    /// The replica cannot listen on an address of the settings.
+    #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// Address of the listener.
         address: SocketAddr,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The certificates of the settings can't be used.
+    /// The certificates of the settings cannot be used.
     #[snafu(display("{source}"))]
     Security {
-        /// Why.
+        /// Cause of the failure.
         source: PeerSecurityError,
     },
-    /// The replica stopped.
+    /// The task that owns the replica failed.
     #[snafu(display("the replica stopped: {source}"))]
     Node {
-        /// Why.
+        /// Cause of the failure.
         source: ControlNodeError,
     },
-    /// The server failed.
-    #[snafu(display("the server failed: {source}"))]
+    /// The gRPC server failed.
+    #[snafu(display("the gRPC server failed: {source}"))]
     Server {
-        /// How.
+        /// Error of the server.
         source: tonic::transport::Error,
     },
-    /// A task panicked.
+    /// A task panicked or was aborted.
     #[snafu(display("a task of the replica was aborted: {source}"))]
     Task {
-        /// How.
+        /// Whether it panicked or was aborted.
         source: JoinError,
     },
 }
 
 impl ControlError {
-    /// Returns whether the settings or the state of the folder are at fault, rather
-    /// than the program or its VM.
+    /// Returns whether the cause is the settings or the state of the data folder, rather than the
+    /// program or its VM.
     #[must_use]
     pub const fn is_user_error(&self) -> bool {
         match self {
@@ -153,16 +155,16 @@
     }
 }
 
-/// Runs a control replica until `shutdown` asks it to stop.
+/// Runs a control replica until `shutdown` requests a stop.
 ///
-/// A planned stop hands leadership over, answers what waits and ends the connections;
-/// the second request of `shutdown` skips what is left of that. `interface` is spoken on
-/// the listeners for direct dispatch, if the settings name any.
+/// A planned stop hands leadership over, answers pending requests and closes the connections;
+/// a second request of `shutdown` skips the remaining steps. `interface` implements the protocol
+/// of the listeners for direct dispatch, if the settings name any.
 ///
 /// # Errors
 ///
-/// Fails if the replica can't start, in which case nothing has been started, or if it
-/// can't go on, for instance after a failed sync.
+/// Fails if the replica cannot start, in which case nothing has been started, or if it cannot
+/// continue, for instance after a failed sync.
 pub async fn run_control(
     settings: ControlSettings,
     clock: Arc<dyn Clock>,
@@ -179,7 +181,7 @@
     let (disk, recovered) = tokio::select! {
         opened = open_folder(&settings, &channels) => opened?,
         () = shutdown.requested() => {
-            log::info!(event = "control_ended"; "asked to stop while joining");
+            log::info!(event = "control_ended"; "stop requested while joining");
             return Ok(());
         }
     };
@@ -190,7 +192,7 @@
         settings.advertised(),
         channels.clone(),
     );
-    let (publisher, published) = published_state::channel();
+    let (state_publisher, published) = published_state::channel();
     let node = ControlNode::new(
         node_config(&settings),
         Arc::clone(&clock),
@@ -199,7 +201,7 @@
         links,
     )
     .context(NodeSnafu)?
-    .publishing(publisher);
+    .with_publisher(state_publisher);
     let (handle, rx) = NodeHandle::channel();
     let mut node = tokio::spawn(node.run(rx));
     let fleet = serve_fleet(&settings, identity, &clock, &published, &handle, &channels);
@@ -209,7 +211,8 @@
         serving.context(ListenSnafu { address })?;
     }
     let interface = interface.as_ref();
-    let outside = serve_outside(&settings, interface, &fleet, &clock, &stop_listeners).await?;
+    let direct_listeners =
+        serve_direct(&settings, interface, &fleet, &clock, &stop_listeners).await?;
     let (stop_server, server_stopped) = oneshot::channel();
     let builder = security.grpc_server().context(SecuritySnafu)?;
     let direct = settings.direct.as_ref();
@@ -241,35 +244,35 @@
     tokio::select! {
         result = &mut node => return node_result(result),
         result = &mut server => return server_result(result),
-        () = removed => return leave_for_good(&settings),
+        () = removed => return erase_replaced(&settings),
         () = shutdown.requested() => {}
     }
-    log::info!(event = "control_leaving"; "planned stop: handing over");
+    log::info!(event = "control_leaving"; "planned stop: handing leadership over");
     handle.leave().await;
     tokio::select! {
         result = &mut node => node_result(result)?,
         () = shutdown.insisted() => return Ok(()),
     }
     stop_listeners.cancel();
-    // The server may have ended by itself; then nobody listens to this.
+    // Sending fails only if the server has ended by itself.
     let _ = stop_server.send(());
-    // Orders that were passed on to the leader are answered by it. One without an answer is
-    // sent again by its operator, who can't know whether it is in force meanwhile.
+    // Operators' calls that were relayed to the leader still get its answer. An operator whose
+    // call gets none sends it again, without knowing whether it is already in force.
     let finished = async {
-        outside.await.context(TaskSnafu)?;
+        direct_listeners.await.context(TaskSnafu)?;
         server_result((&mut server).await)
     };
     tokio::select! {
         result = finished => result?,
         () = shutdown.insisted() => {}
-        () = tokio::time::sleep(FINISH_WITHIN) => log::warn!(event = "control_stop_late"; "some connections did not end in time"),
+        () = tokio::time::sleep(FINISH_TIMEOUT) => log::warn!(event = "control_stop_late"; "some connections did not end in time; closing them"),
     }
     log::info!(event = "control_ended"; "control replica stopped");
     Ok(())
 }
 
-/// Opens the data folder, after it was formatted if the settings say how. A log that can't
-/// be trusted counts as lost then: the replica joins again under a fresh identity.
+/// Opens the data folder, and formats it first if needed and the settings describe how. In that
+/// case, a damaged log counts as lost: the replica joins again under a fresh identity.
 async fn open_folder(
     settings: &ControlSettings,
     channels: &PeerChannels,
@@ -282,7 +285,7 @@
     prepared.context(FormatSnafu)?;
     match formation::open(settings) {
         Err(DiskError::Damaged { source }) => {
-            log::error!(event = "log_damaged", error:% = source; "the log can't be trusted: joining again with an empty folder");
+            log::error!(event = "log_damaged", error:% = source; "the log is damaged; joining again with an empty data folder");
             formation::erase(settings).context(EraseSnafu)?;
             let joining = FormationSettings {
                 first_start: false,
@@ -311,7 +314,7 @@
     }
 }
 
-/// Starts what direct dispatch needs of this replica, whether anybody uses it or not.
+/// Starts the tasks for direct dispatch, which run whether the settings enable it or not.
 fn serve_fleet(
     settings: &ControlSettings,
     identity: Identity,
@@ -348,13 +351,13 @@
     )
 }
 
-/// Tells the replica in which regions the others are, whenever that changes.
+/// Tells the replica the regions of all replicas whenever they change.
 async fn follow_regions(
     mut presence: PresenceHandle,
     node: NodeHandle,
     places: BTreeMap<PlaceName, RegionName>,
 ) {
-    let mut told = BTreeMap::new();
+    let mut last_sent = BTreeMap::new();
     loop {
         let replicas = presence.view().replicas;
         let regions: BTreeMap<SocketAddr, RegionName> = replicas
@@ -364,17 +367,17 @@
                 Some((known.endpoints.address, region.clone()))
             })
             .collect();
-        if regions != told {
-            told.clone_from(&regions);
+        if regions != last_sent {
+            last_sent.clone_from(&regions);
             node.note_regions(regions).await;
         }
         presence.changed().await;
     }
 }
 
-/// Listens to those who aren't part of the system. The returned task ends once the stop was
-/// asked for and what was read is answered.
-async fn serve_outside(
+/// Serves the listeners for backend servers, operators and callers. The returned task ends once
+/// `stop` is cancelled and all requests read by then are answered.
+async fn serve_direct(
     settings: &ControlSettings,
     interface: Option<&Arc<dyn ControlInterface>>,
     fleet: &FleetControl,
@@ -390,7 +393,7 @@
     }
 }
 
-/// Returns once this replica was replaced by another one; never without self-formation.
+/// Returns once this replica has been replaced by another one; never without self-formation.
 async fn until_removed(
     settings: &ControlSettings,
     identity: Identity,
@@ -408,10 +411,10 @@
     }
 }
 
-/// Empties the folder of a replica that was replaced; the process joins again when it is
-/// started anew.
-fn leave_for_good(settings: &ControlSettings) -> Result<(), ControlError> {
-    log::warn!(event = "replaced"; "this replica was replaced: its folder is emptied, and it joins again at its next start");
+/// Empties the data folder of a replica that was replaced, so that the process joins again at its
+/// next start.
+fn erase_replaced(settings: &ControlSettings) -> Result<(), ControlError> {
+    log::warn!(event = "replaced"; "this replica was replaced; emptying its data folder, so that it joins again at its next start");
     formation::erase(settings).context(EraseSnafu)
 }
 
@@ -427,7 +430,7 @@
     result.context(TaskSnafu)?.context(ServerSnafu)
 }
 
-/// Holds what the replica's listener offers.
+/// gRPC services on the replica's listener.
 struct Services {
     replication: ReplicationServer<ReplicationService>,
     operators: OperatorServer<OperatorService>,
@@ -479,7 +482,7 @@
         tokio::spawn(async move {
             router
                 .serve_with_incoming_shutdown(incoming, async {
-                    // Both a message and a dropped sender mean that the process ends.
+                    // Both a message and a dropped sender mean that the process is ending.
                     let _ = stopped.await;
                 })
                 .await
--- a/server/src/node_answers.rs
+++ b/server/src/node_answers.rs
@@ -1,5 +1,5 @@
-//! How a control replica answers those who asked: with what the agreement told, from
-//! the state as it was applied.
+//! Answers of a control replica to pending requests, once Raft has committed or refused them.
+//! Reads are answered from the applied state.
 
 use std::collections::BTreeMap;
 
@@ -38,7 +38,7 @@
             return;
         };
         let response = response.unwrap_or(Response::Done);
-        // Whoever asked may have gone away meanwhile; then nobody takes the answer.
+        // Sending fails only if the requester has stopped waiting.
         match pending {
             Pending::Command(reply) => {
                 let _ = reply.send(Ok(Committed { revision, response }));
@@ -103,14 +103,14 @@
             return;
         };
         self.barrier_in_flight = false;
-        self.parked.push((index, waiters));
+        self.awaiting_apply.push((index, waiters));
     }
 
-    pub(crate) fn serve_parked(&mut self) {
+    pub(crate) fn serve_applied(&mut self) {
         let applied = self.state.revision();
-        for (index, waiters) in std::mem::take(&mut self.parked) {
+        for (index, waiters) in std::mem::take(&mut self.awaiting_apply) {
             if index > applied {
-                self.parked.push((index, waiters));
+                self.awaiting_apply.push((index, waiters));
                 continue;
             }
             for waiter in waiters {
--- a/server/src/node_leaving.rs
+++ b/server/src/node_leaving.rs
@@ -1,4 +1,5 @@
-//! The planned stop of a control replica: hand over, answer what waits, end.
+//! The planned stop of a control replica: it hands leadership over, answers pending requests and
+//! ends.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,17 +12,17 @@
 use crate::data_folder::Disk;
 use crate::node_pending::Pending;
 
-/// Says how far a planned stop has got.
+/// Progress of a planned stop.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Leaving {
     deadline: Instant,
-    ask_again_at: Instant,
+    retry_at: Instant,
 }
 
 impl Leaving {
-    /// Returns when the hand-over is asked for again.
+    /// Returns when the handover is attempted again.
     pub(crate) const fn next_wake(&self) -> Instant {
-        self.ask_again_at
+        self.retry_at
     }
 }
 
@@ -29,49 +30,51 @@
     pub(crate) fn begin_leaving(&mut self) {
         let now = self.clock.now();
         self.leaving = Some(Leaving {
-            deadline: now + self.leave_within(),
-            ask_again_at: now,
+            deadline: now + self.leave_timeout(),
+            retry_at: now,
         });
     }
 
-    fn leave_within(&self) -> Duration {
+    fn leave_timeout(&self) -> Duration {
         self.cfg.timing.election_max() * 3
     }
 
-    /// Asks for the hand-over, again and again while this replica still leads.
+    /// Attempts the handover, repeatedly while this replica still leads.
     pub(crate) fn continue_leaving(&mut self) {
         let now = self.clock.now();
         let Some(leaving) = &mut self.leaving else {
             return;
         };
-        if now < leaving.ask_again_at {
+        if now < leaving.retry_at {
             return;
         }
-        leaving.ask_again_at = now + self.cfg.timing.election_min();
+        leaving.retry_at = now + self.cfg.timing.election_min();
         if self.raft.role() == Role::Leader {
             self.step(Input::StepDown);
         }
     }
 
+    /// Returns whether the task may end: leadership is handed over and all requests are answered,
+    /// or the time for that is up. A sole voter has nobody to hand over to.
     pub(crate) fn has_left(&self) -> bool {
         let Some(leaving) = &self.leaving else {
             return false;
         };
-        let alone = self.raft.membership().voters.len() <= 1;
-        let handed_over = self.raft.role() != Role::Leader || alone;
+        let is_sole_voter = self.raft.membership().voters.len() <= 1;
+        let handed_over = self.raft.role() != Role::Leader || is_sole_voter;
         let answered = !self.pending.values().any(Pending::is_awaited);
         (handed_over && answered) || self.clock.now() >= leaving.deadline
     }
 
-    /// Lets go of requests that still wait, so that askers turn to another replica.
-    pub(crate) fn release_all(&mut self) {
+    /// Refuses requests that still wait, so that their senders turn to another replica.
+    pub(crate) fn refuse_all_waiters(&mut self) {
         let leader = self.leader_link();
         self.sessions.stop(leader.as_deref());
         let reason = Refusal::HandingOver;
         for waiter in std::mem::take(&mut self.waiting) {
             self.refuse_waiter(waiter, &reason);
         }
-        for (_, waiters) in std::mem::take(&mut self.parked) {
+        for (_, waiters) in std::mem::take(&mut self.awaiting_apply) {
             for waiter in waiters {
                 self.refuse_waiter(waiter, &reason);
             }
--- a/server/src/node_pending.rs
+++ b/server/src/node_pending.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for an answer of the agreement.
+//! Requests that wait for Raft to commit, refuse or confirm them.
 
 use heatherring_lib::command::MembershipChange as RequestedChange;
 use heatherring_lib::command::MembershipRequest;
@@ -19,54 +19,54 @@
 use crate::session_desk::HeldSync;
 
 new_key_type! {
-    /// Identifies a request that waits for an answer of the agreement.
+    /// Identifies a request that waits for Raft.
     pub struct PendingKey;
 }
 
-/// Returns the token under which the agreement knows a request.
+/// Returns the token by which Raft identifies a request.
 #[must_use]
 pub fn token_of(key: PendingKey) -> Token {
     Token(key.data().as_ffi())
 }
 
-/// Returns the request that a token stands for.
+/// Returns the key of the request that a token identifies.
 #[must_use]
 pub fn key_of(token: Token) -> PendingKey {
     KeyData::from_ffi(token.0).into()
 }
 
-/// Holds whoever waits for an answer of the agreement.
+/// Recipient of Raft's answer to a request.
 #[derive(Debug)]
 pub enum Pending {
     /// The proposer of a command.
     Command(oneshot::Sender<Result<Committed, NodeError>>),
-    /// Whoever asked for a change of the replicas.
+    /// The requester of a membership change.
     Membership(oneshot::Sender<Result<Revision, NodeError>>),
     /// An entry VM whose session is opened, marked as leaving or closed.
     Session(HeldSync),
-    /// All who share a read barrier.
+    /// The requests that share a read barrier.
     Barrier(Vec<Waiter>),
-    /// Nobody.
+    /// Nobody: the replica made the request itself, and sees its effect in the state.
     Unattended,
 }
 
 impl Pending {
-    /// Returns whether somebody waits.
+    /// Returns whether somebody waits for the answer.
     #[must_use]
     pub const fn is_awaited(&self) -> bool {
         !matches!(self, Self::Unattended)
     }
 }
 
-/// Waits for a read barrier.
+/// A request that waits for a read barrier.
 pub enum Waiter {
     /// A read of the state.
     Read(Read),
-    /// A report on the replica.
+    /// A request for the replica's status.
     Status(oneshot::Sender<(StatusReply, Option<Box<LeaderLink>>)>),
-    /// A renewal of a session.
+    /// A request to open or renew a session.
     Sync(HeldSync),
-    /// Renewals that a relay collected.
+    /// A batch of renewals collected by a relay.
     Batch(HeldBatch),
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// Returns the record by which the audit trail names the operator of a change.
+/// Returns the record by which the audit log attributes a membership change to its operator.
 #[must_use]
 pub fn audit_request(operator: String, change: &MembershipChange) -> MembershipRequest {
     let change = match change {
--- a/server/src/node_repair.rs
+++ b/server/src/node_repair.rs
@@ -1,4 +1,4 @@
-//! How a control replica that leads keeps the set of replicas whole by itself.
+//! Self-repair of the set of replicas: the leader removes lost replicas and admits new ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,32 +23,33 @@
 use crate::node_pending::token_of;
 use crate::node_request::NodeError;
 
-/// Time between two looks at who is silent.
+/// Interval at which the leader checks for silent replicas.
 const REPAIR_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Age of the last proof of leadership up to which the leader's word on membership counts:
+/// Age of the last proof of leadership up to which the leader answers questions of membership:
 /// five heartbeats.
-const PROOF_AGE: Duration = Duration::from_millis(500);
+const MAX_PROOF_AGE: Duration = Duration::from_millis(500);
 
-/// Says when the leader looks at the replicas next, and since when it has known each.
+/// The leader's record of the replicas, and the time of its next check.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Repair {
     known_since: BTreeMap<ReplicaId, Instant>,
     regions: BTreeMap<SocketAddr, RegionName>,
-    look_at: Option<Instant>,
+    next_check_at: Option<Instant>,
 }
 
 impl Repair {
-    pub(crate) fn elected(&mut self, now: Instant) {
+    /// Starts anew when this replica becomes the leader.
+    pub(crate) fn restart(&mut self, now: Instant) {
         self.known_since.clear();
-        self.look_at = Some(now);
+        self.next_check_at = Some(now);
     }
 
     pub(crate) fn note_regions(&mut self, regions: BTreeMap<SocketAddr, RegionName>) {
         self.regions = regions;
     }
 
-    /// Returns in which regions the members are, as far as that is known.
+    /// Returns the regions of those members whose region is known.
     fn regions_of(&self, membership: &Membership) -> BTreeMap<ReplicaId, RegionName> {
         let region = |id| {
             let address = membership.info(id)?.address;
@@ -57,7 +58,8 @@
         membership.ids().filter_map(region).collect()
     }
 
-    fn follow(&mut self, membership: &Membership, now: Instant) {
+    /// Drops former members, and records the time at which new ones were first seen.
+    fn track_members(&mut self, membership: &Membership, now: Instant) {
         self.known_since.retain(|id, _| membership.contains(*id));
         for id in membership.ids() {
             self.known_since.entry(id).or_insert(now);
@@ -66,36 +68,41 @@
 }
 
 impl<D: Disk> ControlNode<D> {
-    /// Removes a replica whose removal is due, if this one leads.
+    /// Proposes the removal of a replica that has been silent for too long, if this replica leads.
     pub(crate) fn continue_repair(&mut self) {
         let VoterPolicy::SelfRepair { target } = self.cfg.voters else {
             return;
         };
         let now = self.clock.now();
-        let due = self.repair.look_at.is_some_and(|at| now >= at);
+        let due = self.repair.next_check_at.is_some_and(|at| now >= at);
         if !due || self.raft.role() != Role::Leader {
             return;
         }
-        self.repair.look_at = Some(now + REPAIR_INTERVAL);
+        self.repair.next_check_at = Some(now + REPAIR_INTERVAL);
         let regions = self.repair.regions_of(self.raft.membership());
         self.step(Input::Regions(regions));
         let progress = self.raft.progress();
         let membership = self.raft.membership();
-        self.repair.follow(membership, now);
+        self.repair.track_members(membership, now);
         let known_since = &self.repair.known_since;
         let removal = replica_plan::due_removal(membership, &progress, known_since, now, target);
         if let Some(replica) = removal {
-            log::warn!(event = "replica_removed", replica = replica.0; "a silent replica is removed");
-            self.change_unattended(MembershipChange::Remove(replica));
+            log::warn!(event = "replica_removed", replica = replica.0; "removing a silent replica");
+            self.propose_change(MembershipChange::Remove(replica));
         }
     }
 
-    fn change_unattended(&mut self, change: MembershipChange) {
+    fn propose_change(&mut self, change: MembershipChange) {
         let token = token_of(self.pending.insert(Pending::Unattended));
         self.step(Input::ChangeMembership { token, change });
     }
 
-    /// Answers whether a replica is a member; if not, takes the next step towards it.
+    /// Returns whether a replica is a member; if it is not, proposes the next change towards that,
+    /// unless `question_only`.
+    ///
+    /// # Errors
+    ///
+    /// Refuses while this replica cannot prove that it leads, or another change is pending.
     pub(crate) fn admit(
         &mut self,
         replica: ReplicaId,
@@ -104,7 +111,7 @@
     ) -> Result<bool, NodeError> {
         let now = self.clock.now();
         let proved = self.raft.proven_current_at();
-        let proved = proved.is_some_and(|at| now.saturating_duration_since(at) < PROOF_AGE);
+        let proved = proved.is_some_and(|at| now.saturating_duration_since(at) < MAX_PROOF_AGE);
         if self.raft.role() != Role::Leader || !proved {
             return Err(NodeError::Refused {
                 reason: Refusal::NotLeader {
@@ -123,8 +130,8 @@
             Admission::Member => Ok(true),
             Admission::Change(_) if question_only => Ok(false),
             Admission::Change(change) => {
-                log::info!(event = "replica_admission", replica = replica.0, vm = info.vm.as_str(), change:? = change; "a replica asks to join");
-                self.change_unattended(change);
+                log::info!(event = "replica_admission", replica = replica.0, vm = info.vm.as_str(), change:? = change; "proposing a membership change to admit a replica");
+                self.propose_change(change);
                 Ok(false)
             }
         }
--- a/server/src/node_request.rs
+++ b/server/src/node_request.rs
@@ -1,4 +1,4 @@
-//! What other tasks ask of the task that owns a control replica.
+//! Requests to the task that owns a control replica, and the handle that sends them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -29,45 +29,45 @@
 
 use crate::proto;
 
-/// Requests that wait for the replica; more are refused or dropped.
+/// Largest number of queued requests; further requests are refused, and messages are dropped.
 pub const QUEUE_LENGTH: usize = 4_096;
 
-/// Says where the leader is, for passing a request on.
+/// Connection to the leader, for relaying a request.
 #[derive(Clone, Debug)]
 pub struct LeaderLink {
-    /// The leader.
+    /// Identity of the leader.
     pub replica: ReplicaId,
-    /// Its address.
+    /// Address of the leader.
     pub address: SocketAddr,
-    /// Connects to it.
+    /// Channel to the leader; connects on first use.
     pub channel: Channel,
 }
 
-/// Tells why the replica didn't do what was asked.
+/// Reason for which the replica did not carry out a request.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum NodeError {
-    /// The agreement refused.
+    /// Raft refused the request.
     #[snafu(display("{reason}"))]
     Refused {
-        /// Why.
+        /// Raft's reason.
         reason: Refusal,
         /// The leader, if it is another replica and its address is known.
         leader: Option<Box<LeaderLink>>,
     },
-    /// Too many requests wait.
-    #[snafu(display("too many requests wait at this replica"))]
+    /// The queue of requests is full.
+    #[snafu(display("too many requests are queued at this replica"))]
     Busy,
     /// The replica stopped before it answered.
     #[snafu(display("the replica stopped before the outcome was known"))]
     Stopped {
-        /// Says that the answer can't come any more.
+        /// The closed channel of the answer.
         source: oneshot::error::RecvError,
     },
 }
 
 impl NodeError {
-    /// Returns whether a proposal surely isn't in the log and never will be.
+    /// Returns whether a proposal is proved not to be in the log, now or later.
     #[must_use]
     pub fn is_proved_absent(&self) -> bool {
         match self {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns the leader that can be asked instead.
+    /// Returns the leader to ask instead, if it is another replica and its address is known.
     #[must_use]
     pub fn leader(&self) -> Option<&LeaderLink> {
         match self {
@@ -87,34 +87,34 @@
     }
 }
 
-/// Holds a committed and applied command.
+/// Result of a committed and applied command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Committed {
-    /// Its position.
+    /// Log index of the command.
     pub revision: Revision,
-    /// What applying it gave.
+    /// Result of applying it.
     pub response: Response,
 }
 
-/// Holds an entry VM's request to renew its session or to open one.
+/// An entry VM's request to open or renew a session.
 #[derive(Clone, Debug)]
 pub struct SyncCall {
-    /// What is asked for.
+    /// Session to open or renew.
     pub subject: SyncSubject,
-    /// The last revision that the entry has applied; 0 asks for the whole view.
+    /// The last revision that the entry VM has applied; 0 asks for the whole view.
     pub applied: Revision,
-    /// The highest settled revision that the entry knows.
+    /// The highest settled revision that the entry VM knows.
     pub known_settled: Revision,
-    /// How long the answer may be held back while there is nothing new.
+    /// Time for which the answer may be held while there are no changes.
     pub wait: Duration,
-    /// Whether the entry leaves.
+    /// Whether the entry VM is leaving.
     pub leaving: bool,
-    /// Whether the entry has finished everything.
+    /// Whether the entry VM has finished all requests, so that the session can be closed.
     pub closing: bool,
 }
 
 impl SyncCall {
-    /// Returns the session that is to be renewed, if the request opens none.
+    /// Returns the session to renew; `None` if the request opens one.
     #[must_use]
     pub const fn session(&self) -> Option<SessionId> {
         match self.subject {
@@ -124,111 +124,111 @@
     }
 }
 
-/// Tells what an entry VM asks for. Renewals, which come every second or so, don't say
-/// again where the VM is: that would be a good half of their size.
+/// Session that an entry VM asks to open or renew. Renewals arrive about once a second, and do
+/// not repeat the VM's location: it would make up more than half of their size.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SyncSubject {
-    /// A session for this entry VM.
+    /// Opens a session for this entry VM.
     Open(EntryInfo),
-    /// A longer lease for this session.
+    /// Extends the lease of this session.
     Renew(SessionId),
 }
 
-/// Answers a [`SyncCall`].
+/// Answer to a [`SyncCall`].
 #[derive(Debug)]
 pub enum SyncAnswer {
     /// The lease is extended.
     Granted {
-        /// The session.
+        /// Session whose lease is extended.
         session: SessionId,
-        /// The settled revision.
+        /// Settled revision: acknowledged by every open session that was opened before it.
         settled: Revision,
-        /// What is new.
+        /// Changes since the revision that the entry VM has applied.
         update: ViewUpdate,
     },
-    /// The session has lapsed or is about to.
+    /// The session has lapsed or is about to lapse.
     Lost,
-    /// This replica can't prove that it is current.
+    /// This replica cannot prove that it is current.
     NotCurrent {
         /// The leader, if it is another replica and its address is known.
         leader: Option<Box<LeaderLink>>,
     },
 }
 
-/// Answers a batch of renewals.
+/// Answer to a batch of renewals.
 #[derive(Debug)]
 pub enum BatchAnswer {
-    /// The leases are extended, but for the lost sessions.
+    /// The leases are extended, except those of lost sessions.
     Granted(BatchGrant),
-    /// This replica can't prove that it is current.
+    /// This replica cannot prove that it is current.
     NotCurrent {
         /// The leader, if it is another replica and its address is known.
         leader: Option<Box<LeaderLink>>,
     },
 }
 
-/// Reads the state once it is proved to be current, or learns why it isn't.
+/// Callback that reads the state once it is proved to be current, or receives the error.
 pub type Read = Box<dyn FnOnce(Result<&ControlState, NodeError>) + Send>;
 
-/// Asks something of the task that owns the replica.
+/// Request to the task that owns the replica.
 pub enum NodeRequest {
-    /// Hands in a message of another replica.
+    /// Delivers a message from another replica.
     Message {
-        /// The sender.
+        /// Identity of the sender.
         from: ReplicaId,
-        /// Where the sender listens.
+        /// Address on which the sender listens, if the message gives one.
         address: Option<SocketAddr>,
-        /// The message.
+        /// Raft message.
         message: Message,
     },
     /// Proposes a command.
     Propose {
-        /// The command.
+        /// Command to append to the log.
         command: CommandKind,
-        /// Takes the outcome.
+        /// Receives the outcome.
         reply: oneshot::Sender<Result<Committed, NodeError>>,
     },
-    /// Changes the replicas.
+    /// Changes the set of replicas.
     ChangeMembership {
-        /// Who asks.
+        /// Name of the operator, for the audit log.
         operator: String,
-        /// What is to change.
+        /// Replica to add or remove.
         change: MembershipChange,
-        /// Takes the position of the committed change.
+        /// Receives the log index of the committed change.
         reply: oneshot::Sender<Result<Revision, NodeError>>,
     },
     /// Reads the state after a read barrier.
     Read(Read),
-    /// Reports on the replica, current or not.
+    /// Returns the status of the replica, whether it is current or not.
     Status(oneshot::Sender<(proto::StatusReply, Option<Box<LeaderLink>>)>),
     /// Renews or opens a session.
     Sync {
-        /// The request.
+        /// Request of the entry VM.
         call: SyncCall,
-        /// Takes the answer.
+        /// Receives the answer.
         reply: oneshot::Sender<SyncAnswer>,
     },
     /// Renews many sessions for a relay.
     SyncBatch {
-        /// The sessions, and what their entry VMs have applied.
+        /// Sessions, and the revisions that their entry VMs have applied.
         renewals: Vec<Acknowledgement>,
-        /// Takes the answer.
+        /// Receives the answer.
         reply: oneshot::Sender<BatchAnswer>,
     },
-    /// Asks that a replica be admitted, or whether it is a member.
+    /// Requests the admission of a replica, or asks whether it is a member.
     Admit {
-        /// The replica.
+        /// Identity of the replica.
         replica: ReplicaId,
-        /// Where it is.
+        /// VM and address of the replica.
         info: ReplicaInfo,
-        /// Whether to change nothing.
+        /// Whether only to ask, without a change.
         question_only: bool,
-        /// Takes whether it is a member.
+        /// Receives whether it is a member.
         reply: oneshot::Sender<Result<bool, NodeError>>,
     },
-    /// Tells in which regions the replicas at these addresses are.
+    /// Sets the regions of the replicas at these addresses.
     Regions(BTreeMap<SocketAddr, RegionName>),
-    /// Hands leadership over and ends the task.
+    /// Hands leadership over, then ends the task.
     Leave,
 }
 
@@ -250,21 +250,21 @@
     }
 }
 
-/// Talks to the task that owns the replica.
+/// Handle to the task that owns the replica.
 #[derive(Clone, Debug)]
 pub struct NodeHandle {
     tx: mpsc::Sender<NodeRequest>,
 }
 
 impl NodeHandle {
-    /// Creates a handle and the end at which the replica takes the requests.
+    /// Creates a handle, and the receiver from which the replica reads requests.
     #[must_use]
     pub fn channel() -> (Self, mpsc::Receiver<NodeRequest>) {
         let (tx, rx) = mpsc::channel(QUEUE_LENGTH);
         (Self { tx }, rx)
     }
 
-    /// Hands in a message; drops it if too many wait, as the protocol allows.
+    /// Delivers a message; drops it if the queue is full, which Raft tolerates.
     pub fn deliver(&self, from: ReplicaId, address: Option<SocketAddr>, message: Message) {
         let request = NodeRequest::Message {
             from,
@@ -272,7 +272,7 @@
             message,
         };
         if self.tx.try_send(request).is_err() {
-            log::warn!(from = from.0; "dropped a message of another replica");
+            log::warn!(from = from.0; "dropped a message from another replica: the queue is full or closed");
         }
     }
 
@@ -300,11 +300,11 @@
         self.propose(CommandKind::Fleet(Box::new(command))).await
     }
 
-    /// Changes the replicas and waits until the change is committed.
+    /// Changes the set of replicas, and waits until the change is committed.
     ///
     /// # Errors
     ///
-    /// Returns a [`NodeError`] that says why the change wasn't made.
+    /// Returns a [`NodeError`] with the reason for which the change was not made.
     pub async fn change_membership(
         &self,
         operator: String,
@@ -319,29 +319,29 @@
         answer.await.context(StoppedSnafu)?
     }
 
-    /// Reads the state after a read barrier, that is, everything that was committed
-    /// before this call is included.
+    /// Reads the state after a read barrier, so that it includes everything committed before this
+    /// call.
     ///
     /// # Errors
     ///
-    /// Returns a [`NodeError`] if that can't be proved.
+    /// Returns a [`NodeError`] if that cannot be proved.
     pub async fn read<T: Send + 'static>(
         &self,
         read: impl FnOnce(&ControlState) -> T + Send + 'static,
     ) -> Result<T, NodeError> {
         let (reply, answer) = oneshot::channel();
         self.enqueue(NodeRequest::Read(Box::new(move |state| {
-            // The asker may have gone away meanwhile.
+            // The requester may have stopped waiting.
             let _ = reply.send(state.map(read));
         })))?;
         answer.await.context(StoppedSnafu)?
     }
 
-    /// Reports on the replica.
+    /// Returns the status of the replica, and the leader if the status is not proved to be current.
     ///
     /// # Errors
     ///
-    /// Returns a [`NodeError`] if the replica takes no requests.
+    /// Returns a [`NodeError`] if the queue is full or the replica has stopped.
     pub async fn status(&self) -> Result<(proto::StatusReply, Option<Box<LeaderLink>>), NodeError> {
         let (reply, answer) = oneshot::channel();
         self.enqueue(NodeRequest::Status(reply))?;
@@ -352,7 +352,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`NodeError`] if the replica takes no requests.
+    /// Returns a [`NodeError`] if the queue is full or the replica has stopped.
     pub async fn sync(&self, call: SyncCall) -> Result<SyncAnswer, NodeError> {
         let (reply, answer) = oneshot::channel();
         self.enqueue(NodeRequest::Sync { call, reply })?;
@@ -363,7 +363,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`NodeError`] if the replica takes no requests.
+    /// Returns a [`NodeError`] if the queue is full or the replica has stopped.
     pub async fn sync_batch(
         &self,
         renewals: Vec<Acknowledgement>,
@@ -373,12 +373,13 @@
         answer.await.context(StoppedSnafu)
     }
 
-    /// Asks the leader to admit a replica, or whether it is a member; the answer tells
-    /// whether it is one. After a "no" the replica asks again.
+    /// Requests the admission of a replica, or with `question_only` asks whether it is a member.
+    /// Returns whether it is one; if it is not, the replica asks again.
     ///
     /// # Errors
     ///
-    /// Returns a [`NodeError`] if this replica doesn't lead, or can't prove that it does.
+    /// Returns a [`NodeError`] if this replica cannot prove that it leads, or if another change of
+    /// the replicas is pending.
     pub async fn admit(
         &self,
         replica: ReplicaId,
@@ -395,15 +396,15 @@
         answer.await.context(StoppedSnafu)?
     }
 
-    /// Tells in which regions the replicas at these addresses are.
+    /// Sets the regions of the replicas at these addresses, by which the leader spreads voters.
     pub async fn note_regions(&self, regions: BTreeMap<SocketAddr, RegionName>) {
-        // A replica that has stopped has no use of it.
+        // A replica that has stopped does not need the regions.
         let _ = self.tx.send(NodeRequest::Regions(regions)).await;
     }
 
-    /// Asks the replica to hand leadership over and to stop.
+    /// Requests that the replica hands leadership over and stops.
     pub async fn leave(&self) {
-        // A replica that has stopped already needs no request.
+        // A replica that has stopped already does not need the request.
         let _ = self.tx.send(NodeRequest::Leave).await;
     }
 }
--- a/server/src/published_state.rs
+++ b/server/src/published_state.rs
@@ -48,18 +48,18 @@
 /// Creates a publisher and a reader; the published state is empty at first.
 #[must_use]
 pub fn channel() -> (StatePublisher, StateReader) {
-    let (picture_tx, published) = watch::channel(PublishedState {
+    let (published_tx, published) = watch::channel(PublishedState {
         fleet: Arc::default(),
         replicas: Arc::default(),
         leads: false,
     });
     let (proved_tx, proved_at) = watch::channel(None);
-    let publisher = StatePublisher {
-        published: picture_tx,
+    let state_publisher = StatePublisher {
+        published: published_tx,
         proved_at: proved_tx,
     };
     (
-        publisher,
+        state_publisher,
         StateReader {
             published,
             proved_at,
