--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -211,8 +211,8 @@
             return Ok(known);
         }
         let until = start_wait::wait_until(arrived, CONFIRM_WITHIN, patience);
-        let mut heard = self.heard.clone();
-        let confirmed = heard.wait_for(|heard| *heard > arrived);
+        let mut last_contact = self.last_contact.clone();
+        let confirmed = last_contact.wait_for(|last_contact| *last_contact > arrived);
         let confirmed = tokio::time::timeout_at(until.into(), confirmed).await;
         known().map_err(|reason| {
             if matches!(confirmed, Ok(Ok(_))) {
--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -220,7 +220,7 @@
         Decided {
             vm: &self.vm,
             held: now.saturating_duration_since(arrived),
-            control_age: now.saturating_duration_since(*self.heard.borrow()),
+            control_age: now.saturating_duration_since(*self.last_contact.borrow()),
         }
     }
 }
