--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -180,7 +180,7 @@
             };
             let ask = OwnedDispatchRequest {
                 service: admitted.service.clone(),
-                route_name: admitted.req.asker.route.clone(),
+                route_name: admitted.req.caller.route.clone(),
                 route: Arc::clone(&admitted.route),
                 object: admitted.object,
                 rank: admitted.rank,
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -121,7 +121,7 @@
 pub fn spawn(setup: FollowerSetup) -> Followed {
     let (view, view_rx) = watch::channel(Arc::new(FleetView::default()));
     let (out_of_service, out_of_service_rx) = watch::channel(Arc::default());
-    let (last_contact, heard_rx) = watch::channel(setup.clock.now());
+    let (last_contact, last_contact_rx) = watch::channel(setup.clock.now());
     let (proved, proved_rx) = watch::channel(setup.clock.now());
     let (replica, replica_rx) = watch::channel(None);
     let (sites, sites_rx) = watch::channel(Vec::new());
@@ -158,7 +158,7 @@
     Followed {
         view: view_rx,
         out_of_service: out_of_service_rx,
-        last_contact: heard_rx,
+        last_contact: last_contact_rx,
         proved: proved_rx,
         replica: replica_rx,
         sites: sites_rx,
