--- a/cli/tests/test_check.rs
+++ b/cli/tests/test_check.rs
@@ -57,11 +57,11 @@
     test_check_wrong_type: "control-1.jsonc", "\"control-1\"" => "7",
         ":3:9: found a number; allowed is a name of 1 to 63 letters, digits, '-', '_' and '.', which starts with a letter or digit";
     test_check_duplicate_place: "kyushu.jsonc", "\"fko-kokura\": {\"region\"" => "\"fko-hakata\": {\"region\"",
-        ":11:5: \"fko-hakata\" stands here again after line 10; allowed is once";
+        ":11:5: duplicate key \"fko-hakata\", first on line 10; allowed is once";
     test_check_cap_over_100: "kyushu.jsonc", "\"percent\": 60" => "\"percent\": 130",
-        ":62:63: 130 isn't allowed here; allowed is a whole number from 0 to 100";
+        ":62:63: 130 is not allowed here; allowed is a whole number from 0 to 100";
     test_check_address_that_does_not_parse: "entry-1.jsonc", "127.0.0.12:7400" => "localhost:7400",
-        ":13:34: \"localhost:7400\" isn't allowed here; allowed is an IP address with a port, as in 127.0.0.1:7000";
+        ":13:34: \"localhost:7400\" is not allowed here; allowed is an IP address with a port, as in 127.0.0.1:7000";
     test_check_two_values: "control-1.jsonc", "{" => "{} //",
         ":3:3: Text cannot contain more than one JSON value; allowed is JSON with comments";
     test_check_neither_settings_nor_manifest: "control-1.jsonc", "{" => "{}\n/*",
--- a/lib/src/clock.rs
+++ b/lib/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock, passed in as an interface.
+//! The clock as an interface, so that tests can supply the time.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 
 use crate::duration_text::whole_ms;
 
-/// Tells the time.
+/// Provides the current time.
 ///
-/// Leases, deadlines and windows are measured with [`Clock::now`], which never steps
-/// back. [`Clock::wall`] may jump and serves for display and the audit trail only.
+/// Leases, deadlines and time windows are measured with [`Clock::now`], which never goes
+/// backwards. [`Clock::wall`] may jump and is for display and the audit trail only.
 pub trait Clock: Debug + Send + Sync {
     /// Returns the monotonic time.
     fn now(&self) -> Instant;
--- a/lib/src/config_document.rs
+++ b/lib/src/config_document.rs
@@ -1,4 +1,4 @@
-//! A parsed text that can tell where each of its values stands.
+//! Parsed settings or manifests in which the position of each value can be looked up.
 
 use jsonc_parser::CollectOptions;
 use jsonc_parser::ParseOptions;
@@ -15,7 +15,7 @@
 use crate::config_path::ConfigPath;
 use crate::config_path::Step;
 
-/// Allows comments and trailing commas beside strict JSON, and nothing else.
+/// Allows comments and trailing commas in addition to strict JSON, and nothing else.
 pub(crate) const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -29,7 +29,7 @@
     allow_extended_string_escapes: false,
 };
 
-/// Holds a text with its syntax tree.
+/// A text with its syntax tree.
 pub(crate) struct Document<'a> {
     file: &'a str,
     text: &'a str,
@@ -38,13 +38,13 @@
 }
 
 impl<'a> Document<'a> {
-    /// Parses a text; `file` names it in faults.
+    /// Parses a text; `file` is the name under which faults report it.
     pub(crate) fn parse(file: &'a str, text: &'a str) -> Result<Self, ConfigFaults> {
         let parsed = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS)
             .map_err(|error| syntax_fault(file, &error))?;
         let Some(root) = parsed.value else {
             let position = Position { line: 1, column: 1 };
-            return Err(only_fault(file, position, ConfigProblem::Empty));
+            return Err(single_fault(file, position, ConfigProblem::Empty));
         };
         Ok(Self {
             file,
@@ -59,7 +59,7 @@
         &self.root
     }
 
-    /// Makes a fault at a byte offset of the text.
+    /// Creates a fault at a byte offset of the text.
     pub(crate) fn fault_at(&self, offset: usize, problem: ConfigProblem) -> ConfigFault {
         ConfigFault {
             file: self.file.to_owned(),
@@ -68,17 +68,17 @@
         }
     }
 
-    /// Makes a fault at the value that a path names.
+    /// Creates a fault at the value or key that a path refers to.
     pub(crate) fn fault(&self, path: &ConfigPath, problem: ConfigProblem) -> ConfigFault {
         self.fault_at(self.offset(path), problem)
     }
 
-    /// Returns the line and column of the value that a path names.
+    /// Returns the line and column of the value or key that a path refers to.
     pub(crate) fn position_of(&self, path: &ConfigPath) -> Position {
         self.position(self.offset(path))
     }
 
-    /// Returns the line and column of a byte offset.
+    /// Converts a byte offset to a line and column.
     pub(crate) fn position(&self, offset: usize) -> Position {
         let line = self.line_starts.partition_point(|start| *start <= offset);
         let line_start = self.line_starts[line - 1];
@@ -88,8 +88,9 @@
         }
     }
 
-    /// Returns the byte offset of what a path names, or of the innermost value on the
-    /// way to it that the text has: a field with a default needn't stand in the text.
+    /// Returns the byte offset of the value or key that a path refers to. If the text does not
+    /// contain it, as with a field that has a default, returns the offset of the innermost
+    /// enclosing value that it contains.
     fn offset(&self, path: &ConfigPath) -> usize {
         let mut value = &self.root;
         let last = path.steps().len().saturating_sub(1);
@@ -128,17 +129,17 @@
     std::iter::once(0).chain(after_breaks).collect()
 }
 
-/// Turns what the parser said into a fault.
+/// Converts an error of the parser to a fault.
 pub(crate) fn syntax_fault(file: &str, error: &ParseError) -> ConfigFaults {
     let position = Position {
         line: error.line_display(),
         column: error.column_display(),
     };
     let message = error.kind().to_string();
-    only_fault(file, position, ConfigProblem::Syntax { message })
+    single_fault(file, position, ConfigProblem::Syntax { message })
 }
 
-fn only_fault(file: &str, position: Position, problem: ConfigProblem) -> ConfigFaults {
+fn single_fault(file: &str, position: Position, problem: ConfigProblem) -> ConfigFaults {
     ConfigFaults(vec![ConfigFault {
         file: file.to_owned(),
         position,
--- a/lib/src/config_fault.rs
+++ b/lib/src/config_fault.rs
@@ -8,7 +8,8 @@
 use crate::manifest_check::ManifestProblem;
 use crate::settings_check::SettingsProblem;
 
-/// Holds a place in a text, both counted from 1; columns count characters.
+/// A position in a text. Lines and columns are counted from 1; columns count characters, not
+/// bytes.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Position {
     /// The line.
@@ -17,22 +18,22 @@
     pub column: usize,
 }
 
-/// Tells one fault of a text. It displays as one line,
+/// One fault in a text. It is displayed on one line as
 /// `file:line:column: what is wrong; what is allowed`.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("{file}:{}:{}: {problem}", position.line, position.column))]
 pub struct ConfigFault {
-    /// Names the text for people, usually by its path.
+    /// Display name of the text, usually its path.
     pub file: String,
-    /// Where the fault is.
+    /// Position of the fault, or of the innermost enclosing value if the text lacks the faulty one.
     pub position: Position,
     /// What is wrong, and what is allowed.
     pub problem: ConfigProblem,
 }
 
-/// Holds every fault that was found in a text; at least one.
+/// All faults that were found in a text; never empty.
 ///
-/// It displays as one line for each fault, in the order of the text.
+/// They are displayed one a line, in the order of the text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ConfigFaults(pub Vec<ConfigFault>);
 
@@ -50,7 +51,7 @@
 
 impl std::error::Error for ConfigFaults {}
 
-/// Names a kind of JSON value.
+/// A kind of JSON value.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum Kind {
     /// `null`.
@@ -73,29 +74,29 @@
     Object,
 }
 
-/// Tells what may stand somewhere.
+/// What is allowed at some position of a text.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Allowed {
-    /// A value of a kind.
+    /// Any value of a kind.
     Kind(Kind),
-    /// A whole number within bounds.
+    /// A whole number in a range.
     WholeNumber {
-        /// The least one.
+        /// Lower bound, inclusive.
         min: i128,
-        /// The greatest one.
+        /// Upper bound, inclusive.
         max: i128,
     },
-    /// A string that isn't empty.
+    /// A string that is not empty.
     NonEmpty,
-    /// A name, as [`crate::id::is_name`] has it.
+    /// A name that satisfies [`crate::id::is_name`].
     Name,
     /// An IP address with a port.
     SocketAddress,
-    /// A block of addresses.
+    /// A block of addresses in CIDR notation.
     BlockPrefix,
-    /// One of several forms.
+    /// One of several forms, each as it is written in the text.
     OneOf(Vec<String>),
-    /// At least so many elements.
+    /// An array of at least this many elements.
     AtLeast(u64),
 }
 
@@ -104,7 +105,7 @@
         match self {
             Self::Kind(kind) => kind.fmt(f),
             Self::WholeNumber { min, max } => write!(f, "a whole number from {min} to {max}"),
-            Self::NonEmpty => f.write_str("a string that isn't empty"),
+            Self::NonEmpty => f.write_str("a string that is not empty"),
             Self::Name => write!(
                 f,
                 "a name of 1 to {MAX_NAME_LENGTH} letters, digits, '-', '_' and '.', \
@@ -121,106 +122,106 @@
     }
 }
 
-/// Tells what is wrong with a text, and what is allowed.
+/// What is wrong with a text, and what is allowed instead.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigProblem {
-    /// The text is no JSON with comments.
+    /// The text is not valid JSON with comments.
     #[snafu(display("{message}; allowed is JSON with comments"))]
     Syntax {
-        /// What the parser said.
+        /// Error message of the parser.
         message: String,
     },
-    /// The text has too many bytes.
+    /// The text is too large.
     #[snafu(display("the text has {bytes} bytes; allowed are at most {max}"))]
     TooLarge {
-        /// Its size.
+        /// Size of the text in bytes.
         bytes: usize,
-        /// The bound.
+        /// Largest size that is allowed, in bytes.
         max: usize,
     },
-    /// The text has no value.
+    /// The text contains no value.
     #[snafu(display("the text is empty; allowed is an object"))]
     Empty,
     /// The text is neither settings nor a manifest.
     #[snafu(display(
         "this is neither settings nor a manifest; allowed is an object with one of {}",
-        quoted(telling)
+        quoted(distinguishing)
     ))]
     UnknownKind {
-        /// Fields by which they are told apart.
-        telling: Vec<String>,
+        /// Fields that distinguish settings and manifests.
+        distinguishing: Vec<String>,
     },
     /// A value is of the wrong kind.
     #[snafu(display("found {found}; allowed is {allowed}"))]
     WrongKind {
-        /// What stands there.
+        /// Kind of the value.
         found: Kind,
-        /// What may stand there.
+        /// What is allowed instead.
         allowed: Allowed,
     },
-    /// A value is of the right kind, but not allowed.
-    #[snafu(display("{value} isn't allowed here; allowed is {allowed}"))]
+    /// A value is of the right kind, but not one of those allowed.
+    #[snafu(display("{value} is not allowed here; allowed is {allowed}"))]
     BadValue {
-        /// The value as it stands.
+        /// The value as it is written in the text.
         value: String,
-        /// What may stand there.
+        /// What is allowed instead.
         allowed: Allowed,
     },
-    /// A field isn't known.
+    /// An object has a field that is not known.
     #[snafu(display("unknown field \"{name}\"{}; allowed are {}", did_you_mean(nearest.as_ref()), quoted(known)))]
     UnknownField {
-        /// The field's name.
+        /// Name of the field.
         name: String,
-        /// The known field whose name is nearest, if one is near.
+        /// The known field with the most similar name; `None` if none is similar.
         nearest: Option<String>,
-        /// All fields that are known there.
+        /// All fields that the object may have.
         known: Vec<String>,
     },
-    /// A field isn't there.
+    /// An object lacks a required field.
     #[snafu(display("missing field \"{name}\"; required are {}", quoted(required)))]
     MissingField {
-        /// The field's name.
+        /// Name of the field.
         name: String,
-        /// All fields that must be there.
+        /// All fields that the object must have.
         required: Vec<String>,
     },
-    /// A key stands twice in one object.
-    #[snafu(display("\"{name}\" stands here again after line {first_line}; allowed is once"))]
+    /// A key occurs twice in one object.
+    #[snafu(display("duplicate key \"{name}\", first on line {first_line}; allowed is once"))]
     DuplicateKey {
         /// The key.
         name: String,
-        /// The line on which it stands first.
+        /// Line of the first occurrence.
         first_line: usize,
     },
     /// An array has too few elements.
-    #[snafu(display("the array has {count}; allowed is {allowed}"))]
+    #[snafu(display("the array has {count} elements; allowed is {allowed}"))]
     TooFew {
-        /// Number of elements.
+        /// Number of elements that the array has.
         count: usize,
-        /// How many there must be.
+        /// Number of elements that is required.
         allowed: Allowed,
     },
-    /// Settings are well-formed, but their values don't fit together.
+    /// Settings are well-formed, but values contradict each other or the environment.
     #[snafu(display("{problem}"))]
     Settings {
-        /// What doesn't fit.
+        /// The problem.
         problem: SettingsProblem,
     },
-    /// A manifest is well-formed, but its values don't fit together.
+    /// A manifest is well-formed, but its values contradict each other.
     #[snafu(display("{problem}"))]
     Manifest {
-        /// What doesn't fit.
+        /// The problem.
         problem: ManifestProblem,
     },
 }
 
-/// Words the hint at a similar name, or nothing.
+/// Formats the hint at a similar name; empty if there is none.
 pub(crate) fn did_you_mean(nearest: Option<&String>) -> String {
     nearest.map_or_else(String::new, |name| format!(", did you mean \"{name}\"?"))
 }
 
-/// Lists names in quotes.
+/// Joins names with commas, each in quotes.
 pub(crate) fn quoted(names: &[String]) -> String {
     let quoted: Vec<String> = names.iter().map(|name| format!("\"{name}\"")).collect();
     quoted.join(", ")
--- a/lib/src/config_kind.rs
+++ b/lib/src/config_kind.rs
@@ -1,4 +1,4 @@
-//! Tells settings and manifests apart by their fields.
+//! Detection of the kind of settings or manifest that a text holds, by its fields.
 
 use jsonc_parser::ast::Value;
 
@@ -7,8 +7,8 @@
 use crate::config_fault::ConfigProblem;
 use crate::config_path::ConfigPath;
 
-/// Fields that only one kind has.
-const TELLING_FIELDS: [(&str, ConfigKind); 6] = [
+/// Fields that occur in only one kind, and that kind.
+const DISTINGUISHING_FIELDS: [(&str, ConfigKind); 6] = [
     ("version", ConfigKind::Manifest),
     ("places", ConfigKind::Manifest),
     ("services", ConfigKind::Manifest),
@@ -17,7 +17,7 @@
     ("control", ConfigKind::EntrySettings),
 ];
 
-/// Names what a text holds.
+/// What a text holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConfigKind {
     /// A manifest.
@@ -26,33 +26,36 @@
     ControlSettings,
     /// Settings of an entry VM.
     EntrySettings,
-    /// Settings of an entry VM that dispatches directly.
+    /// Settings of an entry VM that dispatches directly to backend servers. [`config_kind`] does not
+    /// recognize them.
     DirectSettings,
 }
 
-/// Tells what a text holds by the first field that only one kind has.
+/// Determines what a text holds by the first field that occurs in only one kind.
 ///
 /// # Errors
 ///
-/// Fails if the text is no JSON with comments, or has no such field.
+/// Fails if the text is not valid JSON with comments, or has no such field.
 pub fn config_kind(file: &str, text: &str) -> Result<ConfigKind, ConfigFaults> {
     let document = Document::parse(file, text)?;
-    if let Some(kind) = telling_kind(document.root()) {
+    if let Some(kind) = distinguished_kind(document.root()) {
         return Ok(kind);
     }
-    let telling = TELLING_FIELDS.iter().map(|(name, _)| (*name).to_owned());
+    let distinguishing = DISTINGUISHING_FIELDS
+        .iter()
+        .map(|(name, _)| (*name).to_owned());
     let problem = ConfigProblem::UnknownKind {
-        telling: telling.collect(),
+        distinguishing: distinguishing.collect(),
     };
     let fault = document.fault(&ConfigPath::root(), problem);
     Err(ConfigFaults(vec![fault]))
 }
 
-fn telling_kind(root: &Value<'_>) -> Option<ConfigKind> {
+fn distinguished_kind(root: &Value<'_>) -> Option<ConfigKind> {
     let properties = &root.as_object()?.properties;
     properties.iter().find_map(|property| {
-        let mut telling = TELLING_FIELDS.iter();
-        let found = telling.find(|(name, _)| *name == property.name.as_str());
+        let mut distinguishing = DISTINGUISHING_FIELDS.iter();
+        let found = distinguishing.find(|(name, _)| *name == property.name.as_str());
         found.map(|(_, kind)| *kind)
     })
 }
--- a/lib/src/config_path.rs
+++ b/lib/src/config_path.rs
@@ -1,15 +1,15 @@
 //! Paths to values in settings and manifests.
 
-/// Takes one step into a value.
+/// One step from a value to a value inside it.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Step {
-    /// Into the value of a field, or of a map's key.
+    /// To the value of a field, or of a key of a map.
     Field(String),
-    /// Into an element of a list, counted from 0.
+    /// To an element of a list, counted from 0.
     Item(usize),
 }
 
-/// Names a value by the steps from the root to it.
+/// Refers to a value, or to the key of a map, by the steps from the root to it.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ConfigPath {
     steps: Vec<Step>,
@@ -17,43 +17,43 @@
 }
 
 impl ConfigPath {
-    /// Names the root.
+    /// Refers to the whole text.
     #[must_use]
     pub fn root() -> Self {
         Self::default()
     }
 
-    /// Names the value of a field of this value.
+    /// Extends the path by a field.
     #[must_use]
     pub fn field(&self, name: impl Into<String>) -> Self {
-        self.stepped(Step::Field(name.into()), false)
+        self.extended(Step::Field(name.into()), false)
     }
 
-    /// Names a key of this map, rather than the value under it.
+    /// Extends the path by a key of a map, and refers to the key itself rather than its value.
     #[must_use]
     pub fn key(&self, name: impl Into<String>) -> Self {
-        self.stepped(Step::Field(name.into()), true)
+        self.extended(Step::Field(name.into()), true)
     }
 
-    /// Names an element of this list, counted from 0.
+    /// Extends the path by an element of a list, counted from 0.
     #[must_use]
     pub fn item(&self, index: usize) -> Self {
-        self.stepped(Step::Item(index), false)
+        self.extended(Step::Item(index), false)
     }
 
-    /// Returns the steps from the root.
+    /// Returns the steps, the one from the root first.
     #[must_use]
     pub fn steps(&self) -> &[Step] {
         &self.steps
     }
 
-    /// Tells whether the path names a key rather than the value under it.
+    /// Returns whether the path refers to a key rather than its value.
     #[must_use]
     pub const fn names_key(&self) -> bool {
         self.names_key
     }
 
-    fn stepped(&self, step: Step, names_key: bool) -> Self {
+    fn extended(&self, step: Step, names_key: bool) -> Self {
         let mut steps = self.steps.clone();
         steps.push(step);
         Self { steps, names_key }
--- a/lib/src/config_schema.rs
+++ b/lib/src/config_schema.rs
@@ -1,8 +1,8 @@
-//! Checks a syntax tree against the JSON Schema of a type, with positions.
+//! Validation of a syntax tree against the JSON Schema of a type, with positions.
 //!
-//! Serde stops at the first fault and doesn't notice that a map's key stands twice.
-//! The schema is derived from the same type, so this check finds every fault of form
-//! in one pass without a second list of fields.
+//! Serde stops at the first fault and does not detect duplicate keys of maps. The schema is
+//! derived from the same type, so this validation finds every fault of form in one pass without
+//! a second list of fields.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,14 +26,14 @@
 use crate::manifest::BlockPrefix;
 use crate::nearest_name::nearest_name;
 
-/// Format of strings that hold an IP address with a port.
+/// Value of the keyword `format` for an IP address with a port.
 pub(crate) const SOCKET_ADDRESS_FORMAT: &str = "socket-address";
-/// Format of strings that hold a block of addresses.
+/// Value of the keyword `format` for a block of addresses.
 pub(crate) const BLOCK_PREFIX_FORMAT: &str = "block-prefix";
-/// Format of names.
+/// Value of the keyword `format` for a name, see [`is_name`].
 pub(crate) const NAME_FORMAT: &str = "name";
 
-/// Finds every fault of form in a document.
+/// Returns every fault of form in a document.
 pub(crate) fn check(document: &Document<'_>, schema: &Json) -> Vec<ConfigFault> {
     let mut checker = Checker {
         document,
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Follows references. Bounds stand with the type itself, never beside a reference.
+    /// Resolves references. Keywords beside a reference are ignored: bounds are always part of
+    /// the type's own schema.
     fn resolved(&self, schema: &'a Json) -> &'a Json {
         let mut schema = schema;
         while let Some(target) = self.target(schema) {
@@ -114,7 +115,7 @@
         self.missing_fields(object, schema);
     }
 
-    /// All maps of settings and manifests are keyed by names.
+    /// Checks a key of a map. The keys of all maps in settings and manifests are names.
     fn map_key(&mut self, property: &ObjectProp<'_>) {
         let name = property.name.as_str();
         if !is_name(name) {
@@ -200,7 +201,7 @@
             self.wrong_kind(node, allowed);
             return;
         };
-        if !fits(number, &allowed) {
+        if !number_is_allowed(number, &allowed) {
             self.bad_value(number.start(), number.value.to_owned(), allowed);
         }
     }
@@ -219,15 +220,15 @@
             self.wrong_kind(node, allowed);
             return;
         };
-        if !text_fits(text, &allowed) {
+        if !text_is_allowed(text, &allowed) {
             self.bad_value(text.start(), format!("\"{}\"", text.value), allowed);
         }
     }
 
-    /// Checks a value of an enum: a string that is one of the constants, or an object
-    /// whose only key names the variant.
+    /// Checks a value of an enum: a string that is one of the constants, or an object whose
+    /// only key is the name of a variant.
     fn variant(&mut self, node: &Node<'_>, forms: &'a [Json]) {
-        let allowed = Allowed::OneOf(forms.iter().map(described_form).collect());
+        let allowed = Allowed::OneOf(forms.iter().map(describe_form).collect());
         if let Some(text) = node.as_string_lit() {
             let value: &str = &text.value;
             if !forms.iter().any(|form| constant(form) == Some(value)) {
@@ -255,7 +256,7 @@
         }
     }
 
-    /// Checks a value that may be null.
+    /// Checks a value of a type that may be null.
     fn optional(&mut self, node: &Node<'_>, forms: &'a [Json]) {
         if node.as_null_keyword().is_some() {
             return;
@@ -286,7 +287,7 @@
     schema.get(keyword)?.as_array().map(Vec::as_slice)
 }
 
-/// Returns the kinds of value that a schema allows; an optional value has two.
+/// Returns the JSON types that a schema allows; for an optional value these are two.
 fn kinds(schema: &Json) -> Vec<&str> {
     match schema.get("type") {
         Some(Json::Array(kinds)) => kinds.iter().filter_map(Json::as_str).collect(),
@@ -299,7 +300,7 @@
     form.get("const")?.as_str()
 }
 
-fn described_form(form: &Json) -> String {
+fn describe_form(form: &Json) -> String {
     if let Some(constant) = constant(form) {
         return format!("\"{constant}\"");
     }
@@ -327,7 +328,7 @@
     schema.get(keyword)?.as_u64().map(i128::from)
 }
 
-fn fits(number: &NumberLit<'_>, allowed: &Allowed) -> bool {
+fn number_is_allowed(number: &NumberLit<'_>, allowed: &Allowed) -> bool {
     let Allowed::WholeNumber { min, max } = allowed else {
         return false;
     };
@@ -335,7 +336,7 @@
     parsed.is_some_and(|value| (*min..=*max).contains(&value))
 }
 
-fn text_fits(text: &StringLit<'_>, allowed: &Allowed) -> bool {
+fn text_is_allowed(text: &StringLit<'_>, allowed: &Allowed) -> bool {
     match allowed {
         Allowed::SocketAddress => text.value.parse::<SocketAddr>().is_ok(),
         Allowed::BlockPrefix => text.value.parse::<BlockPrefix>().is_ok(),
--- a/lib/src/config_text.rs
+++ b/lib/src/config_text.rs
@@ -1,4 +1,4 @@
-//! Reads JSON with comments into typed values.
+//! Parsing of JSON with comments into typed values.
 
 use schemars::JsonSchema;
 use serde::de::DeserializeOwned;
@@ -13,7 +13,7 @@
 use crate::config_path::ConfigPath;
 use crate::config_schema;
 
-/// Ties a problem to the value that has it.
+/// A problem and the path of the value that has it.
 pub type LocatedProblem = (ConfigPath, ConfigProblem);
 
 /// Returns the JSON Schema of a type.
@@ -22,14 +22,15 @@
     schemars::schema_for!(T).to_value()
 }
 
-/// Reads a value and checks it; `file` names the text in faults.
+/// Parses and checks a text; `file` is the name under which faults report it.
 ///
-/// `check` looks at values together. It sees only a value whose form is right.
+/// `check` finds problems that concern several values together. It runs only if the text
+/// satisfies the schema of the type.
 ///
 /// # Errors
 ///
-/// Returns every fault that was found, each with its line and column, in the order of
-/// the text. Faults of form hide those that `check` would find.
+/// Returns every fault that was found, each with its line and column, in the order of the
+/// text. If there are faults of form, those that `check` would find are not reported.
 pub fn read<T>(
     file: &str,
     text: &str,
@@ -39,11 +40,11 @@
     T: DeserializeOwned + JsonSchema,
 {
     let document = Document::parse(file, text)?;
-    faultless(config_schema::check(&document, &schema_of::<T>()))?;
+    fail_if_any(config_schema::check(&document, &schema_of::<T>()))?;
     let value = jsonc_parser::parse_to_serde_value(text, &PARSE_OPTIONS)
         .map_err(|error| syntax_fault(file, &error))?;
     let problems = check(&value).into_iter();
-    faultless(
+    fail_if_any(
         problems
             .map(|(path, problem)| document.fault(&path, problem))
             .collect(),
@@ -51,10 +52,11 @@
     Ok(value)
 }
 
-/// Returns `file:line:column` of what a path names in a text that was read before.
+/// Returns `file:line:column` of the value that a path refers to, in a text that was parsed
+/// before.
 ///
-/// Some faults show only when a value is used, such as a port that is in use; they are
-/// reported at the value all the same. A text that doesn't parse gives the file alone.
+/// Some faults, such as a port that is in use, are detected only when a value is used, and
+/// are reported at the value as well. For a text that does not parse, only the file is returned.
 #[must_use]
 pub fn position_of(file: &str, text: &str, path: &ConfigPath) -> String {
     let Ok(document) = Document::parse(file, text) else {
@@ -64,7 +66,7 @@
     format!("{file}:{}:{}", position.line, position.column)
 }
 
-fn faultless(mut faults: Vec<ConfigFault>) -> Result<(), ConfigFaults> {
+fn fail_if_any(mut faults: Vec<ConfigFault>) -> Result<(), ConfigFaults> {
     if faults.is_empty() {
         return Ok(());
     }
--- a/lib/src/duration_text.rs
+++ b/lib/src/duration_text.rs
@@ -1,4 +1,4 @@
-//! Durations as people write them in settings and on the wire: `1500ms`, `2.5s`.
+//! Durations in the textual form of settings and the wire: `1500ms`, `2.5s`.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,35 +8,36 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Longest duration that is taken. Anything longer is a slip of the unit, and would
-/// overflow sums with the clock.
-const LONGEST: Duration = Duration::from_hours(365 * 24);
+/// Longest duration that is accepted. A longer one most likely has the wrong unit, and adding it
+/// to the clock's time would overflow.
+const MAX_DURATION: Duration = Duration::from_hours(365 * 24);
 
-/// Tells why a text is no duration.
+/// A text is not a duration, or is too long a one.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
-#[snafu(display("{text:?} is no duration; allowed is a number followed by ms or s"))]
+#[snafu(display("{text:?} is not a duration; allowed is a number followed by ms or s"))]
 pub struct DurationTextError {
-    /// The text.
+    /// The text that could not be parsed.
     pub text: String,
 }
 
-/// Holds a duration that is written as a number and its unit.
+/// A duration that is serialized as a number followed by its unit.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(try_from = "String", into = "String")]
 #[schemars(with = "String")]
 pub struct DurationText(pub Duration);
 
-/// Converts a time to whole milliseconds, rounded down.
+/// Converts a duration to whole milliseconds, rounded down; at most [`u64::MAX`].
 #[must_use]
 pub fn whole_ms(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Reads a number followed by `ms` or `s`.
+/// Parses a number followed by `ms` or `s`.
 ///
 /// # Errors
 ///
-/// Fails if the unit is missing, or the number is negative, not finite or too long.
+/// Fails if the unit is missing, if the number is negative or not finite, or if the duration
+/// exceeds 365 days.
 pub fn parse_duration(text: &str) -> Result<Duration, DurationTextError> {
     let fault = || DurationTextError {
         text: text.to_owned(),
@@ -47,13 +48,13 @@
     };
     let number: f64 = number.trim().parse().map_err(|_| fault())?;
     let duration = Duration::try_from_secs_f64(number * unit_seconds).map_err(|_| fault())?;
-    if duration > LONGEST {
+    if duration > MAX_DURATION {
         return Err(fault());
     }
     Ok(duration)
 }
 
-/// Writes a duration in milliseconds.
+/// Formats a duration in milliseconds, with decimals if it is not a whole number of them.
 #[must_use]
 pub fn format_duration(duration: Duration) -> String {
     let micros = duration.as_micros();
--- a/lib/src/encoding.rs
+++ b/lib/src/encoding.rs
@@ -1,8 +1,8 @@
-//! Postcard encoding behind a format version byte.
+//! Postcard encoding with a leading byte for the format version.
 //!
-//! What is kept on disks or passed between processes of different releases starts
-//! with the number of its format, so that an unknown format is a typed error rather
-//! than a value that decodes to nonsense.
+//! Data that is stored on disk or passed between processes of different releases starts with
+//! the number of its format, so that an unknown format gives a typed error rather than a wrong
+//! value.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -11,34 +11,34 @@
 use snafu::Snafu;
 use snafu::ensure;
 
-/// Tells why a value couldn't be encoded or decoded.
+/// A value could not be encoded or decoded.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum EncodingError {
     /// The encoder failed.
-    #[snafu(display("the value can't be encoded"))]
+    #[snafu(display("the value cannot be encoded"))]
     Encode {
-        /// What the encoder said.
+        /// Error of the encoder.
         source: postcard::Error,
     },
-    /// There are no bytes.
+    /// There are no bytes, not even the format.
     #[snafu(display("the encoded value is empty"))]
     Empty,
-    /// The format is none that this release knows.
+    /// The format is not the one that was asked for.
     #[snafu(display("format {found} is unknown; this release reads format {known}"))]
     UnknownFormat {
-        /// The format byte found.
+        /// Format byte of the encoded value.
         found: u8,
-        /// The format that is known.
+        /// The only format that can be decoded.
         known: u8,
     },
-    /// The bytes after the format byte don't decode.
+    /// The bytes after the format byte are not a valid encoding.
     #[snafu(display("the encoded value is malformed"))]
     Decode {
-        /// What the decoder said.
+        /// Error of the decoder.
         source: postcard::Error,
     },
-    /// Bytes follow the value.
+    /// There are bytes left after the value.
     #[snafu(display("{count} bytes follow the encoded value"))]
     TrailingBytes {
         /// Number of bytes after the value.
@@ -46,20 +46,20 @@
     },
 }
 
-/// Encodes `value` after the byte `format`.
+/// Encodes `value` with the leading byte `format`.
 ///
 /// # Errors
 ///
-/// Returns [`EncodingError::Encode`] if the value's own serialization fails.
+/// Returns [`EncodingError::Encode`] if the serialization of the value fails.
 pub fn encode<T: Serialize>(format: u8, value: &T) -> Result<Vec<u8>, EncodingError> {
     postcard::to_extend(value, vec![format]).context(EncodeSnafu)
 }
 
-/// Decodes a value that [`encode`] wrote with the same format.
+/// Decodes a value that [`encode`] encoded with the same format.
 ///
 /// # Errors
 ///
-/// Returns an error if the format differs, the bytes are malformed or some are left.
+/// Fails if the format differs, the bytes are malformed, or bytes are left after the value.
 pub fn decode<T: DeserializeOwned>(format: u8, encoded: &[u8]) -> Result<T, EncodingError> {
     let (&found, body) = encoded.split_first().context(EmptySnafu)?;
     ensure!(
--- a/lib/src/id.rs
+++ b/lib/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers as types of their own, so that one can't stand where another belongs.
+//! Identifiers as distinct types, so that one cannot be used in place of another.
 
 use std::fmt;
 
@@ -6,10 +6,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Characters that a name may have.
+/// Largest number of characters of a name.
 pub const MAX_NAME_LENGTH: usize = 63;
 
-/// Tells whether a text may serve as a name.
+/// Returns whether a text is a valid name: 1 to [`MAX_NAME_LENGTH`] ASCII letters, digits, `-`,
+/// `_` and `.`, starting with a letter or digit.
 #[must_use]
 pub fn is_name(text: &str) -> bool {
     let first_fits = text
@@ -33,12 +34,12 @@
         pub struct $name(String);
 
         impl $name {
-            /// Wraps a name.
+            /// Wraps a name without checking that it is valid.
             pub fn new(name: impl Into<String>) -> Self {
                 Self(name.into())
             }
 
-            /// Returns the name as text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -82,67 +83,67 @@
 }
 
 name_type! {
-    /// Names a VM that runs one of the system's processes.
+    /// Name of a VM that runs one of the system's processes.
     VmName
 }
 name_type! {
-    /// Names a place: one failure domain.
+    /// Name of a place, that is, one failure domain.
     PlaceName
 }
 name_type! {
-    /// Names a region: several places with short delays among them.
+    /// Name of a region: several places with short network delays between them.
     RegionName
 }
 name_type! {
-    /// Names a service that callers ask for.
+    /// Name of a service that callers request.
     ServiceName
 }
 name_type! {
-    /// Names a backend server; unique in its deployment.
+    /// Name of a backend server, unique in its deployment.
     BackendName
 }
 name_type! {
-    /// Names a route of a route manifest.
+    /// Name of a route in a route manifest.
     RouteName
 }
 name_type! {
-    /// Names a team, whose callers prove by a key that they belong to it.
+    /// Name of a team, whose callers authenticate with a key.
     TeamName
 }
 
 number_type! {
-    /// Identifies one life of a control replica's data folder. Drawn at random when
-    /// the folder is formatted; a folder that was lost never gets its old one back.
+    /// Identifies one incarnation of a control replica's data folder. Chosen at random when the
+    /// folder is formatted; after a folder is lost, its ID is never used again.
     ReplicaId
 }
 number_type! {
-    /// Numbers the positions of the replicated log, from 1. Also called a revision
-    /// where the state after applying that position is meant.
+    /// Index of an entry in the replicated log, from 1. As a revision it denotes the state after
+    /// that entry is applied.
     Revision
 }
 number_type! {
-    /// Numbers the terms of leadership among the control replicas.
+    /// Number of a Raft term of the control replicas.
     Term
 }
 number_type! {
-    /// Identifies one session of an entry VM: the revision that opened it, hence
-    /// unique, and the mark of one life of one process.
+    /// Identifies one session of an entry VM, and thereby one incarnation of its process. It is
+    /// the revision that opened the session, and hence unique.
     SessionId
 }
 number_type! {
-    /// Numbers the manifests of operators; a higher one replaces a lower one.
+    /// Version number of a manifest; a higher version replaces a lower one.
     ManifestVersion
 }
 
 impl Revision {
-    /// Returns the revision after this one.
+    /// Returns the revision that follows this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// Identifies a set of control replicas, drawn at random by `control init`.
+/// Identifies a cluster of control replicas; chosen at random by `control init`.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -157,14 +158,14 @@
     }
 }
 
-/// Holds the BLAKE3 digest of a content.
+/// The BLAKE3 digest of some content.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct ContentDigest(pub [u8; 32]);
 
 impl ContentDigest {
-    /// Computes the digest of `content`.
+    /// Computes the BLAKE3 digest of `content`.
     #[must_use]
     pub fn of(content: &[u8]) -> Self {
         Self(*blake3::hash(content).as_bytes())
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of heatherring: state machines without input or output.
+//! The decision logic of heatherring: state machines that perform no I/O.
 //!
-//! Nothing in this crate opens a socket or a file, reads a clock or draws ambient
-//! randomness. Time comes in as an argument, randomness as a seed, and what is to be
-//! done goes out as values, so that every decision can be replayed in a test.
+//! Nothing in this crate opens a socket or a file, reads a clock or uses a global source of
+//! randomness. Time is passed as an argument and randomness as a seed, and actions are returned
+//! as values, so that every decision can be reproduced in a test.
 
 pub mod action_backup;
 pub mod action_primary;
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -1,7 +1,7 @@
-//! The settings with which a control replica or an entry VM is started.
+//! Types of the settings with which a control replica or an entry VM is started.
 //!
-//! These are the types. `settings_text` reads them from JSON with comments, checks
-//! them and reports each fault with its file, line and column.
+//! `settings_text` parses them from JSON with comments, checks them and reports each fault with
+//! its file, line and column.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,97 +17,97 @@
 use crate::id::VmName;
 use crate::team_share::LimitTolerance;
 
-/// Holds the settings of a control replica.
+/// The settings of a control replica.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// Names the VM in reports and in the audit trail.
+    /// Name of the VM in reports and in the audit trail.
     pub vm: VmName,
-    /// The place that the VM stands in.
+    /// The place that the VM is in.
     pub place: PlaceName,
     /// The region of that place.
     pub region: RegionName,
-    /// Where other replicas, entry VMs and operators reach this replica (gRPC).
+    /// Address on which this replica serves other replicas, entry VMs and operators (gRPC).
     #[schemars(extend("format" = "socket-address"))]
     pub listen: SocketAddr,
-    /// Where others reach this replica, if that isn't `listen`, as behind an address
-    /// translation.
+    /// Address at which others reach this replica if it differs from `listen`, as behind an
+    /// address translation.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(extend("format" = "socket-address"))]
     pub advertise: Option<SocketAddr>,
-    /// The folder that holds everything that must survive a restart. Formatted by
-    /// `control init`, `control join` or `control repair`.
+    /// Folder of all data that must survive a restart. It is formatted by `control init`,
+    /// `control join` or `control repair`.
     #[schemars(length(min = 1))]
     pub data_folder: PathBuf,
-    /// Intervals of the agreement among replicas, and of sessions.
+    /// Intervals of Raft and of sessions.
     #[serde(default)]
     pub timing: ControlTiming,
-    /// How other processes and operators prove that they belong to the deployment.
+    /// How processes and operators of the deployment authenticate.
     pub security: Security,
-    /// A snapshot is written, and the log before it dropped, every so many log positions.
+    /// Number of log entries after which a snapshot is written and the log before it dropped.
     #[serde(default = "default_snapshot_every")]
     #[schemars(range(min = 1))]
     pub snapshot_every: u64,
-    /// What is logged.
+    /// Settings of the process's log.
     #[serde(default)]
     pub log: LogSettings,
-    /// How this replica finds the others by itself. Without it, operators form the
+    /// How this replica finds the others without an operator. If absent, operators form the
     /// cluster with `control init` and `control join`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub formation: Option<FormationSettings>,
-    /// Where metrics are served as text (HTTP/1.1); without it none are recorded.
+    /// Address on which metrics are served as text (HTTP/1.1). If absent, none are recorded.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(extend("format" = "socket-address"))]
     pub metrics_listen: Option<SocketAddr>,
-    /// What control offers where entry VMs dispatch directly.
+    /// What control provides if entry VMs dispatch directly to backend servers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub direct: Option<DirectControlSettings>,
 }
 
 impl ControlSettings {
-    /// Returns where others reach this replica.
+    /// Returns the address at which others reach this replica.
     #[must_use]
     pub fn advertised(&self) -> SocketAddr {
         self.advertise.unwrap_or(self.listen)
     }
 }
 
-/// Says how control replicas find each other without an operator.
+/// How control replicas find each other without an operator.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FormationSettings {
-    /// Addresses of replicas to ask. At the first start of the deployment these are its
-    /// founders, and all replicas must name the same ones.
+    /// Addresses of the replicas to contact. At the first start of the deployment these are its
+    /// founders, and all replicas must list the same ones.
     #[schemars(length(min = 1), extend("items" = {"type": "string", "format": "socket-address"}))]
     pub seeds: Vec<SocketAddr>,
-    /// The port to use in place of the seeds' own, where they are known by another
-    /// listener of theirs.
+    /// Port that replaces the seeds' ports, for seeds that are given by the address of another
+    /// listener.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed_port: Option<u16>,
-    /// Whether the whole deployment starts for the first time. A founder with an empty
-    /// data folder then takes part in founding; at any other time it asks to join.
+    /// Whether the whole deployment starts for the first time. If so, a founder with an empty
+    /// data folder takes part in founding the cluster; otherwise it asks to join.
     pub first_start: bool,
-    /// Replicas that vote. Further ones learn, and take the place of those that are lost.
+    /// Number of voters. Further replicas are learners, which replace voters that are lost.
     #[serde(default = "default_voters")]
     #[schemars(range(min = 1))]
     pub voters: u32,
 }
 
-/// Five voters bear the loss of two, and each commit waits for the second fastest of the
-/// four others.
+/// Five voters tolerate the loss of two, and a commit waits for the second fastest of the other
+/// four.
 const fn default_voters() -> u32 {
     5
 }
 
 impl FormationSettings {
-    /// Returns where the seeds take messages of other replicas.
+    /// Returns the addresses at which the seeds receive messages of other replicas.
     #[must_use]
     pub fn peers(&self) -> Vec<SocketAddr> {
         seed_addresses(&self.seeds, self.seed_port)
     }
 }
 
-/// Returns the seeds with their port replaced, if another one is given.
+/// Returns the seeds, with their ports replaced by `port` if it is given.
 #[must_use]
 pub fn seed_addresses(seeds: &[SocketAddr], port: Option<u16>) -> Vec<SocketAddr> {
     let port_of = |seed: &SocketAddr| port.unwrap_or(seed.port());
@@ -117,39 +117,39 @@
         .collect()
 }
 
-/// Names the interface towards callers, backend servers and operators.
+/// The interface to callers, backend servers and operators.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InterfaceName {
-    /// Heatherring's own.
+    /// Heatherring's own interface.
     #[default]
     Heatherring,
-    /// That of the platform of the users.
+    /// The interface of the users' platform.
     Platform,
 }
 
-/// Says what control offers where entry VMs dispatch directly.
+/// What control provides if entry VMs dispatch directly to backend servers.
 #[derive(Clone, Debug, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DirectControlSettings {
-    /// The interface towards those who aren't part of the system.
+    /// The interface to parties outside the system.
     #[serde(default)]
     pub interface: InterfaceName,
-    /// Where backend servers and operators call (HTTP/1.1).
+    /// Address that serves backend servers and operators (HTTP/1.1).
     #[schemars(extend("format" = "socket-address"))]
     pub listen: SocketAddr,
-    /// Where callers' look-ups are answered (HTTP/1.1); without it only entry VMs do.
+    /// Address that serves callers' look-ups (HTTP/1.1). If absent, only entry VMs answer them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(extend("format" = "socket-address"))]
     pub look_ups: Option<SocketAddr>,
-    /// The regions of all places.
+    /// The region of each place of the deployment.
     pub places: BTreeMap<PlaceName, RegionName>,
-    /// Time for which callers keep the answer to a look-up, in milliseconds. Short, since
-    /// they go on using an entry VM that has ended for as long.
+    /// Time for which callers cache the answer to a look-up, in milliseconds. Short, since they
+    /// keep using an entry VM that has ended for this long.
     #[serde(default = "default_look_up_ms")]
     #[schemars(range(min = 1))]
     pub look_up_ms: u32,
-    /// How far the limits of teams may be exceeded.
+    /// By how much the limits of teams may be exceeded.
     #[serde(default)]
     pub team_limits: LimitTolerance,
 }
@@ -162,7 +162,7 @@
     1_000
 }
 
-/// Holds the intervals of the agreement among control replicas and of sessions.
+/// The intervals of Raft among control replicas and of sessions.
 ///
 /// They must be the same on all replicas of a cluster.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
@@ -171,19 +171,20 @@
     /// Time between a leader's heartbeats, in milliseconds.
     #[schemars(range(min = 1))]
     pub heartbeat_ms: u32,
-    /// Shortest silence of a leader after which a follower stands for election, in
-    /// milliseconds; more than two heartbeats.
+    /// Lower bound of the election timeout, after which a follower that has not heard from a
+    /// leader starts an election, in milliseconds; more than two heartbeats.
     #[schemars(range(min = 1))]
     pub election_min_ms: u32,
-    /// Longest such silence, in milliseconds; more than the shortest.
+    /// Upper bound of the election timeout, in milliseconds; more than the lower bound.
     #[schemars(range(min = 1))]
     pub election_max_ms: u32,
-    /// Time for which a granted session lease runs at an entry VM, in milliseconds;
-    /// outlasts an ordinary election with its margin.
+    /// Time for which an entry VM considers its session lease valid, in milliseconds; more than
+    /// `election_max_ms` and `session_margin_ms` together, so that an ordinary election does not
+    /// interrupt sessions.
     #[schemars(range(min = 1))]
     pub session_lease_ms: u32,
-    /// Time by which control counts a lease longer than the entry VM does, in
-    /// milliseconds. It covers the difference in the rate of their clocks.
+    /// Additional time for which control considers a lease valid, in milliseconds. It covers the
+    /// difference in rate between the clocks of control and the entry VM.
     #[schemars(range(min = 1))]
     pub session_margin_ms: u32,
 }
@@ -201,70 +202,70 @@
 }
 
 impl ControlTiming {
-    /// Returns the time between a leader's heartbeats.
+    /// Returns the time between a leader's heartbeats as a duration.
     #[must_use]
     pub const fn heartbeat(&self) -> Duration {
         Duration::from_millis(self.heartbeat_ms as u64)
     }
 
-    /// Returns the shortest silence of a leader that starts an election.
+    /// Returns the lower bound of the election timeout.
     #[must_use]
     pub const fn election_min(&self) -> Duration {
         Duration::from_millis(self.election_min_ms as u64)
     }
 
-    /// Returns the longest silence of a leader that a follower waits for.
+    /// Returns the upper bound of the election timeout.
     #[must_use]
     pub const fn election_max(&self) -> Duration {
         Duration::from_millis(self.election_max_ms as u64)
     }
 
-    /// Returns the time for which a session lease runs at the entry VM.
+    /// Returns the time for which an entry VM considers its session lease valid.
     #[must_use]
     pub const fn session_lease(&self) -> Duration {
         Duration::from_millis(self.session_lease_ms as u64)
     }
 
-    /// Returns the time by which control counts a lease longer.
+    /// Returns the additional time for which control considers a lease valid.
     #[must_use]
     pub const fn session_margin(&self) -> Duration {
         Duration::from_millis(self.session_margin_ms as u64)
     }
 }
 
-/// Holds the settings of an entry VM.
+/// The settings of an entry VM.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Names the VM; unique among the entry VMs of a deployment.
+    /// Name of the VM; unique among the entry VMs of a deployment.
     pub vm: VmName,
-    /// The place that the VM stands in.
+    /// The place that the VM is in.
     pub place: PlaceName,
     /// The region of that place.
     pub region: RegionName,
-    /// Addresses to listen on.
+    /// Addresses of the listeners.
     pub listen: EntryListen,
-    /// Where others reach the listeners, if that isn't `listen`, as behind an address
-    /// translation.
+    /// Addresses at which others reach the listeners if they differ from `listen`, as behind an
+    /// address translation.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advertise: Option<EntryListen>,
-    /// Addresses of control replicas, tried in order.
+    /// Addresses of control replicas, in the order in which they are tried.
     #[schemars(length(min = 1), extend("items" = {"type": "string", "format": "socket-address"}))]
     pub control: Vec<SocketAddr>,
-    /// How other processes and operators prove that they belong to the deployment.
+    /// How processes and operators of the deployment authenticate.
     pub security: Security,
-    /// Number of entry VMs in a region from which on two of them collect the renewals
-    /// of the others' sessions for control. The same on all entry VMs.
+    /// Number of entry VMs in a region from which on two of them act as relays, which collect the
+    /// session renewals of the others for control. It must be the same on all entry VMs.
     #[serde(default = "default_relay_min_entries")]
     #[schemars(range(min = 1))]
     pub relay_min_entries: u32,
-    /// Bounds on what one peer may cost.
+    /// Limits on the resources that one peer may use.
     #[serde(default)]
     pub limits: EntryLimits,
-    /// What is logged.
+    /// Settings of the process's log.
     #[serde(default)]
     pub log: LogSettings,
-    /// Where metrics go; without it none are sent.
+    /// Destination of metrics. If absent, none are sent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub metrics: Option<MetricsSettings>,
 }
@@ -274,14 +275,14 @@
 }
 
 impl EntrySettings {
-    /// Returns where others reach the listeners.
+    /// Returns the addresses at which others reach the listeners.
     #[must_use]
     pub fn advertised(&self) -> EntryListen {
         self.advertise.unwrap_or(self.listen)
     }
 }
 
-/// Holds the addresses of an entry VM's listeners.
+/// The addresses of an entry VM's listeners.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryListen {
@@ -299,20 +300,20 @@
     pub forward: SocketAddr,
 }
 
-/// Bounds what one peer of an entry VM may cost.
+/// Limits on the resources that one peer of an entry VM may use.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EntryLimits {
-    /// Bytes of a request's head.
+    /// Largest size of a request's head, in bytes.
     #[schemars(range(min = 8_192, max = 1_048_576))]
     pub max_header_bytes: u32,
-    /// Bytes of a request's body.
+    /// Largest size of a request's body, in bytes.
     #[schemars(range(min = 1))]
     pub max_body_bytes: u32,
-    /// Connections open at one listener.
+    /// Largest number of open connections per listener.
     #[schemars(range(min = 1))]
     pub max_connections: u32,
-    /// Time within which a request's head must arrive, in milliseconds.
+    /// Timeout for receiving a request's head, in milliseconds.
     #[schemars(range(min = 1))]
     pub header_timeout_ms: u32,
 }
@@ -329,46 +330,46 @@
 }
 
 impl EntryLimits {
-    /// Returns the time within which a request's head must arrive.
+    /// Returns the timeout for receiving a request's head.
     #[must_use]
     pub const fn header_timeout(&self) -> Duration {
         Duration::from_millis(self.header_timeout_ms as u64)
     }
 }
 
-/// Says what is logged.
+/// Settings of a process's log.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The least severe level that is logged.
+    /// The lowest severity that is logged.
     pub level: LogLevel,
 }
 
-/// Grades log records by severity.
+/// The severity of log records, the most severe first.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Failures that someone must look at.
+    /// Failures that need an operator's attention.
     Error,
-    /// Something unexpected that the process copes with.
+    /// Unexpected conditions that the process handles.
     Warn,
-    /// Events worth knowing in ordinary operation.
+    /// Notable events in normal operation.
     #[default]
     Info,
-    /// Decisions on single requests.
+    /// Decisions on individual requests.
     Debug,
-    /// Every step.
+    /// Individual steps of processing.
     Trace,
 }
 
-/// Says where metrics go.
+/// Destination of metrics.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct MetricsSettings {
-    /// The `StatsD` server (UDP).
+    /// Address of the `StatsD` server (UDP).
     #[schemars(extend("format" = "socket-address"))]
     pub statsd: SocketAddr,
-    /// Put before each metric's name.
+    /// Prefix of each metric's name.
     #[serde(default = "default_metrics_prefix")]
     pub prefix: String,
 }
@@ -377,30 +378,31 @@
     "heatherring".to_owned()
 }
 
-/// Says how the system's processes and its operators prove that they belong together.
+/// How the system's processes and its operators authenticate.
 ///
 /// There is no default: leaving the protocols open must be an explicit choice.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Security {
-    /// Nobody proves anything. Allowed only while every address listened on and
-    /// connected to is a loopback address.
+    /// No authentication. Allowed only if every address that is listened on or connected to is a
+    /// loopback address.
     OpenLoopback,
-    /// Nobody proves anything, at any address. For deployments whose network lets no one
-    /// else reach the listeners: whoever can connect can submit manifests.
+    /// No authentication, at any address. For deployments whose network lets nobody else reach
+    /// the listeners: anyone who can connect can submit manifests.
     OpenNetwork,
-    /// Both ends of every connection show a certificate of the deployment's authority.
+    /// Mutual TLS: both ends of every connection present a certificate that was issued by the
+    /// deployment's authority.
     Tls(TlsFiles),
 }
 
-/// Names the files of one process's TLS identity, all in PEM.
+/// Paths of the files of one process's TLS identity, all in PEM format.
 #[derive(Clone, Debug, Deserialize, Eq, JsonSchema, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsFiles {
-    /// Certificates of the deployment's authority.
+    /// Certificates of the deployment's certificate authority.
     pub authority_file: PathBuf,
-    /// This process's certificate, made out to the DNS name `heatherring`.
+    /// Certificate of this process, issued for the DNS name `heatherring`.
     pub certificate_file: PathBuf,
-    /// The key of that certificate.
+    /// Private key of that certificate.
     pub key_file: PathBuf,
 }
--- a/lib/src/settings_check.rs
+++ b/lib/src/settings_check.rs
@@ -1,4 +1,4 @@
-//! Checks of settings that look at more than one value.
+//! Checks of settings that a schema cannot express, mostly across several values.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,92 +18,96 @@
 use crate::settings::EntrySettings;
 use crate::settings::Security;
 
-/// Tells what doesn't fit in settings, and what is allowed.
+/// A problem with the values of settings, displayed with what is allowed.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum SettingsProblem {
-    /// A follower would stand for election after one lost heartbeat.
+    /// A follower would start an election after a single lost heartbeat.
     #[snafu(display(
         "election_min_ms is {election_min_ms}; allowed is more than two heartbeats, {} ms",
         2 * u64::from(*heartbeat_ms)
     ))]
     ElectionTooShort {
-        /// The value.
+        /// The election timeout's lower bound in the settings.
         election_min_ms: u32,
         /// Time between heartbeats.
         heartbeat_ms: u32,
     },
-    /// All followers would stand for election at once, and none would win.
+    /// All followers would start an election at the same time, and none would win.
     #[snafu(display(
         "election_max_ms is {election_max_ms}; allowed is more than election_min_ms, {election_min_ms} ms"
     ))]
     ElectionRangeEmpty {
-        /// The value.
+        /// Upper bound of the election timeout.
         election_max_ms: u32,
-        /// The other end of the range.
+        /// Lower bound of the election timeout.
         election_min_ms: u32,
     },
-    /// Entry VMs would stop serving at each ordinary election.
+    /// Entry VMs would stop serving requests during every ordinary election.
     #[snafu(display(
         "session_lease_ms is {session_lease_ms}; allowed is more than election_max_ms and \
          session_margin_ms together, {least_ms} ms"
     ))]
     LeaseTooShort {
-        /// The value.
+        /// The lease in the settings.
         session_lease_ms: u32,
         /// The sum that it must exceed.
         least_ms: u64,
     },
-    /// Two listeners would take the same port.
-    #[snafu(display("{address} is listened on as {other} already; allowed is each address once"))]
-    ListenerTwice {
+    /// Two listeners have the same address.
+    #[snafu(display(
+        "{address} is already the address of listener {other}; allowed is each address once"
+    ))]
+    DuplicateListener {
         /// The address.
         address: SocketAddr,
-        /// The field that has it first.
+        /// The first field with this address.
         other: &'static str,
     },
-    /// A control replica is named twice.
-    #[snafu(display("{address} is named already; allowed is each replica once"))]
-    ControlTwice {
+    /// A control replica is listed twice.
+    #[snafu(display("duplicate address {address}; allowed is each replica once"))]
+    DuplicateControl {
         /// The address.
         address: SocketAddr,
     },
-    /// Nobody can connect to port 0.
+    /// The port is 0, to which no connection can be made.
     #[snafu(display("{address} has port 0; allowed are ports from 1 to 65535"))]
     PortZero {
         /// The address.
         address: SocketAddr,
     },
-    /// Others would be told an address that they can't connect to.
+    /// The address is unspecified, as in `0.0.0.0`. It would be advertised to other processes,
+    /// which cannot connect to it.
     #[snafu(display(
-        "{address} names no single address; allowed is the address at which others reach this VM"
+        "{address} stands for all interfaces; allowed is the address at which others reach this VM"
     ))]
     Unspecified {
         /// The address.
         address: SocketAddr,
     },
-    /// Without proof of identity anyone who can connect could submit manifests.
+    /// The address is not a loopback address although processes do not authenticate: anyone who
+    /// can connect could submit manifests.
     #[snafu(display(
-        "{address} is no loopback address, and security is open_loopback; allowed beyond \
+        "{address} is not a loopback address, and security is open_loopback; allowed beyond \
          loopback is {{\"tls\": ..}}"
     ))]
     OpenBeyondLoopback {
         /// The address.
         address: SocketAddr,
     },
-    /// The manifest doesn't have the place of the VM.
+    /// The manifest does not define the VM's place.
     #[snafu(display("the manifest has no place {place}; allowed are its places"))]
     PlaceNotInManifest {
-        /// The place of the settings.
+        /// The VM's place according to the settings.
         place: PlaceName,
     },
-    /// The list of places says something else of the VM's own place.
+    /// The list of places lacks the VM's own place or has it in another region.
     #[snafu(display(
-        "places doesn't have {place} in region {region}; allowed is a list that does"
+        "places does not have {place} in region {region}; allowed is a list that does"
     ))]
     PlaceNotListed {
-        /// The place of the settings.
+        /// The VM's place according to the settings.
         place: PlaceName,
-        /// The region of the settings.
+        /// The VM's region according to the settings.
         region: RegionName,
     },
     /// The manifest has the place in another region.
@@ -113,14 +117,14 @@
     RegionMismatch {
         /// The place.
         place: PlaceName,
-        /// The region of the settings.
+        /// Region of the place according to the settings.
         region: RegionName,
-        /// The region of the manifest.
+        /// Region of the place according to the manifest.
         expected: RegionName,
     },
 }
 
-/// Checks the settings of a control replica.
+/// Returns the problems with the settings of a control replica.
 #[must_use]
 pub fn check_control(settings: &ControlSettings) -> Vec<LocatedProblem> {
     let mut problems = check_timing(&settings.timing);
@@ -130,41 +134,49 @@
         let look_ups = direct.look_ups.map(|address| ("look_ups", address));
         for (name, address) in [("listen", direct.listen)].into_iter().chain(look_ups) {
             problems.extend(check_listener(path.field(name), address));
-            problems.extend(check_open(&settings.security, path.field(name), address));
+            problems.extend(check_loopback(
+                &settings.security,
+                path.field(name),
+                address,
+            ));
         }
     }
     if let Some(address) = settings.metrics_listen {
         let path = ConfigPath::root().field("metrics_listen");
         problems.extend(check_listener(path.clone(), address));
-        problems.extend(check_open(&settings.security, path, address));
+        problems.extend(check_loopback(&settings.security, path, address));
     }
     problems.extend(check_listener(listen.clone(), settings.listen));
-    problems.extend(check_open(&settings.security, listen, settings.listen));
+    problems.extend(check_loopback(&settings.security, listen, settings.listen));
     if let Some(address) = settings.advertise {
         let advertise = ConfigPath::root().field("advertise");
         problems.extend(check_listener(advertise.clone(), address));
-        problems.extend(check_open(&settings.security, advertise, address));
+        problems.extend(check_loopback(&settings.security, advertise, address));
     }
     problems
 }
 
-/// Checks the settings of an entry VM.
+/// Returns the problems with the settings of an entry VM.
 #[must_use]
 pub fn check_entry(settings: &EntrySettings) -> Vec<LocatedProblem> {
     let mut problems = check_listeners(&settings.listen);
     problems.extend(check_control_addresses(&settings.control));
     let listen = ConfigPath::root().field("listen");
     for (name, address) in listeners(&settings.listen) {
-        problems.extend(check_open(&settings.security, listen.field(name), address));
+        problems.extend(check_loopback(
+            &settings.security,
+            listen.field(name),
+            address,
+        ));
     }
     for (name, address) in settings.advertise.iter().flat_map(listeners) {
         let advertise = ConfigPath::root().field("advertise").field(name);
         problems.extend(check_listener(advertise.clone(), address));
-        problems.extend(check_open(&settings.security, advertise, address));
+        problems.extend(check_loopback(&settings.security, advertise, address));
     }
     let control = ConfigPath::root().field("control");
     for (index, address) in settings.control.iter().enumerate() {
-        problems.extend(check_open(
+        problems.extend(check_loopback(
             &settings.security,
             control.item(index),
             *address,
@@ -173,7 +185,7 @@
     problems
 }
 
-/// Checks the settings of an entry VM that dispatches directly.
+/// Checks the settings of an entry VM that dispatches directly to backend servers.
 #[must_use]
 pub fn check_direct(settings: &DirectSettings) -> Vec<LocatedProblem> {
     let root = ConfigPath::root();
@@ -188,7 +200,11 @@
     for (name, address) in listeners {
         let Some(address) = address else { continue };
         problems.extend(check_listener(listen.field(name), address));
-        problems.extend(check_open(&settings.security, listen.field(name), address));
+        problems.extend(check_loopback(
+            &settings.security,
+            listen.field(name),
+            address,
+        ));
     }
     let region = settings.places.get(&settings.place);
     if region != Some(&settings.region) {
@@ -201,10 +217,10 @@
     problems
 }
 
-/// Checks that a manifest has a VM's place in the VM's region.
+/// Checks that a manifest has a VM's place in the VM's region. Returns the problem if not.
 ///
-/// Ownership of backend servers goes by place and region, so a VM that names another
-/// region than the manifest would own what it shouldn't.
+/// Ownership of backend servers is assigned by place and region, so a VM whose region differs
+/// from the manifest's would own the wrong backend servers.
 #[must_use]
 pub fn check_place(
     place: &PlaceName,
@@ -267,7 +283,7 @@
     for (name, address) in listeners(listen) {
         problems.extend(check_listener(path.field(name), address));
         if let Some(other) = first_names.get(&address) {
-            let problem = SettingsProblem::ListenerTwice { address, other };
+            let problem = SettingsProblem::DuplicateListener { address, other };
             problems.push(located(path.field(name), problem));
         } else {
             first_names.insert(address, name);
@@ -276,7 +292,8 @@
     problems
 }
 
-/// The address that a process listens on is also the one that it tells others.
+/// Checks the address of a listener, which is also the address that is advertised to other
+/// processes.
 fn check_listener(path: ConfigPath, address: SocketAddr) -> Option<LocatedProblem> {
     if address.ip().is_unspecified() {
         return Some(located(path, SettingsProblem::Unspecified { address }));
@@ -290,15 +307,16 @@
     for (index, address) in addresses.iter().enumerate() {
         problems.extend(check_port(path.item(index), *address));
         if addresses[..index].contains(address) {
-            let problem = SettingsProblem::ControlTwice { address: *address };
+            let problem = SettingsProblem::DuplicateControl { address: *address };
             problems.push(located(path.item(index), problem));
         }
     }
     problems
 }
 
-/// An address of all interfaces is reported as such, and not a second time here.
-fn check_open(
+/// Checks that an address is a loopback address if processes do not authenticate. Unspecified
+/// addresses are not reported here, since [`check_listener`] does so.
+fn check_loopback(
     security: &Security,
     path: ConfigPath,
     address: SocketAddr,
--- a/lib/src/settings_text.rs
+++ b/lib/src/settings_text.rs
@@ -1,4 +1,4 @@
-//! Reads settings from JSON with comments.
+//! Parsing of settings from JSON with comments.
 
 use crate::config_document::Document;
 use crate::config_fault::ConfigFaults;
@@ -14,7 +14,8 @@
 use crate::settings_check;
 use crate::settings_check::SettingsProblem;
 
-/// Reads and checks the settings of a control replica; `file` names the text in faults.
+/// Parses and checks the settings of a control replica; `file` is the name under which faults
+/// report the text.
 ///
 /// # Errors
 ///
@@ -23,7 +24,8 @@
     config_text::read(file, text, settings_check::check_control)
 }
 
-/// Reads and checks the settings of an entry VM; `file` names the text in faults.
+/// Parses and checks the settings of an entry VM; `file` is the name under which faults report
+/// the text.
 ///
 /// # Errors
 ///
@@ -32,8 +34,8 @@
     config_text::read(file, text, settings_check::check_entry)
 }
 
-/// Reads the settings of an entry VM that dispatches directly; `file` names the text in
-/// faults.
+/// Parses and checks the settings of an entry VM that dispatches directly to backend servers;
+/// `file` is the name under which faults report the text.
 ///
 /// # Errors
 ///
@@ -42,12 +44,12 @@
     config_text::read(file, text, settings_check::check_direct)
 }
 
-/// Checks that a manifest has the place and the region that settings name; `file` and
-/// `text` are those of the settings.
+/// Checks that a manifest has the VM's place in the VM's region; `file` and `text` are those of
+/// the settings.
 ///
 /// # Errors
 ///
-/// Returns the fault with its line and column.
+/// Returns the fault with its line and column in the settings.
 pub fn check_place_in(
     file: &str,
     text: &str,
--- a/lib/src/wall_anchor.rs
+++ b/lib/src/wall_anchor.rs
@@ -1,4 +1,4 @@
-//! A time of day that never steps back.
+//! A time of day that never goes backwards.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,11 +7,11 @@
 use crate::clock::unix_ms;
 use crate::duration_text::whole_ms;
 
-/// Tells the time of day from one reading of it and the monotonic time since.
+/// Derives the time of day from one reading of the wall clock and the monotonic time since.
 ///
-/// A wall clock that is set back would make an expired ticket live again after its
-/// record was dropped. Seen from one process, the time of an anchor only grows, so
-/// that what it once judged expired stays expired.
+/// If the wall clock were used and set back, a ticket could become valid again after it had
+/// expired and its record had been dropped. Within a process, the time of an anchor only
+/// increases, so that what has expired stays expired.
 #[derive(Clone, Copy, Debug)]
 pub struct WallAnchor {
     wall_ms: u64,
@@ -19,14 +19,14 @@
 }
 
 impl WallAnchor {
-    /// Takes the one reading; `wall` and `at` belong to the same moment.
+    /// Creates an anchor from readings of both clocks that were taken at the same moment.
     #[must_use]
     pub fn new(wall: SystemTime, at: Instant) -> Self {
         let wall_ms = unix_ms(wall);
         Self { wall_ms, at }
     }
 
-    /// Returns milliseconds since the Unix epoch at the monotonic time `now`.
+    /// Returns the milliseconds since the Unix epoch at the monotonic time `now`.
     #[must_use]
     pub fn unix_ms(&self, now: Instant) -> u64 {
         let since: Duration = now.saturating_duration_since(self.at);
--- a/lib/tests/test_config_schema.rs
+++ b/lib/tests/test_config_schema.rs
@@ -1,7 +1,6 @@
-//! The schemas use only keywords that the check of form knows.
+//! Tests that the schemas use only keywords that the validation supports.
 //!
-//! A keyword that it doesn't know would be in the committed schema, and a fault against
-//! it would be let through.
+//! With any other keyword, a text that violates the published schema would be accepted.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +11,7 @@
 use rstest::rstest;
 use serde_json::Value;
 
-/// Keywords that are checked, and those that state nothing to check.
+/// Keywords that the validation checks, and annotations, which need no check.
 const KNOWN: [&str; 19] = [
     "$defs",
     "$ref",
@@ -35,7 +34,7 @@
     "type",
 ];
 
-/// Collects the keywords of a schema; names of fields and of types are none.
+/// Collects the keywords of a schema, leaving out the names of fields and types.
 fn collect<'a>(schema: &'a Value, keywords: &mut BTreeSet<&'a str>) {
     match schema {
         Value::Array(schemas) => schemas.iter().for_each(|schema| collect(schema, keywords)),
--- a/lib/tests/test_manifest_text.rs
+++ b/lib/tests/test_manifest_text.rs
@@ -56,25 +56,25 @@
         r"found a string; allowed is a whole number from 0 to 18446744073709551615";
     test_manifest_text_number_beyond_u64:
         r#""version": 1,"# => r#""version": ^18446744073709551616,"#,
-        r"18446744073709551616 isn't allowed here; allowed is a whole number from 0 to 18446744073709551615";
+        r"18446744073709551616 is not allowed here; allowed is a whole number from 0 to 18446744073709551615";
     test_manifest_text_fraction:
         r#""percent": 60"# => r#""percent": ^0.5"#,
-        r"0.5 isn't allowed here; allowed is a whole number from 0 to 100";
+        r"0.5 is not allowed here; allowed is a whole number from 0 to 100";
     test_manifest_text_cap_over_100:
         r#""percent": 60"# => r#""percent": ^101"#,
-        r"101 isn't allowed here; allowed is a whole number from 0 to 100";
+        r"101 is not allowed here; allowed is a whole number from 0 to 100";
     test_manifest_text_slots_zero:
         r#""max_slots_per_backend": 3"# => r#""max_slots_per_backend": ^0"#,
-        r"0 isn't allowed here; allowed is a whole number from 1 to 4294967295";
+        r"0 is not allowed here; allowed is a whole number from 1 to 4294967295";
     test_manifest_text_deadline_zero:
         r#""deadline_ms": 2000"# => r#""deadline_ms": ^0"#,
-        r"0 isn't allowed here; allowed is a whole number from 1 to 600000";
+        r"0 is not allowed here; allowed is a whole number from 1 to 600000";
     test_manifest_text_duplicate_place:
         r#""fko-kokura": {"region""# => r#"^"fko-hakata": {"region""#,
-        r#""fko-hakata" stands here again after line 10; allowed is once"#;
+        r#"duplicate key "fko-hakata", first on line 10; allowed is once"#;
     test_manifest_text_bad_name:
         r#""fko-kokura": {"region""# => r#"^"fko kokura": {"region""#,
-        r#""fko kokura" isn't allowed here; allowed is a name of 1 to 63 letters, digits, '-', '_' and '.', which starts with a letter or digit"#;
+        r#""fko kokura" is not allowed here; allowed is a name of 1 to 63 letters, digits, '-', '_' and '.', which starts with a letter or digit"#;
     test_manifest_text_missing_field:
         r#"{"region": "fukuoka"}"# => r"^{}",
         r#"missing field "region"; required are "region""#;
@@ -83,13 +83,13 @@
         r#"unknown field "cash_ms", did you mean "cache_ms"?; allowed are "cache_ms", "ticket_ms""#;
     test_manifest_text_block_host_bits:
         r#""127.10.0.0/16""# => r#"^"127.10.0.1/16""#,
-        r#""127.10.0.1/16" isn't allowed here; allowed is the first address of a block and its prefix length, as in 10.1.0.0/16"#;
+        r#""127.10.0.1/16" is not allowed here; allowed is the first address of a block and its prefix length, as in 10.1.0.0/16"#;
     test_manifest_text_unknown_variant:
         r#"// {"vm": "entry-2"}"# => r#"{^"vn": "entry-2"}"#,
-        r#""vn" isn't allowed here; allowed is one of {"place": ..}, {"backend_server": ..}, {"vm": ..}"#;
+        r#""vn" is not allowed here; allowed is one of {"place": ..}, {"backend_server": ..}, {"vm": ..}"#;
     test_manifest_text_scope_two_keys:
         r#"{"place": "fko-hakata"}, "percent""# => r#"^{"place": "fko-hakata", "region": "fukuoka"}, "percent""#,
-        r#"an object with 2 keys isn't allowed here; allowed is one of "any", {"region": ..}, {"place": ..}"#;
+        r#"an object with 2 keys is not allowed here; allowed is one of "any", {"region": ..}, {"place": ..}"#;
     test_manifest_text_version_zero:
         r#""version": 1,"# => r#""version": ^0,"#,
         r"the version is 0; allowed are versions of at least 1";
--- a/lib/tests/test_settings.rs
+++ b/lib/tests/test_settings.rs
@@ -1,4 +1,4 @@
-//! Reading settings: defaults, checks across fields, and the samples.
+//! Tests of parsing settings: defaults, checks across fields, and the sample files.
 
 mod common;
 
@@ -72,30 +72,30 @@
     };
 }
 
-// `^` marks where the fault must be reported.
+// `^` marks the position at which the fault must be reported.
 fault_cases! {
     test_settings_address_without_port: read_control_settings, CONTROL,
         r#""127.0.0.11:7400""# => r#"^"127.0.0.11""#,
-        r#""127.0.0.11" isn't allowed here; allowed is an IP address with a port, as in 127.0.0.1:7000"#;
+        r#""127.0.0.11" is not allowed here; allowed is an IP address with a port, as in 127.0.0.1:7000"#;
     test_settings_address_of_all_interfaces: read_control_settings, CONTROL,
         r#""127.0.0.11:7400""# => r#"^"0.0.0.0:7400""#,
-        r"0.0.0.0:7400 names no single address; allowed is the address at which others reach this VM";
+        r"0.0.0.0:7400 stands for all interfaces; allowed is the address at which others reach this VM";
     test_settings_open_beyond_loopback: read_control_settings, CONTROL,
         r#""127.0.0.11:7400""# => r#"^"10.0.0.1:7400""#,
-        r#"10.0.0.1:7400 is no loopback address, and security is open_loopback; allowed beyond loopback is {"tls": ..}"#;
-    // Others connect to what is advertised, so it must not open the protocols either.
+        r#"10.0.0.1:7400 is not a loopback address, and security is open_loopback; allowed beyond loopback is {"tls": ..}"#;
+    // Other processes connect to the advertised address, so it must be a loopback address too.
     test_settings_advertised_beyond_loopback: read_control_settings, CONTROL,
         r#""vm""# => r#""advertise": ^"10.0.0.1:7400", "vm""#,
-        r#"10.0.0.1:7400 is no loopback address, and security is open_loopback; allowed beyond loopback is {"tls": ..}"#;
+        r#"10.0.0.1:7400 is not a loopback address, and security is open_loopback; allowed beyond loopback is {"tls": ..}"#;
     test_settings_optional_address_without_port: read_control_settings, CONTROL,
         r#""vm""# => r#""advertise": ^"127.0.0.11", "vm""#,
-        r#""127.0.0.11" isn't allowed here; allowed is an IP address with a port, as in 127.0.0.1:7000"#;
+        r#""127.0.0.11" is not allowed here; allowed is an IP address with a port, as in 127.0.0.1:7000"#;
     test_settings_port_zero: read_control_settings, CONTROL,
         r#""127.0.0.11:7400""# => r#"^"127.0.0.11:0""#,
         r"127.0.0.11:0 has port 0; allowed are ports from 1 to 65535";
     test_settings_data_folder_empty: read_control_settings, CONTROL,
         r#""data/control-1""# => r#"^"""#,
-        r#""" isn't allowed here; allowed is a string that isn't empty"#;
+        r#""" is not allowed here; allowed is a string that is not empty"#;
     test_settings_election_too_short: read_control_settings, CONTROL,
         r#""vm""# => r#""timing": {"election_min_ms": ^200}, "vm""#,
         r"election_min_ms is 200; allowed is more than two heartbeats, 200 ms";
@@ -107,16 +107,16 @@
         r"session_lease_ms is 3000; allowed is more than election_max_ms and session_margin_ms together, 3000 ms";
     test_settings_unknown_level: read_control_settings, CONTROL,
         r#""vm""# => r#""log": {"level": ^"verbose"}, "vm""#,
-        r#""verbose" isn't allowed here; allowed is one of "error", "warn", "info", "debug", "trace""#;
+        r#""verbose" is not allowed here; allowed is one of "error", "warn", "info", "debug", "trace""#;
     test_settings_no_control: read_entry_settings, ENTRY,
         r#"["127.0.0.11:7400", "127.0.0.12:7400", "127.0.0.13:7400"]"# => r"^[]",
-        r"the array has 0; allowed is at least 1 element";
+        r"the array has 0 elements; allowed is at least 1 element";
     test_settings_control_twice: read_entry_settings, ENTRY,
         r#""127.0.0.12:7400""# => r#"^"127.0.0.11:7400""#,
-        r"127.0.0.11:7400 is named already; allowed is each replica once";
+        r"duplicate address 127.0.0.11:7400; allowed is each replica once";
     test_settings_listener_twice: read_entry_settings, ENTRY,
         r#""127.0.0.21:7483""# => r#"^"127.0.0.21:7480""#,
-        r"127.0.0.21:7480 is listened on as callers already; allowed is each address once";
+        r"127.0.0.21:7480 is already the address of listener callers; allowed is each address once";
     test_settings_metrics_of_wrong_kind: read_entry_settings, ENTRY,
         r#""vm""# => r#""metrics": ^"on", "vm""#,
         r"found a string; allowed is an object";
