--- a/cli/tests/test_explain_logs.rs
+++ b/cli/tests/test_explain_logs.rs
@@ -267,7 +267,7 @@
         told.contains("no route of manifest version 1 matches"),
         "{told}"
     );
-    assert!(told.contains("hadn't heard of control"), "{told}");
+    assert!(told.contains("had not heard from control"), "{told}");
     assert!(told.contains("lost control"), "{told}");
 }
 
--- a/lib/src/decision_log.rs
+++ b/lib/src/decision_log.rs
@@ -1,4 +1,4 @@
-//! The most recent decisions, bounded in number.
+//! A bounded log of the most recent decisions.
 
 use std::collections::VecDeque;
 
@@ -6,14 +6,14 @@
 use crate::decision_record::DecisionRecord;
 use crate::id::ServiceName;
 
-/// Says which decisions to return.
+/// Selects decisions. Each field that is `None` matches all decisions.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DecisionFilter {
-    /// Only those of this request.
+    /// Selects the decisions on one request.
     pub request_id: Option<String>,
-    /// Only those of this service.
+    /// Selects the decisions on requests of one service.
     pub service: Option<ServiceName>,
-    /// Only those of this kind.
+    /// Selects the decisions of one kind.
     pub kind: Option<DecisionKind>,
 }
 
@@ -32,10 +32,10 @@
     }
 }
 
-/// Holds recent decisions.
+/// Keeps recent decisions in memory.
 ///
-/// Look-ups are many and most of them unremarkable, so they have a store of their own:
-/// in one store they would push out the refusal that an operator asks about.
+/// Look-ups are stored separately because they are frequent and rarely of interest: in a
+/// common store they would evict the refusal that an operator asks about.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
     capacity: usize,
@@ -45,7 +45,7 @@
 }
 
 impl DecisionLog {
-    /// Makes a log that keeps `capacity` look-ups and as many other decisions.
+    /// Creates a log that keeps `capacity` look-ups and as many other decisions.
     #[must_use]
     pub const fn new(capacity: usize) -> Self {
         Self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Adds a decision; the oldest in its store gives way if that is full.
+    /// Adds a decision, and evicts the oldest one of its store if that is full.
     pub fn push(&mut self, record: DecisionRecord) {
         let store = match record.decision.kind() {
             DecisionKind::LookUp => &mut self.look_ups,
@@ -69,7 +69,7 @@
         self.next_number += 1;
     }
 
-    /// Returns at most `limit` decisions that match, the newest first.
+    /// Returns at most `limit` matching decisions, newest first.
     #[must_use]
     pub fn recent(&self, filter: &DecisionFilter, limit: usize) -> Vec<&DecisionRecord> {
         let stores = self.look_ups.iter().chain(&self.others);
--- a/lib/src/decision_record.rs
+++ b/lib/src/decision_record.rs
@@ -1,6 +1,6 @@
-//! Records of single decisions, with their inputs and the rule that decided.
+//! Records of single decisions on requests, with the inputs and limits that they depend on.
 //!
-//! A record holds no address of a caller and nothing of a request's content.
+//! A record contains neither the address of a caller nor any content of a request.
 
 use std::fmt;
 
@@ -21,34 +21,34 @@
 use crate::shift_budget::allowed_per_second;
 use crate::shift_budget::cap_covers;
 
-/// Holds one decision.
+/// One decision on a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DecisionRecord {
-    /// Identifies the request, also in the logs of all VMs that saw it.
+    /// Identifies the request; the same ID is in the logs of all VMs that handled it.
     pub request_id: String,
-    /// When it was decided, in milliseconds since the Unix epoch; for display only.
+    /// Time of the decision in milliseconds since the Unix epoch; for display only.
     pub unix_ms: u64,
-    /// The revision of the view that it was decided under.
+    /// Revision of the view that the decision was based on.
     pub revision: Revision,
-    /// The version of the manifest in force; 0 if there was none.
+    /// Version of the manifest in force; 0 if there was none.
     pub manifest_version: ManifestVersion,
-    /// What was decided.
+    /// The decision itself.
     pub decision: Decision,
 }
 
-/// Tells what was decided.
+/// The content of a decision, by its kind.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Decision {
     /// A caller was told which entry VM to use.
     LookUp(LookUpDecision),
-    /// A request was offered to owners of backend servers, and not all took it.
+    /// A request was offered to owners of backend servers, not all of which accepted it.
     Steering(SteeringDecision),
-    /// A caller got no answer.
+    /// A request was refused, or its outcome is unknown.
     Refusal(RefusalDecision),
 }
 
-/// Names a kind of decision.
+/// The kind of a decision.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecisionKind {
@@ -60,22 +60,22 @@
     Refusal,
 }
 
-/// Holds a look-up and its answer.
+/// A look-up and its answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LookUpDecision {
     /// The service.
     pub service: ServiceName,
     /// The place of the caller.
     pub origin: PlaceName,
-    /// How far the entry VM is from the caller.
+    /// Distance of the entry VM from the caller.
     pub distance: Distance,
-    /// The entry VM that was named.
+    /// The entry VM that the caller was told to use.
     pub entry: VmName,
-    /// Those named beside it.
+    /// Further entry VMs, in case that one fails.
     pub backups: Vec<VmName>,
 }
 
-/// Tells how far something is from a caller.
+/// The topological distance of something from a caller.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Distance {
@@ -88,7 +88,7 @@
 }
 
 impl Distance {
-    /// Tells how far `place` in `region` is from a caller at `origin`.
+    /// Returns the distance of `place`, which is in `region`, from a caller at `origin`.
     #[must_use]
     pub fn between(
         manifest: &Manifest,
@@ -107,103 +107,103 @@
     }
 }
 
-/// Holds the owners that a request was offered to, in order.
+/// The owners of backend servers that a request was offered to, in order.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SteeringDecision {
     /// The service.
     pub service: ServiceName,
-    /// The operation's name.
+    /// Name of the operation.
     pub operation: String,
     /// The place of the caller.
     pub origin: PlaceName,
-    /// Each try, the first one first.
+    /// The tries in order of time.
     pub tries: Vec<Try>,
 }
 
-/// Holds one try to have a request run.
+/// One try to have a request run.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Try {
-    /// The place whose backend servers were to run it.
+    /// The place whose backend servers were to run the request.
     pub place: PlaceName,
-    /// The entry VM that owns them; empty if it had gone.
+    /// The entry VM that owns these; empty if it had gone.
     pub owner: String,
-    /// How it ended.
+    /// The result of the try.
     pub ending: TryEnding,
-    /// What of the manifest the ending depends on.
+    /// Limits of the manifest that the result depends on.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<LimitInForce>,
 }
 
-/// Tells how a try ended.
+/// The result of a try.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TryEnding {
-    /// With the whole answer.
+    /// The whole answer was received.
     Answered,
-    /// With a proof that it wasn't run.
+    /// It is proven that the request was not run.
     NotRun(NotRunReason),
-    /// It may have run.
+    /// The request may have run.
     Unknown(UnknownReason),
 }
 
-/// Holds a refusal as the caller got it.
+/// A refusal as it was sent to the caller.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RefusalDecision {
-    /// Method of the request.
+    /// HTTP method of the request.
     pub method: String,
-    /// The service that its path names, if it names one.
+    /// The service in the path of the request; `None` if the path has none.
     pub service: Option<ServiceName>,
-    /// Why.
+    /// The reason in the refusal.
     pub reason: RefusalReason,
-    /// When the caller was told to come back, in milliseconds; 0 for never.
+    /// Time after which the caller was told to retry, in milliseconds; 0 for never.
     pub retry_after_ms: u64,
 }
 
-/// Tells why a caller got no answer.
+/// Why a caller got no answer of a backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// It wasn't run.
+    /// The request was not run.
     NotRun(NotRunReason),
-    /// It may have run.
+    /// The request may have run.
     Unknown(UnknownReason),
 }
 
-/// Holds a limit of the manifest, as it was when a decision depended on it.
+/// A limit of the manifest, as it was when a decision depended on it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitInForce {
-    /// What the place may bear.
+    /// The limit of a place for a service.
     Place {
         /// Requests in flight.
         max_in_flight: u32,
-        /// Requests begun a second.
+        /// Requests started per second.
         max_per_second: u32,
     },
-    /// A cap on shifts, over all entry VMs together.
+    /// A cap on the shifting of requests between scopes, over all entry VMs together.
     ShiftCap {
-        /// Where the callers are.
+        /// Scope of the callers.
         from: Scope,
-        /// Where they are served.
+        /// Scope in which their requests are served.
         to: Scope,
-        /// Share of what `to` can bear.
+        /// The cap, in percent of the capacity of `to`.
         percent: u8,
-        /// Requests a second that this comes to.
+        /// The cap in requests per second.
         allowed_per_second: u64,
     },
-    /// A limit of a link between regions.
+    /// The limit of a link between regions.
     Link {
-        /// Where the bytes start.
+        /// Region that sends.
         from: RegionName,
-        /// Where they go.
+        /// Region that receives.
         to: RegionName,
-        /// Kilobytes a second, over all entry VMs together.
+        /// Kilobytes per second, over all entry VMs together.
         max_kilobytes_per_second: u32,
     },
 }
 
 impl Decision {
-    /// Returns the kind.
+    /// Returns the kind, by which decisions are stored and filtered.
     #[must_use]
     pub const fn kind(&self) -> DecisionKind {
         match self {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Returns the service, where it is known.
+    /// Returns the service; `None` for a refused request that names none.
     #[must_use]
     pub const fn service(&self) -> Option<&ServiceName> {
         match self {
@@ -224,7 +224,8 @@
     }
 }
 
-/// Returns the limits on which a refusal of `shift` for `reason` depends.
+/// Returns the limits that a refusal of `shift` for `reason` depends on; empty for reasons other
+/// than a limit.
 #[must_use]
 pub fn limits_behind(reason: NotRunReason, shift: Shift<'_>) -> Vec<LimitInForce> {
     match reason {
@@ -263,8 +264,8 @@
         .collect()
 }
 
-/// Returns the limits of the links between the two places' regions, both ways: a
-/// request crosses one and its answer the other.
+/// Returns the limits of the links between the regions of both places, in both directions: the
+/// request uses one of them and its answer the other.
 fn link_limits(shift: Shift<'_>) -> Vec<LimitInForce> {
     let region = |place: &PlaceName| shift.manifest.places.get(place).map(|place| &place.region);
     let (near, far) = (region(shift.origin), region(shift.place));
@@ -289,7 +290,7 @@
                 max_per_second,
             } => write!(
                 f,
-                "the place may have {max_in_flight} in flight and {max_per_second} a second"
+                "the place is limited to {max_in_flight} requests in flight and {max_per_second} per second"
             ),
             Self::ShiftCap {
                 from,
@@ -299,7 +300,7 @@
             } => write!(
                 f,
                 "shifts from {from} to {to} are capped at {percent}%, which is \
-                 {allowed_per_second} a second"
+                 {allowed_per_second} requests per second"
             ),
             Self::Link {
                 from,
@@ -307,7 +308,7 @@
                 max_kilobytes_per_second,
             } => write!(
                 f,
-                "the link from {from} to {to} carries {max_kilobytes_per_second} kB/s"
+                "the link from {from} to {to} is limited to {max_kilobytes_per_second} kB/s"
             ),
         }
     }
--- a/lib/src/explanation.rs
+++ b/lib/src/explanation.rs
@@ -1,4 +1,4 @@
-//! Puts recorded decisions into sentences: the rule that decided, and its inputs.
+//! Explanations of recorded decisions in sentences: the rule that was applied and its inputs.
 
 use crate::decision_record::Decision;
 use crate::decision_record::DecisionRecord;
@@ -14,7 +14,7 @@
 use crate::outcome::NotRunReason;
 use crate::outcome::UnknownReason;
 
-/// Explains a decision, one sentence a line.
+/// Explains a decision, one sentence per line.
 #[must_use]
 pub fn explain(record: &DecisionRecord) -> Vec<String> {
     match &record.decision {
@@ -27,10 +27,12 @@
 fn explain_look_up(look_up: &LookUpDecision) -> Vec<String> {
     let distance = match look_up.distance {
         Distance::SamePlace => "in the caller's place",
-        Distance::SameRegion => "in the caller's region, since its place has no entry VM to name",
+        Distance::SameRegion => {
+            "in the caller's region, because the caller's place has no usable entry VM"
+        }
         Distance::OtherRegion => {
-            "in another region, since the caller's has no entry VM to name; it counted against \
-             the shift caps"
+            "in another region, because the caller's region has no usable entry VM; it counted \
+             against the shift caps"
         }
     };
     let backups: Vec<&str> = look_up.backups.iter().map(VmName::as_str).collect();
@@ -45,7 +47,7 @@
             look_up.service, look_up.origin, look_up.entry
         ),
         format!(
-            "rule: the nearest entry VM that neither leaves nor is drained; among equally near \
+            "rule: the nearest entry VM that is neither leaving nor drained; among equally near \
              ones each caller has its own order (rendezvous hashing). This one is {distance}"
         ),
         format!("backups: {backups}"),
@@ -61,7 +63,7 @@
             steering.origin,
             steering.tries.len()
         ),
-        "rule: the nearest place first, diverted as its pressure exceeds that of another; the \
+        "rule: the nearest place first, unless its pressure exceeds that of another place; the \
          owner of the place's backend servers decides"
             .to_owned(),
     ];
@@ -100,8 +102,8 @@
         RefusalReason::Unknown(reason) => ("unknown", reason.as_str(), unknown_rule(reason)),
     };
     let retry_after = match refusal.retry_after_ms {
-        0 => "coming back is of no use".to_owned(),
-        ms => format!("come back after {ms} ms"),
+        0 => "a retry is of no use".to_owned(),
+        ms => format!("retry after {ms} ms"),
     };
     let service = refusal
         .service
@@ -114,10 +116,10 @@
     ]
 }
 
-/// Returns the rule behind a proved "not run".
+/// Returns the rule that leads to a proven "not run".
 const fn rule(reason: NotRunReason) -> &'static str {
     match reason {
-        NotRunReason::MalformedRequest => "the request can't be understood",
+        NotRunReason::MalformedRequest => "the request is malformed",
         NotRunReason::BodyTooLarge => "the body is above limits.max_body_bytes of the settings",
         NotRunReason::ServiceUnknown => "the manifest has no service of this name",
         NotRunReason::OperationUnknown => {
@@ -126,67 +128,71 @@
         NotRunReason::RouteUnknown => "no route has this host and a prefix of this path",
         NotRunReason::RouteUnconfirmed => {
             "no route known here has this host and a prefix of this path, and control, which may \
-             know of new ones, isn't in reach"
+             know of new ones, cannot be reached"
         }
         NotRunReason::BackendMisdirected => "another backend server has the address now",
-        NotRunReason::NoResend => "resends are bounded to a share of the requests",
+        NotRunReason::NoResend => "resends are limited to a share of the requests",
         NotRunReason::CredentialMissing => {
-            "the route isn't public, and the request has no key or several"
+            "the route is not public, and the request has no key or several"
         }
         NotRunReason::CredentialUnknown => "no team of the manifest has the request's key",
         NotRunReason::CredentialWithdrawn => {
-            "the key was taken from its team while the request waited"
+            "the key was removed from its team while the request waited"
+        }
+        NotRunReason::CredentialChanged => {
+            "the key was moved to another team while the request waited"
         }
-        NotRunReason::CredentialChanged => "the key went to another team while the request waited",
         NotRunReason::CredentialUnconfirmed => {
             "no team known here has the request's key, and control, which may know of new ones, \
-             isn't in reach"
+             cannot be reached"
         }
-        NotRunReason::NoCommonHome => "no region is home to both the team and the route",
+        NotRunReason::NoCommonHome => "no region is a home region of both the team and the route",
         NotRunReason::TeamLimit => "the team's limit over all entry VMs is reached",
         NotRunReason::LimitUnconfirmed => {
-            "the team has a limit, and no control replica that shares it out was in reach"
+            "the team has a limit, and no control replica that apportions it could be reached"
         }
-        NotRunReason::NoManifest => "no manifest was accepted yet",
+        NotRunReason::NoManifest => "no manifest has been accepted yet",
         NotRunReason::LeaseLapsed => {
-            "the entry VM's lease is over, so its view may be old; it takes no new work until \
-             control answers"
+            "the entry VM's lease has expired, so its view may be outdated; it accepts no new \
+             requests until control answers"
         }
-        NotRunReason::Leaving => "who leaves takes no new work",
+        NotRunReason::Leaving => "a process that is leaving accepts no new requests",
         NotRunReason::NoBackendServer => "no backend server is announced and ready",
         NotRunReason::Overloaded => "all slots are taken and the queue is full",
         NotRunReason::DeadlineTooShort => {
-            "the wait for a slot and the usual service time exceed what is left of the deadline"
+            "the wait for a slot and the usual service time exceed the time left before the deadline"
         }
         NotRunReason::PlaceLimit => "the place's limit for the service is reached",
         NotRunReason::ShiftCap => {
-            "a cap on shifts is used up; the shift waits until the window of one second moves on"
+            "a cap on shifts is used up; the shift waits until the one-second window advances"
         }
         NotRunReason::LinkLimit => {
-            "a link between regions has no room; the shift waits until it has"
+            "the limit of a link between regions is reached; the shift waits until the link has capacity"
         }
         NotRunReason::LinkFull => {
-            "connections of this entry VM take long to all backend servers: its own link or \
-             processor is full, and others may have room"
+            "this entry VM connects slowly to all backend servers: its own link or processor is \
+             saturated, and other entry VMs may have capacity"
         }
-        NotRunReason::OwnerUnreachable => "the owner of the backend servers can't be reached",
+        NotRunReason::OwnerUnreachable => "the owner of the backend servers cannot be reached",
         NotRunReason::NotOwner => {
-            "the entry VM asked isn't the owner, or may not dispatch before the revision that \
-             made it the owner is settled"
+            "the entry VM that was asked is not the owner, or may not dispatch before the revision \
+             that made it the owner is settled"
+        }
+        NotRunReason::TooManyHops => "a request is forwarded a limited number of times",
+        NotRunReason::BackendUnreachable => {
+            "no connection to the backend server could be established"
         }
-        NotRunReason::TooManyHops => "a request is forwarded a bounded number of times",
-        NotRunReason::BackendUnreachable => "no connection to the backend server could be had",
-        NotRunReason::BackendRefused => "the backend server refused before running",
+        NotRunReason::BackendRefused => "the backend server refused the request before running it",
         NotRunReason::Quarantined => {
-            "backend servers ended one after the other while they ran this request; `heatherring \
-             quarantine` lists it and lifts it"
+            "backend servers failed one after the other while they ran this request; `heatherring \
+             quarantine` lists and lifts the quarantine"
         }
-        NotRunReason::Cancelled => "the caller went away",
-        NotRunReason::KeyMissing => "an operation that isn't idempotent needs Idempotency-Key",
-        NotRunReason::KeyMalformed => "a key is a ticket, a full stop and a random part",
-        NotRunReason::TicketInvalid => "the ticket wasn't issued by this deployment",
+        NotRunReason::Cancelled => "the caller disconnected",
+        NotRunReason::KeyMissing => "an operation that is not idempotent requires Idempotency-Key",
+        NotRunReason::KeyMalformed => "a key consists of a ticket, a full stop and a random part",
+        NotRunReason::TicketInvalid => "the ticket was not issued by this deployment",
         NotRunReason::TicketOfOtherService => "the ticket was issued for another service",
-        NotRunReason::KeyConflict => "the key stands for another request already",
+        NotRunReason::KeyConflict => "the key is already in use for another request",
         NotRunReason::KeyFenced => "the key was fenced: it never ran and never will",
         NotRunReason::BackupUnreachable | NotRunReason::BackupRefused | NotRunReason::NoBackup => {
             "an action is dispatched only after a second entry VM has recorded it"
@@ -197,28 +203,28 @@
     }
 }
 
-/// Returns the rule behind an "unknown".
+/// Returns the rule that leads to "unknown".
 const fn unknown_rule(reason: UnknownReason) -> &'static str {
     match reason {
         UnknownReason::ConnectionLost | UnknownReason::OwnerLost => {
-            "the connection broke off after the request may have been sent"
+            "the connection was lost after the request may have been sent"
         }
         UnknownReason::EntryStopped => {
-            "the entry VM stopped after the request may have been sent, before its answer came"
+            "the entry VM stopped after the request may have been sent and before it was answered"
         }
         UnknownReason::DeadlinePassed => "the deadline passed after the request may have been sent",
         UnknownReason::ActionRecorded => {
-            "the action was recorded, so it may run or have run, and isn't run again"
+            "the action was recorded, so it may run or have run, and is not run again"
         }
         UnknownReason::AnswerTooLarge | UnknownReason::AnswerNotKept => {
-            "the action ran, and its answer wasn't kept"
+            "the action ran, and its answer was not kept"
         }
         UnknownReason::TicketExpired | UnknownReason::TicketAheadOfClock => {
-            "no record of the key need be left outside its ticket's time"
+            "records of a key may be dropped outside the validity of its ticket"
         }
         UnknownReason::RecordsUnreachable => "neither entry VM that records the key has answered",
         UnknownReason::ActionStoreFull => {
-            "the memory for actions is full, so the key couldn't be fenced"
+            "the memory for actions is full, so the key could not be fenced"
         }
     }
 }
--- a/lib/src/outcome.rs
+++ b/lib/src/outcome.rs
@@ -1,11 +1,10 @@
-//! What became of a request, as a life cycle in types.
+//! The outcome of a request, with its life cycle expressed in types.
 //!
-//! A caller is told one of three things: the whole answer, "not run" (proved) or
-//! "unknown" (it may have run and won't be run again). [`NotRun`] is the proof. It
-//! comes only from an attempt of which no byte can have reached a backend server,
-//! from a refusal by that server before it ran anything, from the same refusals
-//! made by the entry VM that owns the server, or from an action's record that forbids
-//! every later dispatch.
+//! A caller gets one of three outcomes: the whole answer, "not run" (proven) or "unknown" (the
+//! request may have run and is not run again). [`NotRun`] is the proof. It can be obtained only
+//! from an attempt of which no byte can have reached a backend server, from a refusal by that
+//! server before it ran anything, from such a refusal by the entry VM that owns the server, or
+//! from the record of an action that forbids every later dispatch.
 
 use std::time::Duration;
 
@@ -27,10 +26,10 @@
         }
 
         impl $name {
-            /// All reasons.
+            /// All reasons, in the order of declaration.
             pub const ALL: &[Self] = &[$(Self::$case,)*];
 
-            /// Returns the reason as it stands in an answer's JSON body.
+            /// Returns the reason as it is written in the JSON body of an answer.
             #[must_use]
             pub const fn as_str(self) -> &'static str {
                 match self {
@@ -38,7 +37,7 @@
                 }
             }
 
-            /// Returns the HTTP status that goes with the reason.
+            /// Returns the HTTP status of an answer with this reason.
             #[must_use]
             pub const fn status(self) -> u16 {
                 match self {
@@ -46,7 +45,7 @@
                 }
             }
 
-            /// Reads a reason from an answer's JSON body; `None` for other texts.
+            /// Parses a reason as written in the JSON body of an answer; `None` for other texts.
             #[must_use]
             pub fn parse(text: &str) -> Option<Self> {
                 Self::ALL.iter().copied().find(|reason| reason.as_str() == text)
@@ -56,11 +55,11 @@
 }
 
 reasons! {
-    /// Tells why a request wasn't run.
+    /// Why a request was not run.
     NotRunReason {
-        /// The request itself can't be understood.
+        /// The request is malformed.
         MalformedRequest "malformed_request" 400,
-        /// The request's body is above the bound.
+        /// The body of the request exceeds the limit.
         BodyTooLarge "body_too_large" 413,
         /// No service has this name.
         ServiceUnknown "service_unknown" 404,
@@ -68,35 +67,35 @@
         OperationUnknown "operation_unknown" 404,
         /// No route matches the request's host and path.
         RouteUnknown "route_unknown" 404,
-        /// No route that this entry VM knows matches, but it can't know of new ones.
+        /// No route known to this entry VM matches, but it may not know the newest routes.
         RouteUnconfirmed "route_unconfirmed" 503,
         /// The route needs a key, and the request has none.
         CredentialMissing "credential_missing" 401,
         /// No team has the request's key.
         CredentialUnknown "credential_unknown" 401,
-        /// The key was taken from its team while the request waited.
+        /// The key was removed from its team while the request waited.
         CredentialWithdrawn "credential_withdrawn" 401,
-        /// The key went to another team while the request waited.
+        /// The key was moved to another team while the request waited.
         CredentialChanged "credential_changed" 503,
-        /// No team that this entry VM knows has the key, but it can't know of new ones.
+        /// No team known to this entry VM has the key, but it may not know the newest teams.
         CredentialUnconfirmed "credential_unconfirmed" 503,
-        /// No region is home to both the team and the route.
+        /// No region is a home region of both the team and the route.
         NoCommonHome "no_common_home" 503,
         /// The team's limit is reached.
         TeamLimit "team_limit" 429,
-        /// No control replica said whether the team's limit is reached.
+        /// The team has a limit, and no control replica confirmed that it is not reached.
         LimitUnconfirmed "limit_unconfirmed" 503,
         /// The entry VM has no manifest yet.
         NoManifest "no_manifest" 503,
-        /// The entry VM's lease is over; it can't know whether its view is current.
+        /// The entry VM's lease has expired; it cannot know whether its view is current.
         LeaseLapsed "lease_lapsed" 503,
-        /// The entry VM leaves and takes no new work.
+        /// The entry VM is leaving and accepts no new requests.
         Leaving "leaving" 503,
         /// No backend server of the service is ready.
         NoBackendServer "no_backend_server" 503,
         /// All slots are taken and the queue is full.
         Overloaded "overloaded" 503,
-        /// The request couldn't be answered before its deadline.
+        /// The request could not have been answered before its deadline.
         DeadlineTooShort "deadline_too_short" 503,
         /// The place's limit for the service is reached.
         PlaceLimit "place_limit" 503,
@@ -104,43 +103,43 @@
         ShiftCap "shift_cap" 503,
         /// The limit of a link between regions is reached.
         LinkLimit "link_limit" 503,
-        /// The entry VM's own link carries no more.
+        /// The entry VM's own link is saturated.
         LinkFull "link_full" 503,
-        /// The owner of the backend server couldn't be reached.
+        /// The owner of the backend server could not be reached.
         OwnerUnreachable "owner_unreachable" 503,
-        /// The entry VM asked isn't the owner (any more), or may not dispatch yet.
+        /// The entry VM that was asked is not or no longer the owner, or may not dispatch yet.
         NotOwner "not_owner" 503,
-        /// The request went through too many entry VMs.
+        /// The request was forwarded through too many entry VMs.
         TooManyHops "too_many_hops" 503,
-        /// No connection to the backend server could be had.
+        /// No connection to the backend server could be established.
         BackendUnreachable "backend_unreachable" 503,
-        /// The backend server refused before running.
+        /// The backend server refused the request before running it.
         BackendRefused "backend_refused" 503,
         /// Another backend server has the address now.
         BackendMisdirected "backend_misdirected" 503,
-        /// The budget of resends is used up.
+        /// The budget of resends is exhausted.
         NoResend "no_resend" 503,
-        /// Backend servers have ended under the request, one after the other.
+        /// Several backend servers failed, one after the other, while they ran the request.
         Quarantined "quarantined" 503,
-        /// The caller went away before the request was sent on.
+        /// The caller disconnected before the request was sent to a backend server.
         Cancelled "cancelled" 503,
         /// An action came without an idempotency key.
         KeyMissing "key_missing" 428,
-        /// The idempotency key has not the form of ticket and random part.
+        /// The idempotency key does not consist of a ticket and a random part.
         KeyMalformed "key_malformed" 400,
-        /// The key's ticket wasn't issued by this deployment.
+        /// The key's ticket was not issued by this deployment.
         TicketInvalid "ticket_invalid" 400,
         /// The key's ticket was issued for another service.
         TicketOfOtherService "ticket_of_other_service" 409,
-        /// The key stands for another request already.
+        /// The key is already in use for another request.
         KeyConflict "key_conflict" 409,
         /// The key was fenced: it never ran and never will.
         KeyFenced "key_fenced" 503,
-        /// The action's backup couldn't be reached, so it wasn't dispatched.
+        /// The action's backup could not be reached, so the action was not dispatched.
         BackupUnreachable "backup_unreachable" 503,
-        /// The action's backup refused to record it, so it wasn't dispatched.
+        /// The action's backup refused to record the action, so it was not dispatched.
         BackupRefused "backup_refused" 503,
-        /// No second process can record actions, so none are taken.
+        /// No second process can record actions, so none are accepted.
         NoBackup "no_backup" 503,
         /// The memory for actions is full of records that must be kept.
         ActionStoreFull "action_store_full" 503,
@@ -148,34 +147,34 @@
 }
 
 reasons! {
-    /// Tells why nobody knows whether a request ran.
+    /// Why it is unknown whether a request was run.
     UnknownReason {
-        /// The connection broke off after the request may have been sent.
+        /// The connection was lost after the request may have been sent.
         ConnectionLost "connection_lost" 502,
         /// The deadline passed after the request may have been sent.
         DeadlinePassed "deadline_passed" 504,
-        /// The entry VM ended before the answer came.
+        /// The entry VM stopped before the answer arrived.
         EntryStopped "entry_stopped" 502,
-        /// The entry VM that the request was forwarded to gave no answer.
+        /// The entry VM that the request was forwarded to did not answer.
         OwnerLost "owner_lost" 502,
-        /// The action was recorded and may run or have run; its answer isn't known here.
+        /// The action was recorded and may run or have run; its answer is not known here.
         ActionRecorded "action_recorded" 502,
-        /// The action ran or may have run; its answer was too large to keep.
+        /// The action ran or may have run; its answer was too large to store.
         AnswerTooLarge "answer_too_large" 502,
-        /// The action ran; there was no memory left to keep its answer.
+        /// The action ran; there was no memory left to store its answer.
         AnswerNotKept "answer_not_kept" 502,
         /// The key's ticket has expired and no record of the key is left.
         TicketExpired "ticket_expired" 502,
         /// The key's ticket expires later than any ticket issued now would.
         TicketAheadOfClock "ticket_ahead_of_clock" 502,
-        /// Neither process that records the key answered, or they have ended.
+        /// Neither of the processes that record the key answered, or both have ended.
         RecordsUnreachable "records_unreachable" 502,
-        /// The memory for actions is full, so that the key couldn't be fenced.
+        /// The memory for actions is full, so that the key could not be fenced.
         ActionStoreFull "action_store_full" 502,
     }
 }
 
-/// Proves that a request wasn't run, and for an action that its key never will be.
+/// Proof that a request was not run and, for an action, that its key never will be.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[must_use]
 pub struct NotRun {
@@ -184,7 +183,7 @@
 }
 
 impl NotRun {
-    /// States the proof. Within the core, callers hold the evidence.
+    /// Creates the proof without evidence; callers within this crate must have it.
     pub(crate) const fn proved(reason: NotRunReason) -> Self {
         Self {
             reason,
@@ -192,19 +191,19 @@
         }
     }
 
-    /// Returns why the request wasn't run.
+    /// Returns why the request was not run.
     #[must_use]
     pub const fn reason(&self) -> NotRunReason {
         self.reason
     }
 
-    /// Returns when it makes sense to come back, if that is known.
+    /// Returns the time after which a retry makes sense; `None` if unknown.
     #[must_use]
     pub const fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
 
-    /// Adds when it makes sense to come back.
+    /// Sets the time after which a retry makes sense.
     pub const fn with_retry_after(self, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after),
@@ -212,13 +211,13 @@
         }
     }
 
-    /// Begins another attempt at the same request; it is still unsent.
+    /// Begins another attempt at the same request, which is allowed since it was not run.
     pub const fn try_again(self) -> Attempt<Unsent> {
         Attempt { state: Unsent(()) }
     }
 }
 
-/// States that a request may have run. It won't be run again unless it is idempotent.
+/// States that a request may have run. It is not run again unless it is idempotent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[must_use]
 pub struct Unknown {
@@ -226,29 +225,29 @@
 }
 
 impl Unknown {
-    /// States that nobody knows. That needs no evidence.
+    /// Creates the statement, which needs no evidence.
     pub const fn new(reason: UnknownReason) -> Self {
         Self { reason }
     }
 
-    /// Returns why nobody knows.
+    /// Returns why it is unknown whether the request was run.
     #[must_use]
     pub const fn reason(&self) -> UnknownReason {
         self.reason
     }
 
-    /// Begins another attempt at a request that may run twice without harm.
+    /// Begins another attempt at a request that may safely run twice.
     pub const fn try_again(self, permission: Idempotent) -> Attempt<Unsent> {
         permission.another_attempt()
     }
 }
 
-/// Permits sending a request again after it may have run.
+/// Permission to send a request again although it may have run.
 #[derive(Clone, Copy, Debug)]
 pub struct Idempotent(());
 
 impl Idempotent {
-    /// Returns the permission if the manifest calls the operation idempotent.
+    /// Returns the permission if the manifest declares the operation idempotent.
     #[must_use]
     pub const fn of(operation: &Operation) -> Option<Self> {
         if operation.idempotent {
@@ -258,7 +257,7 @@
         }
     }
 
-    /// Returns the permission if the route's requests are idempotent.
+    /// Returns the permission if the manifest declares the route's requests idempotent.
     #[must_use]
     pub const fn of_route(route: &Route) -> Option<Self> {
         if route.idempotent {
@@ -268,26 +267,26 @@
         }
     }
 
-    /// Begins another attempt, whatever became of the one before.
+    /// Begins another attempt, whatever the result of the previous one.
     pub const fn another_attempt(self) -> Attempt<Unsent> {
         Attempt { state: Unsent(()) }
     }
 }
 
-/// Holds what a caller is told.
+/// The outcome of a request as reported to its caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[must_use]
 pub enum Outcome<A> {
     /// The backend server's answer, whatever its status.
     Answer(A),
-    /// The request wasn't run.
+    /// The request was not run.
     NotRun(NotRun),
     /// The request may have run.
     Unknown(Unknown),
 }
 
 impl<A> Outcome<A> {
-    /// Converts the answer, if there is one.
+    /// Applies a function to the answer, if there is one.
     pub fn map<B>(self, f: impl FnOnce(A) -> B) -> Outcome<B> {
         match self {
             Self::Answer(answer) => Outcome::Answer(f(answer)),
@@ -309,15 +308,16 @@
     }
 }
 
-/// Marks an attempt of which no byte has been handed to a connection.
+/// State of an attempt of which no byte has been passed to a connection.
 #[derive(Debug)]
 pub struct Unsent(());
 
-/// Marks an attempt of which a byte may have reached the other side.
+/// State of an attempt of which some bytes may have reached the peer.
 #[derive(Debug)]
 pub struct MayHaveRun(());
 
-/// Follows one attempt to have a request run, by a backend server or by its owner.
+/// One attempt to have a request run by a backend server or by the server's owner; `S` is its
+/// state.
 #[derive(Debug)]
 #[must_use]
 pub struct Attempt<S> {
@@ -331,18 +331,18 @@
 }
 
 impl Attempt<Unsent> {
-    /// Begins an attempt.
+    /// Begins an attempt, of which nothing has been sent.
     pub const fn new() -> Self {
         Self { state: Unsent(()) }
     }
 
-    /// Gives the attempt up before anything was sent.
+    /// Abandons the attempt before anything is sent.
     pub const fn refuse(self, reason: NotRunReason) -> NotRun {
         NotRun::proved(reason)
     }
 
-    /// Crosses the line. Call it before the request is handed to a connection: from
-    /// then on nobody can tell which bytes arrived.
+    /// Marks the request as possibly sent. Must be called before the request is passed to a
+    /// connection: from then on it cannot be known which bytes arrive.
     pub const fn sending(self) -> Attempt<MayHaveRun> {
         Attempt {
             state: MayHaveRun(()),
@@ -351,12 +351,12 @@
 }
 
 impl Attempt<MayHaveRun> {
-    /// Ends the attempt with the answer.
+    /// Ends the attempt with an answer.
     pub fn answered<A>(self, answer: A) -> Outcome<A> {
         Outcome::Answer(answer)
     }
 
-    /// Ends the attempt with a refusal that proves that nothing ran.
+    /// Ends the attempt with a refusal, which proves that nothing was run.
     pub const fn refused(self, refusal: Refusal) -> NotRun {
         NotRun {
             reason: refusal.reason,
@@ -369,21 +369,21 @@
         Unknown::new(reason)
     }
 
-    /// Steps back because the connection returned the whole request unwritten, which
-    /// `hyper` does when it closed before taking it.
+    /// Returns to the unsent state because the connection returned the whole request unwritten,
+    /// which `hyper` does if the connection closes before it accepts the request.
     pub const fn returned_unsent<R>(self, _unwritten: &R) -> Attempt<Unsent> {
         let MayHaveRun(()) = self.state;
         Attempt { state: Unsent(()) }
     }
 }
 
-/// Header that says what became of a request.
+/// Name of the header with the outcome of a request.
 pub const OUTCOME_HEADER: &str = "heatherring-outcome";
 
 /// Value of [`OUTCOME_HEADER`] with a backend server's answer.
 pub const OUTCOME_ANSWER: &str = "answer";
 
-/// Value of [`OUTCOME_HEADER`] when the request wasn't run.
+/// Value of [`OUTCOME_HEADER`] when the request was not run.
 pub const OUTCOME_NOT_RUN: &str = "not_run";
 
 /// Value of [`OUTCOME_HEADER`] when the request may have run.
@@ -391,7 +391,7 @@
 
 const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
 
-/// Holds the other side's own word that it ran nothing.
+/// The statement of a backend server or another entry VM that it ran nothing of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
     reason: NotRunReason,
@@ -399,8 +399,9 @@
 }
 
 impl Refusal {
-    /// Reads a backend server's refusal: status 503 and the outcome header "`not_run`".
-    /// Any other answer, also a bare 503, may come after a part was run.
+    /// Recognizes a backend server's refusal: status 503 with the outcome header "`not_run`". Any
+    /// other answer, including a 503 without the header, may be sent after part of the request
+    /// was run.
     #[must_use]
     pub fn of_backend_server(status: u16, outcome_header: Option<&str>) -> Option<Self> {
         let refused =
@@ -411,7 +412,8 @@
         })
     }
 
-    /// Takes a backend server's word that it ran nothing, as its interface words it.
+    /// Creates a refusal from a backend server's statement, in the form of its own interface, that
+    /// it ran nothing.
     #[must_use]
     pub const fn reported_by_backend_server(reason: NotRunReason) -> Self {
         Self {
@@ -420,8 +422,8 @@
         }
     }
 
-    /// Reads the refusal of another entry VM, from the outcome header and the reason
-    /// in its body.
+    /// Recognizes the refusal of another entry VM by the outcome header; the reason comes from the
+    /// body of its answer. Returns `None` if the header has another value.
     #[must_use]
     pub fn of_entry(
         outcome_header: Option<&str>,
--- a/lib/src/request_diagnosis.rs
+++ b/lib/src/request_diagnosis.rs
@@ -1,5 +1,5 @@
-//! What log lines tell about one request: the decisions on it, what was going on round them,
-//! and the likely cause of its fate.
+//! Diagnosis of one request from log lines: the decisions on it, the changes around that time,
+//! and the probable cause of its outcome.
 
 use std::time::Duration;
 
@@ -10,15 +10,16 @@
 
 use crate::probable_cause;
 
-/// Time before a decision from which changes are shown: heartbeats that stop are noticed
+/// Time before a decision from which on changes are included: missing heartbeats are detected
 /// after some seconds, and backend servers stay cold for as long.
 const CONTEXT_BEFORE: Duration = Duration::from_secs(10);
 
-/// Time after it: clocks of VMs differ, and a loss is logged once it is noticed.
+/// Time after a decision up to which changes are included: the clocks of VMs differ, and a loss
+/// is logged only when it is detected.
 const CONTEXT_AFTER: Duration = Duration::from_secs(2);
 
-/// Changes that concern all requests, whichever process logged them.
-const COMMON_EVENTS: [&str; 7] = [
+/// Events of changes that affect all requests, whichever process logged them.
+const GLOBAL_EVENTS: [&str; 7] = [
     "entry_behind",
     "routes_change",
     "routes_change_open",
@@ -28,8 +29,8 @@
     "role_changed",
 ];
 
-/// Changes that concern the requests of the process that logged them.
-const OWN_EVENTS: [&str; 12] = [
+/// Events of changes that affect only requests handled by the process that logged them.
+const PROCESS_EVENTS: [&str; 12] = [
     "entry_started",
     "entry_leaving",
     "entry_stop_late",
@@ -44,24 +45,24 @@
     "log_dropped",
 ];
 
-/// Holds one log line.
+/// One log line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LogLine {
-    /// Where it was read, or the process that wrote it if the line says so.
+    /// The process that wrote the line, if the line names it; otherwise the file it was read from.
     pub source: String,
-    /// When it was written, by the clock of the VM that wrote it.
+    /// Time of the line, by the clock of the VM that wrote it.
     pub at: Timestamp,
-    /// What happened, in one word.
+    /// Name of the event, as in `refused`.
     pub event: String,
-    /// What happened, in words.
+    /// The message of the line, a sentence.
     pub message: String,
-    /// What decided it, and the outcome.
+    /// The other key-value pairs of the line.
     pub fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line. What stands before the JSON object, such as the name that a collector
-    /// puts there, is taken as the source; nothing if there is no line of heatherring.
+    /// Parses a line. The last word before the JSON object, such as a name added by a log
+    /// collector, is taken as the source. Returns `None` if it is not a line of heatherring.
     #[must_use]
     pub fn read(file: &str, text: &str) -> Option<Self> {
         let start = text.find('{')?;
@@ -85,13 +86,13 @@
         })
     }
 
-    /// Returns a field that is text; empty if there is none.
+    /// Returns the value of a text field; empty if there is no such field.
     #[must_use]
     pub fn text(&self, field: &str) -> &str {
         self.fields.get(field).and_then(Value::as_str).unwrap_or("")
     }
 
-    /// Returns a field that is a whole number; 0 if there is none.
+    /// Returns the value of a whole-number field; 0 if there is no such field.
     #[must_use]
     pub fn number(&self, field: &str) -> u64 {
         self.fields
@@ -101,25 +102,25 @@
     }
 }
 
-/// Holds what is known of one request.
+/// What log lines show about one request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RequestDiagnosis {
-    /// The request.
+    /// ID of the request.
     pub request_id: String,
-    /// The decisions on it, in order.
+    /// The decisions on the request, in order of time.
     pub decisions: Vec<LogLine>,
-    /// What changed round them, in order.
+    /// Changes around the time of the last decision that may have affected it, in order of time.
     pub changes: Vec<LogLine>,
-    /// What the decisions say, and the likely cause.
+    /// The last decision and its probable causes, one sentence each.
     pub cause: Vec<String>,
 }
 
 impl RequestDiagnosis {
-    /// Finds what `lines` tell of a request; nothing if no line is on it.
+    /// Diagnoses a request from `lines`; `None` if no line is about it.
     #[must_use]
     pub fn of(request_id: &str, lines: &[LogLine]) -> Option<Self> {
-        let is_on = |line: &&LogLine| line.text("request_id") == request_id;
-        let mut decisions: Vec<LogLine> = lines.iter().filter(is_on).cloned().collect();
+        let is_about_request = |line: &&LogLine| line.text("request_id") == request_id;
+        let mut decisions: Vec<LogLine> = lines.iter().filter(is_about_request).cloned().collect();
         decisions.sort_by_key(|line| line.at);
         let last = decisions.last()?;
         let mut changes: Vec<LogLine> = lines
@@ -139,7 +140,7 @@
     }
 }
 
-/// Returns whether a line may have to do with the request that `decision` is on.
+/// Returns whether a line reports a change that may have affected `decision`.
 fn is_change(line: &LogLine, decision: &LogLine) -> bool {
     let held = Duration::from_millis(decision.number("held_ms"));
     let since = decision.at.duration_since(line.at);
@@ -150,12 +151,13 @@
     }
     let event = line.event.as_str();
     let backend = line.text("backend");
-    let is_own = line.source == decision.source && OWN_EVENTS.contains(&event);
-    let on_backend = !backend.is_empty() && decision.text("sends").contains(backend);
-    is_own || on_backend || COMMON_EVENTS.contains(&event)
+    let is_process_event = line.source == decision.source && PROCESS_EVENTS.contains(&event);
+    let is_about_backend = !backend.is_empty() && decision.text("sends").contains(backend);
+    is_process_event || is_about_backend || GLOBAL_EVENTS.contains(&event)
 }
 
-/// Keeps the last of several views or verdicts on presence in a row.
+/// Removes all but the last of the lines about applied views and about applied presence reports,
+/// which are frequent.
 fn without_repeats(changes: Vec<LogLine>) -> Vec<LogLine> {
     let mut kept: Vec<LogLine> = Vec::new();
     for line in changes {
--- a/lib/tests/test_decision_log.rs
+++ b/lib/tests/test_decision_log.rs
@@ -1,4 +1,4 @@
-//! The log of recent decisions: bounded, filtered, newest first, and explained.
+//! Tests of the log of recent decisions and of the explanations of decisions.
 
 use heatherring_lib::decision_log::DecisionFilter;
 use heatherring_lib::decision_log::DecisionLog;
@@ -83,9 +83,9 @@
 }
 
 #[test]
-fn test_decision_log_look_ups_push_out_no_refusal() {
-    // Symptom: `explain` knows nothing of a refusal some seconds old. Sequence: one
-    // refusal, then look-ups at the usual rate. Cause: one store for both.
+fn test_decision_log_look_ups_evict_no_refusal() {
+    // With a single store for all decisions, a refusal was evicted by look-ups at the usual rate
+    // within seconds, and `explain` no longer found it.
     let mut log = DecisionLog::new(2);
     log.push(record("refused", overloaded()));
     for id in ["a", "b", "c"] {
@@ -127,7 +127,7 @@
         } => [];
 }
 
-/// A try that was refused for a reason, on the way from Hakata to a place.
+/// Returns a try for a caller at Hakata that was refused at a place for a reason.
 fn refused_try(place: &str, reason: NotRunReason) -> Try {
     let place = PlaceName::new(place);
     let limits = limits_behind(
--- a/lib/tests/test_log_chain.rs
+++ b/lib/tests/test_log_chain.rs
@@ -1,4 +1,4 @@
-//! What log lines tell about a request.
+//! Tests of the diagnosis of a request from log lines.
 
 use heatherring_lib::request_diagnosis::LogLine;
 use heatherring_lib::request_diagnosis::RequestDiagnosis;
@@ -62,8 +62,8 @@
         ),
     ];
     assert_snapshot!(cause(&lines), @r"
-    none of 9 backend servers of registry that are taken to have the data would have answered in time: the shortest wait there was 840 ms; refused after 1 ms, to come back in 420 ms
-    2026-01-31T10:00:05Z: place alm-b was evacuated: its backend servers can't be used
+    none of 9 backend servers of registry that are assumed to have the data cached would have answered in time: the shortest wait there was 840 ms; refused after 1 ms, to be retried after 420 ms
+    2026-01-31T10:00:05Z: place alm-b was evacuated: its backend servers cannot be used
     ");
 }
 
@@ -90,13 +90,13 @@
         ),
     ];
     assert_snapshot!(cause(&lines), @r"
-    the connection to the backend server broke after the request was sent, so that it may have run and wasn't sent again: server-4: data at hand, wait 0 ms expected from a report 80 ms old, answer 190 ms expected, broken after 1240 ms
-    2026-01-31T10:00:09.5Z: backend server server-4 had gone
+    the connection to the backend server broke after the request was sent; it may have run and was not sent again: server-4: data at hand, wait 0 ms expected from a report 80 ms old, answer 190 ms expected, broken after 1240 ms
+    2026-01-31T10:00:09.5Z: backend server server-4 was gone
     ");
 }
 
 #[test]
-fn test_log_chain_of_a_change_that_wasnt_in_force() {
+fn test_log_chain_of_a_change_that_was_not_in_force() {
     let lines = [
         line(
             "entry-1",
@@ -109,14 +109,14 @@
     ];
     assert_snapshot!(cause(&lines), @r"
     no route of manifest version 7 matches host and path
-    entry-1 hadn't heard of control for 5000 ms: it went by what it knew before
+    entry-1 had not heard from control for 5000 ms: it used the last state that it had received
     2026-01-31T10:00:03Z: entry-1 lost control: no answer in time
-    2026-01-31T10:00:06Z: manifest version 9 was decided, and wasn't in force here yet
+    2026-01-31T10:00:06Z: manifest version 9 was decided, and was not in force here yet
     ");
 }
 
-/// A caller is served by an older manifest while its entry VM hears of control: the age of the
-/// proof says so, not the age of the last word.
+/// An entry VM that is in contact with control may still use an old manifest. This shows in the
+/// age of the proof that the manifest is the newest, not in the time since the last contact.
 #[test]
 fn test_log_chain_of_a_view_that_was_proved_long_ago() {
     let behind = |second, vm: &str| {
@@ -130,13 +130,13 @@
     ];
     assert_snapshot!(cause(&lines), @r"
     no route of manifest version 7 matches host and path
-    version 7 was last proved to be the newest 3400 ms before: a newer one may have been confirmed
-    2026-01-31T10:00:07.5Z: control-1 heard from it that it still lacked manifest version 9, 3100 ms after it knew of that itself
+    version 7 was last proven to be the newest 3400 ms before: a newer one may have been confirmed
+    2026-01-31T10:00:07.5Z: the entry VM reported to control-1 that it still lacked manifest version 9, 3100 ms after control-1 had learnt of it
     ");
 }
 
-/// Symptom: a manifest that control refused is named as what wasn't in force yet. Cause: every
-/// decided change counted, whatever the decision was.
+/// A manifest that control had refused was reported as not yet in force, because every decided
+/// change was counted, whatever the decision.
 #[test]
 fn test_log_chain_names_accepted_manifests_only() {
     let order = |second, version: u64, answer: &str| {
@@ -151,11 +151,11 @@
     ];
     assert_snapshot!(cause(&lines), @r"
     no route of manifest version 7 matches host and path
-    2026-01-31T10:00:06Z: manifest version 10 was decided, and wasn't in force here yet
+    2026-01-31T10:00:06Z: manifest version 10 was decided, and was not in force here yet
     ");
 }
 
-/// The likeliest comes first, and a storm of changes doesn't bury it.
+/// The most probable cause comes first, even among many other changes.
 #[test]
 fn test_log_chain_ranks_causes() {
     let sends = "server-4: data at hand, wait 0 ms expected from a report 80 ms old, answer 190 ms expected, broken after 1240 ms";
@@ -175,15 +175,15 @@
     lines.push(refused("08.0", "connection_lost", &fields));
     let cause = RequestDiagnosis::of("9c41", &lines).unwrap().cause;
     assert!(
-        cause[1].ends_with("backend server server-4 had gone"),
+        cause[1].ends_with("backend server server-4 was gone"),
         "{cause:?}"
     );
     assert_eq!(cause.len(), 7);
 }
 
-/// Whatever a collector mixes in is passed over.
+/// Lines of other programs that a log collector mixes in are ignored.
 #[test]
-fn test_log_chain_passes_over_foreign_lines() {
+fn test_log_chain_ignores_lines_of_other_programs() {
     let damaged = [
         "",
         "{",
