--- a/server/src/link_task.rs
+++ b/server/src/link_task.rs
@@ -26,7 +26,7 @@
 use tokio::sync::oneshot;
 
 use crate::answer_body::AnswerBody;
-use crate::answer_body::AnswerBroken;
+use crate::answer_body::AnswerBodyError;
 
 /// Bytes that framing adds to a head, and to each of its headers.
 const HEAD_OVERHEAD: usize = 64;
@@ -158,7 +158,7 @@
     }
 }
 
-type FramePoll = Poll<Option<Result<Frame<Bytes>, AnswerBroken>>>;
+type FramePoll = Poll<Option<Result<Frame<Bytes>, AnswerBodyError>>>;
 
 /// Lets an answer to another region through as fast as this entry VM's share of the
 /// link allows. The share is taken before each piece leaves.
@@ -202,14 +202,14 @@
         Some(Poll::Ready(Some(if permitted {
             Ok(frame)
         } else {
-            Err(AnswerBroken::Deadline)
+            Err(AnswerBodyError::Deadline)
         })))
     }
 }
 
 impl Body for PacedBody {
     type Data = Bytes;
-    type Error = AnswerBroken;
+    type Error = AnswerBodyError;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
         let this = self.get_mut();
