--- a/server/src/interface.rs
+++ b/server/src/interface.rs
@@ -108,7 +108,7 @@
     fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableHeader>;
 
     /// Writes the metadata for a backend server into the caller's headers.
-    fn write_request_metadata(&self, headers: &mut HeaderMap, marks: &OutgoingMetadata<'_>);
+    fn write_request_metadata(&self, headers: &mut HeaderMap, metadata: &OutgoingMetadata<'_>);
 
     /// Reads the metadata of a backend server's answer to the request `request_id`.
     fn read_answer(&self, head: &http::response::Parts, request_id: Option<&str>)
