--- a/server/src/own_interface.rs
+++ b/server/src/own_interface.rs
@@ -1,9 +1,9 @@
 //! Heatherring's own interface for direct dispatch.
 //!
-//! Calls carry heatherring's own types in JSON: `POST /v1/announcements`, `DELETE
-//! /v1/backends/{name}`, `PUT` and `DELETE /v1/evacuations/{place}`, `POST` and `GET
-//! /v1/routes`, `GET /v1/entries?host=..&region=..`. Requests and answers carry `Heatherring-*`
-//! headers.
+//! Calls carry heatherring's own types in JSON: `POST /v1/announcements`,
+//! `DELETE /v1/backends/{name}`, `PUT` and `DELETE /v1/evacuations/{place}`,
+//! `POST` and `GET /v1/routes`, `GET /v1/entries?host=..&region=..`. Requests and answers
+//! carry `Heatherring-*` headers.
 
 use std::time::Duration;
 
--- a/server/src/request_fault.rs
+++ b/server/src/request_fault.rs
@@ -24,8 +24,8 @@
     /// The request has both `Content-Length` and `Transfer-Encoding`.
     #[snafu(display("a request has both Content-Length and Transfer-Encoding"))]
     LengthAndEncoding,
-    /// The bytes of the request's head could not be located in the stream.
-    #[snafu(display("the head of a request could not be located in the stream"))]
+    /// The request's head does not end where a piece of the stream ends, so its bytes are unknown.
+    #[snafu(display("the bytes of a request's head are unknown"))]
     UnknownHead,
 }
 
