--- a/server/src/direct_context.rs
+++ b/server/src/direct_context.rs
@@ -13,11 +13,11 @@
 use heatherring_lib::weighted_round_robin::WeightedRoundRobin;
 use tokio::sync::watch;
 
-use crate::crash_watch::CrashWatch;
+use crate::crash_tracker::CrashTracker;
 use crate::direct_send::DirectSender;
 use crate::dispatch_task::DispatchHandle;
 use crate::interface::EntryInterface;
-use crate::stop_watch::StopWatch;
+use crate::stop_observer::StopObserver;
 use crate::token_task::TokenHandle;
 
 /// Shared state of the request handlers.
@@ -40,13 +40,13 @@
     /// Grants tokens for the limits of teams.
     pub tokens: TokenHandle,
     /// Tracks which requests crash backend servers.
-    pub crashes: CrashWatch,
+    pub crashes: CrashTracker,
     /// Sends requests to backend servers.
     pub sender: DirectSender,
     /// Round-robin state of each route's traffic split.
     pub split_rotations: Mutex<HashMap<RouteName, WeightedRoundRobin>>,
     /// State of a planned stop.
-    pub stopping: StopWatch,
+    pub stopping: StopObserver,
     /// Maximum time that a request waits for the first view.
     pub first_view_wait: Duration,
 }
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -39,8 +39,8 @@
 use crate::answer_body::AnswerObserver;
 use crate::backend_pool::BackendConnection;
 use crate::backend_pool::BackendPool;
-use crate::crash_watch::CrashWatch;
-use crate::crash_watch::FollowedRequest;
+use crate::crash_tracker::CrashTracker;
+use crate::crash_tracker::TrackedRequest;
 use crate::dispatch_task::DispatchHandle;
 use crate::header;
 use crate::header::remove_hop_by_hop;
@@ -48,7 +48,7 @@
 use crate::interface::EntryInterface;
 use crate::interface::OutgoingMetadata;
 use crate::refusal_body;
-use crate::stop_watch::StopWatch;
+use crate::stop_observer::StopObserver;
 use crate::verified_caller::VerifiedCaller;
 
 /// Size up to which an answer is read completely before its head is passed on. If such an answer
@@ -135,8 +135,8 @@
     view: watch::Receiver<Arc<FleetView>>,
     /// Notified of a new connection immediately: the answer may arrive a second later.
     dispatch: DispatchHandle,
-    crashes: CrashWatch,
-    stopping: StopWatch,
+    crashes: CrashTracker,
+    stopping: StopObserver,
 }
 
 impl DirectSender {
@@ -148,8 +148,8 @@
         interface: Arc<dyn EntryInterface>,
         view: watch::Receiver<Arc<FleetView>>,
         dispatch: DispatchHandle,
-        crashes: CrashWatch,
-        stopping: StopWatch,
+        crashes: CrashTracker,
+        stopping: StopObserver,
     ) -> Self {
         Self {
             pool,
@@ -410,7 +410,7 @@
     req: &'a DirectRequest,
     sent: Attempt<MayHaveRun>,
     connection: BackendConnection,
-    followed: FollowedRequest,
+    followed: TrackedRequest,
 }
 
 enum Exchange {
@@ -423,7 +423,7 @@
 struct StreamObserver {
     pool: BackendPool,
     connection: BackendConnection,
-    followed: FollowedRequest,
+    followed: TrackedRequest,
     keep: Duration,
     dispatch: DispatchHandle,
     backend: BackendKey,
