--- a/server/src/admission_handle.rs
+++ b/server/src/admission_handle.rs
@@ -1,4 +1,4 @@
-//! How other tasks talk to the one that owns the decisions.
+//! Handle through which other tasks send messages to the [admission task](crate::admission_task).
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -29,48 +29,48 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-/// Describes a request that asks its group's owner for a slot.
+/// Describes a request for a slot, sent to the owner of its group.
 #[derive(Clone, Debug)]
 pub struct SlotRequest {
-    /// The group that it was steered to.
+    /// The group that steering chose.
     pub group: Group,
-    /// Position of its operation in the service's list.
+    /// Index of the operation in the service's list.
     pub operation: usize,
-    /// The place of its caller.
+    /// The caller's failure domain.
     pub origin: PlaceName,
-    /// Time until which an answer is of use.
+    /// Time after which an answer is of no use to the caller.
     pub deadline: Instant,
-    /// Whether running it twice is harmless.
+    /// Whether the request may run twice without harm.
     pub idempotent: bool,
 }
 
-/// Tells how a candidate failed to take a request.
+/// Tells why a candidate did not accept a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CandidateFailure {
-    /// It refused.
+    /// It refused the request for the given reason.
     Refused(NotRunReason),
-    /// It couldn't be reached.
+    /// No connection to it could be established.
     Unreachable,
 }
 
-/// Holds what operators are shown of the decisions.
+/// Holds the part of the entry VM's status that concerns admission.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionStatus {
-    /// The session.
+    /// The session that the decisions are made under; the default value without a session.
     pub session: SessionId,
-    /// What each owned group can take.
+    /// Load and capacity of each group that this entry VM owns.
     pub loads: Vec<GroupLoad>,
-    /// What the owners of all groups have told lately.
+    /// Latest load received from the owners of all groups.
     pub known: Vec<GroupLoad>,
-    /// What becomes of each planned drain.
+    /// Decision on each planned drain.
     pub drains: Vec<DrainDecision>,
     /// Requests that wait for a slot.
     pub waiting: usize,
-    /// Whether nothing is dispatched and nothing waits.
+    /// Whether no request is dispatched or waiting.
     pub idle: bool,
 }
 
-/// Asks the task, or tells it.
+/// Is a message to the admission task: a request with a reply channel, or a notification.
 #[derive(Debug)]
 pub(crate) enum Message {
     LookUp {
@@ -111,11 +111,11 @@
     Status(oneshot::Sender<AdmissionStatus>),
 }
 
-/// Holds a taken slot until it is told how the dispatch ended; dropping it means that
-/// the dispatch was cancelled.
+/// Holds a slot until the outcome of the dispatch is reported. Dropping it without an outcome
+/// reports the dispatch as cancelled.
 ///
-/// Without this, a caller that leaves between two steps would leave its slot taken for
-/// ever: one would see the backend server's slots vanish one by one.
+/// Without this, a caller that disconnects between two steps would leak its slot, until the
+/// backend server had no free slots left.
 #[derive(Debug)]
 pub struct DispatchGuard {
     pub(crate) dispatch: Dispatch,
@@ -127,25 +127,25 @@
 }
 
 impl DispatchGuard {
-    /// Returns where to send the request.
+    /// Returns the backend server and slot that the request was given.
     #[must_use]
     pub const fn dispatch(&self) -> &Dispatch {
         &self.dispatch
     }
 
-    /// Returns the session under whose lease the slot was given.
+    /// Returns the session under whose lease the slot was granted.
     #[must_use]
     pub const fn session(&self) -> SessionId {
         self.session
     }
 
-    /// Gives the slot back after the last byte of the answer.
+    /// Frees the slot after the last byte of the answer was read.
     pub fn answered(mut self) {
         let latency = self.clock.now().saturating_duration_since(self.begun);
         self.ending = Ending::Answered { latency };
     }
 
-    /// Gives the slot back after another ending.
+    /// Frees the slot after any other outcome.
     pub fn ended(mut self, ending: Ending) {
         self.ending = ending;
     }
@@ -153,7 +153,7 @@
 
 impl Drop for DispatchGuard {
     fn drop(&mut self) {
-        // Nobody counts slots any more once the task is gone.
+        // A failed send means that the task has ended, and its slot counts with it.
         let _ = self.tx.send(Message::Finish {
             session: self.session,
             key: self.dispatch.key,
@@ -162,7 +162,7 @@
     }
 }
 
-/// Withdraws a waiting request whose caller goes away.
+/// Cancels a waiting request when the future that waits for its slot is dropped.
 struct WaitGuard<'a> {
     handle: &'a AdmissionHandle,
     token: RequestToken,
@@ -177,24 +177,24 @@
     }
 }
 
-/// Reaches the task.
+/// Sends messages to the admission task.
 #[derive(Clone, Debug)]
 pub struct AdmissionHandle {
     pub(crate) tx: mpsc::UnboundedSender<Message>,
     pub(crate) next_token: Arc<AtomicU64>,
 }
 
-/// Refuses because the process has no session, or ends.
+/// Returns the refusal for a process that has no session or is stopping.
 pub(crate) fn no_session() -> NotRun {
     Attempt::new().refuse(NotRunReason::LeaseLapsed)
 }
 
 impl AdmissionHandle {
-    /// Names the entry for a caller at `origin`.
+    /// Returns the entry VM that a caller at `origin` should use.
     ///
     /// # Errors
     ///
-    /// Returns a refusal if no entry may be named now.
+    /// Returns a refusal if no entry VM can be named now.
     pub async fn look_up(
         &self,
         service: ServiceName,
@@ -211,7 +211,7 @@
         answer.await.unwrap_or_else(|_| Err(no_session()))
     }
 
-    /// Returns the owners to try, best first.
+    /// Returns the owners to try, best first; empty without a session.
     pub async fn steer(
         &self,
         service: ServiceName,
@@ -228,11 +228,11 @@
         answer.await.unwrap_or_default()
     }
 
-    /// Asks for a slot and waits for it. Dropping the future withdraws the request.
+    /// Requests a slot and waits for it. Dropping the future cancels the request.
     ///
     /// # Errors
     ///
-    /// Returns a refusal if the request isn't run.
+    /// Returns a refusal if the request was not granted a slot; it has not run then.
     pub async fn offer(&self, request: SlotRequest) -> Result<DispatchGuard, NotRun> {
         let token = RequestToken(self.next_token.fetch_add(1, Ordering::Relaxed));
         let (reply, answer) = oneshot::channel();
@@ -251,12 +251,11 @@
         result.unwrap_or_else(|_| Err(no_session()))
     }
 
-    /// Takes an announcement of a backend server.
+    /// Applies an announcement of a backend server. Returns `None` without a session.
     ///
     /// # Errors
     ///
-    /// Returns an error if it doesn't fit the manifest. `None` means that there is no
-    /// session.
+    /// Returns an error if the announcement does not fit the manifest.
     pub async fn announce(
         &self,
         announcement: Announcement,
@@ -269,39 +268,39 @@
         answer.await.ok()
     }
 
-    /// Takes another entry VM's digest.
+    /// Applies the load digest of another entry VM.
     pub fn take_digest(&self, digest: LoadDigest) {
         self.tell(Message::Digest { digest });
     }
 
-    /// Takes an old owner's release.
+    /// Applies a release sent by a group's previous owner.
     pub fn take_release(&self, release: Release) {
         self.tell(Message::Release(release));
     }
 
-    /// Notes that a request is sent to `candidate`.
+    /// Records that a request was sent to `candidate`.
     pub fn note_sent(&self, candidate: Candidate) {
         self.tell(Message::Sent(candidate));
     }
 
-    /// Notes that `candidate` didn't take a request.
+    /// Records that `candidate` did not accept a request.
     pub fn note_failed(&self, candidate: Candidate, failure: CandidateFailure) {
         self.tell(Message::Failed(candidate, failure));
     }
 
-    /// Notes a measured round trip to another session's entry VM.
+    /// Records a measured round trip to the entry VM of another session.
     pub fn note_round_trip(&self, session: SessionId, round_trip: Duration) {
         self.tell(Message::RoundTrip(session, round_trip));
     }
 
-    /// Takes one further try out of the retry budget, if there is one.
+    /// Takes one retry from the retry budget. Returns `false` if the budget is exhausted.
     pub async fn try_again(&self) -> bool {
         let (reply, answer) = oneshot::channel();
         self.tell(Message::TryAgain(reply));
         answer.await.unwrap_or(false)
     }
 
-    /// Returns what operators are shown.
+    /// Returns the admission status; the default value once the task has ended.
     pub async fn status(&self) -> AdmissionStatus {
         let (reply, answer) = oneshot::channel();
         self.tell(Message::Status(reply));
@@ -309,7 +308,7 @@
     }
 
     fn tell(&self, message: Message) {
-        // After the task's end the reply's channel closes, which the asker sees.
+        // Once the task has ended the reply channel closes, which the requester notices.
         let _ = self.tx.send(message);
     }
 }
--- a/server/src/admission_task.rs
+++ b/server/src/admission_task.rs
@@ -1,7 +1,7 @@
-//! The task that owns an entry VM's decisions.
+//! Task that owns the admission and steering decisions of an entry VM.
 //!
-//! It holds the core's state machines for the present session, feeds them every event
-//! with the time, and carries their effects out. Other tasks talk to it through
+//! It holds the state machines of the current session, passes them every event with its
+//! time, and applies the effects they return. Other tasks reach it through
 //! [`AdmissionHandle`].
 use std::collections::HashMap;
 use std::future::pending;
@@ -44,7 +44,7 @@
 use crate::peer_client::PeerClients;
 use crate::session_core::SessionCore;
 
-/// The state of the task.
+/// Holds the task's state; [`AdmissionTask::run`] drives it.
 pub struct AdmissionTask {
     clock: Arc<dyn Clock>,
     tx: mpsc::WeakUnboundedSender<Message>,
@@ -59,7 +59,7 @@
 }
 
 impl AdmissionTask {
-    /// Prepares the task; `seed` drives the core's choices among near-equals.
+    /// Creates the task and its handle; `seed` drives random choices among near-equal candidates.
     #[must_use]
     pub fn new(
         clock: Arc<dyn Clock>,
@@ -86,7 +86,7 @@
         (task, AdmissionHandle { tx, next_token })
     }
 
-    /// Runs until all handles are gone.
+    /// Runs until all handles are dropped.
     pub async fn run(mut self) {
         let mut digest_due = tokio::time::interval(DIGEST_INTERVAL);
         loop {
@@ -155,8 +155,8 @@
         self.tell_changed_slots(now);
     }
 
-    /// Drops all that the session owned. What is dispatched runs to its end; its slots
-    /// are counted by the next owner.
+    /// Drops all state of the session and refuses the waiting requests. Dispatched requests run
+    /// to completion; the next owner counts the slots they occupy.
     fn lose(&mut self) {
         self.core = None;
         for (_, reply) in self.waiting.drain() {
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Takes what only steering wants to know.
+    /// Handles messages that concern only steering.
     fn take_note(&mut self, now: Instant, note: Message) {
         let Some(core) = &mut self.core else {
             return;
@@ -334,7 +334,7 @@
             tx,
             ending: Ending::Cancelled,
         };
-        // If the asker has gone, dropping the guard gives the slot back.
+        // If the requester has gone, dropping the guard frees the slot.
         let _ = reply.send(Ok(guard));
     }
 
@@ -342,7 +342,7 @@
         let Some(core) = &mut self.core else {
             return;
         };
-        // A key of an earlier session may look like one of this session.
+        // A key of an earlier session may equal one of this session.
         if core.id != session {
             return;
         }
@@ -371,8 +371,8 @@
         self.tell_changed_slots(now);
     }
 
-    /// Sends a digest ahead of its time if the slots have changed. Others would send
-    /// nothing to slots that are new, and too much to slots that are gone, until then.
+    /// Sends a digest ahead of schedule if the number of slots has changed. Until they receive
+    /// it, other entry VMs send no requests to new slots and too many to removed ones.
     fn tell_changed_slots(&mut self, now: Instant) {
         let core = self.core.as_mut();
         if core.is_some_and(|core| core.has_untold_slots(now)) {
@@ -415,7 +415,7 @@
         }
     }
 
-    /// Gives a slot back that nobody waits for any more.
+    /// Frees a slot whose requester has gone.
     fn give_back(&mut self, now: Instant, key: DispatchKey) {
         if let Some(core) = &mut self.core {
             let effects = core.admission.finish(now, key, Ending::Cancelled);
--- a/server/src/announce_listener.rs
+++ b/server/src/announce_listener.rs
@@ -1,4 +1,4 @@
-//! Takes announcements of backend servers and passes them on to the owner.
+//! Handles announcements of backend servers and forwards them to the owner of their group.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,23 +36,23 @@
 const STATUS_PATH: &str = "/status";
 const EXPLAIN_PATH: &str = "/explain";
 
-/// Bytes of an announcement.
+/// Largest size of an announcement, in bytes.
 const MAX_ANNOUNCEMENT_BYTES: u32 = 4_096;
 
-/// Time within which an announcement must have arrived whole.
+/// Time within which the whole announcement must arrive.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for which the owner's answer is waited for.
+/// Timeout of the owner's answer to a forwarded announcement.
 const PASS_ON_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Answers backend servers, and operators who ask for the status.
+/// Answers backend servers' announcements, and operators' status and explain requests.
 #[derive(Clone, Debug)]
 pub struct AnnounceHandler {
     cx: Arc<EntryContext>,
 }
 
 impl AnnounceHandler {
-    /// Answers with what `cx` holds.
+    /// Creates a handler that answers from the state in `cx`.
     #[must_use]
     pub const fn new(cx: Arc<EntryContext>) -> Self {
         Self { cx }
@@ -135,8 +135,8 @@
         json(StatusCode::OK, &AnnouncementReply::new(Some(address)))
     }
 
-    /// Passes the announcement on. A failure isn't reported: the server announces to
-    /// the owner itself next, and to others when that fails.
+    /// Forwards the announcement to its owner. A failure is not reported: the backend server
+    /// sends its next announcement to the owner directly, and to others when that fails.
     async fn pass_on(&self, owner: &EntrySession, announcement: &Announcement) {
         let Some(channel) = self.cx.peers.channel(owner.id).await else {
             return;
@@ -149,7 +149,7 @@
             announcement_encoded,
         });
         if !matches!(tokio::time::timeout(PASS_ON_TIMEOUT, call).await, Ok(Ok(_))) {
-            log::warn!(event = "announcement_not_passed_on", backend = announcement.backend.as_str(), owner = owner.info.vm.as_str(); "the owner doesn't answer");
+            log::warn!(event = "announcement_not_passed_on", backend = announcement.backend.as_str(), owner = owner.info.vm.as_str(); "cannot forward an announcement: its owner did not answer in time");
         }
     }
 
--- a/server/src/backend_pool.rs
+++ b/server/src/backend_pool.rs
@@ -1,13 +1,13 @@
-//! Connections to backend servers, kept for reuse.
+//! Pool of connections to backend servers.
 //!
-//! One task owns the idle connections of all backend servers that this entry VM owns
-//! and counts the open ones. A new connection costs a backend server about 1 ms, so
-//! the one used last is handed out first.
+//! One task owns the idle connections to all backend servers that this entry VM owns and
+//! counts the open ones. A new connection costs a backend server about 1 ms, so the most
+//! recently used one is handed out first.
 //!
-//! A connection whose answer was abandoned or broke off is never handed out again:
-//! what is left of that answer would be read as the next caller's. Such a connection
-//! is dropped, which closes its socket and thereby cancels the work behind it; only a
-//! connection whose answer was read to its last byte can come back.
+//! A connection whose answer was abandoned or broke off is never reused: the rest of that
+//! answer would be read as the answer to the next caller. Such a connection is dropped, which
+//! closes its socket and thereby cancels the work behind it. Only a connection whose answer
+//! was read to its last byte can be returned to the pool.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -29,26 +29,26 @@
 
 use crate::metric;
 
-/// Time after which an idle connection is closed rather than used again. Backend
-/// servers close idle connections on their own, and a request that meets such a close
-/// halfway has an unknown fate.
+/// Idle time after which a connection is closed rather than reused. Backend servers close
+/// idle connections on their own, and a request that crosses such a close on the wire has an
+/// unknown outcome.
 const MAX_IDLE: Duration = Duration::from_secs(15);
 
-/// Time between two sweeps of idle connections.
+/// Time between two removals of expired idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time after which a connection breaks whose bytes the other side doesn't acknowledge:
-/// several times the longest way there and back between regions, 110 ms.
+/// Time without acknowledgement of sent bytes after which the system breaks a connection:
+/// several times the longest round trip between regions, 110 ms.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Longest time for which a connection attempt may hold a request up.
+/// Longest time that an attempt to connect may delay a request.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tells why no connection to a backend server could be had. No byte of a request has
-/// been sent in any of these cases.
+/// Tells why no connection to a backend server is available. No byte of the request has been
+/// sent in any of these cases.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// All connections that the limit allows are open.
+    /// All connections allowed by the limit are in use.
     #[snafu(display("all {limit} connections to {address} are in use"))]
     LimitReached {
         /// The backend server's address.
@@ -56,29 +56,29 @@
         /// The limit on connections.
         limit: u32,
     },
-    /// The connection wasn't taken in time.
-    #[snafu(display("{address} took too long to accept a connection"))]
+    /// The connection was not established in time.
+    #[snafu(display("timed out while connecting to {address}"))]
     ConnectTimeout {
         /// The backend server's address.
         address: SocketAddr,
     },
-    /// The connection was refused or the server can't be reached.
-    #[snafu(display("can't connect to {address}"))]
+    /// The connection was refused or the server cannot be reached.
+    #[snafu(display("cannot connect to {address}"))]
     Connect {
         /// The backend server's address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The connection broke before it could carry a request.
-    #[snafu(display("the connection to {address} broke while it was set up"))]
+    #[snafu(display("the connection to {address} broke during the HTTP handshake"))]
     Handshake {
         /// The backend server's address.
         address: SocketAddr,
-        /// What the HTTP library said.
+        /// The error of the HTTP library.
         source: hyper::Error,
     },
-    /// The pool has ended with its process.
+    /// The pool's task has ended because the process is stopping.
     #[snafu(display("the process is stopping"))]
     PoolGone,
 }
@@ -89,14 +89,14 @@
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     reused: bool,
-    /// Time that it took to be established.
+    /// Time that it took to establish the connection.
     established_in: Duration,
-    /// Ends the task that drives the connection, and with it the socket.
+    /// Drives the connection; aborting it on drop closes the socket.
     _driver: AbortOnDropHandle<()>,
 }
 
 impl ConnectError {
-    /// Returns whether nobody listens at the address, as far as the system there says.
+    /// Returns whether the remote system reported that nothing listens at the address.
     #[must_use]
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Connect { source, .. } if source.kind() == ErrorKind::ConnectionRefused)
@@ -109,7 +109,7 @@
         &mut self.sender
     }
 
-    /// Returns the time that it took to establish the connection: one way there and back.
+    /// Returns the time that it took to establish the connection: one round trip.
     #[must_use]
     pub const fn established_in(&self) -> Duration {
         self.established_in
@@ -131,7 +131,7 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        // A failed send means that the pool has ended: nobody counts any more.
+        // A failed send means that the pool has ended, and its counts with it.
         let _ = self.tx.send(PoolMessage::Closed(self.address));
     }
 }
@@ -156,14 +156,14 @@
     Disconnect(SocketAddr),
 }
 
-/// Reaches the pool's task.
+/// Sends messages to the pool's task.
 #[derive(Clone, Debug)]
 pub struct BackendPool {
     tx: mpsc::UnboundedSender<PoolMessage>,
 }
 
 impl BackendPool {
-    /// Starts the pool's task, which ends with the last handle to it.
+    /// Spawns the pool's task, which ends when its last handle is dropped.
     #[must_use]
     pub fn spawn() -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -175,12 +175,12 @@
         Self { tx }
     }
 
-    /// Takes an idle connection to `address`, or opens one within `limit`.
+    /// Takes an idle connection to `address`, or opens one if `limit` allows it.
     ///
     /// # Errors
     ///
-    /// Fails if the limit is reached or the server doesn't take the connection. The
-    /// request can't have reached the backend server then.
+    /// Fails if the limit is reached or the connection cannot be established. The request has
+    /// not reached the backend server then.
     pub async fn connect(
         &self,
         address: SocketAddr,
@@ -189,7 +189,7 @@
         self.connect_within(address, limit, CONNECT_TIMEOUT).await
     }
 
-    /// Does the same, with a bound on the time in which a new connection is established.
+    /// Like [`Self::connect`], with a custom timeout for establishing a new connection.
     ///
     /// # Errors
     ///
@@ -214,8 +214,8 @@
         }
     }
 
-    /// Opens a connection though others may be idle: those of a process that has ended may not
-    /// have shown that yet.
+    /// Opens a new connection even if others are idle: those to a process that has ended may not
+    /// have been closed yet.
     ///
     /// # Errors
     ///
@@ -234,20 +234,20 @@
         }
     }
 
-    /// Gives a connection back whose answer was read to its last byte.
+    /// Returns a connection whose answer was read to its last byte to the pool.
     pub fn give_back(&self, connection: BackendConnection) {
         self.give_back_for(connection, MAX_IDLE);
     }
 
-    /// Does the same, for a connection that may be idle for `keep` at most.
+    /// Like [`Self::give_back`], for a connection that may stay idle for at most `keep`.
     pub fn give_back_for(&self, connection: BackendConnection, keep: Duration) {
         let keep = keep.min(MAX_IDLE);
-        // A failed send drops, and so closes, the connection.
+        // A failed send drops the connection and thereby closes it.
         let _ = self.tx.send(PoolMessage::Return(connection, keep));
     }
 
-    /// Closes the idle connections to `address`, so that the new owner of the backend
-    /// server finds its connection limit free.
+    /// Closes the idle connections to `address`, so that they do not count against the backend
+    /// server's connection limit when its new owner connects.
     pub fn disconnect(&self, address: SocketAddr) {
         let _ = self.tx.send(PoolMessage::Disconnect(address));
     }
@@ -288,7 +288,7 @@
         .ok()
         .ok_or(ConnectError::ConnectTimeout { address })?
         .context(ConnectSnafu { address })?;
-    // Without this a small request may wait for the acknowledgement of the one before.
+    // Nagle's algorithm could delay a small request until the previous one is acknowledged.
     stream.set_nodelay(true).context(ConnectSnafu { address })?;
     let established_in = begun.elapsed();
     limit_silence(&stream);
@@ -297,7 +297,7 @@
         .context(HandshakeSnafu { address })?;
     let driver = tokio::spawn(async move {
         let _permit = permit;
-        // Whoever waits for the answer sees the same error.
+        // The task that waits for the answer receives the same error.
         let _ = connection.await;
     });
     Ok(BackendConnection {
@@ -309,13 +309,13 @@
     })
 }
 
-/// Has the system break the connection when what was sent isn't acknowledged for
-/// [`UNACKNOWLEDGED_TIMEOUT`]. A connection can go silent without a reset; without this
-/// only the caller's deadline would end the wait.
+/// Sets the TCP user timeout, so that the system breaks the connection when sent bytes are
+/// not acknowledged within [`UNACKNOWLEDGED_TIMEOUT`]. A connection can go silent without a
+/// reset; without this only the caller's deadline would end the wait.
 fn limit_silence(stream: &TcpStream) {
     let millis = u32::try_from(UNACKNOWLEDGED_TIMEOUT.as_millis()).unwrap_or(u32::MAX);
     if let Err(error) = rustix::net::sockopt::set_tcp_user_timeout(stream, millis) {
-        log::debug!(event = "user_timeout_refused", error:% = error; "the system can't limit the silence of a connection");
+        log::debug!(event = "user_timeout_refused", error:% = error; "cannot set the TCP user timeout of a connection");
     }
 }
 
@@ -338,9 +338,9 @@
     idle: Vec<IdleConnection>,
 }
 
-/// The state of the pool's task.
+/// Holds the state of the pool's task.
 struct PoolTask {
-    /// Weak, or the pool's own handle would keep the pool alive for ever.
+    /// Weak, because a strong handle of its own would keep the task running for ever.
     weak_tx: mpsc::WeakUnboundedSender<PoolMessage>,
     servers: HashMap<SocketAddr, ServerPool>,
 }
@@ -384,7 +384,7 @@
         let server = self.servers.entry(address).or_default();
         while !fresh && let Some(idle) = server.idle.pop() {
             if idle.is_usable(now) {
-                // A requester that has gone drops, and so closes, the connection.
+                // If the requester has gone, the connection is dropped and thereby closed.
                 let _ = reply.send(Checkout::Reuse(idle.connection));
                 return;
             }
--- a/server/src/caller_listener.rs
+++ b/server/src/caller_listener.rs
@@ -1,4 +1,4 @@
-//! Takes callers' look-ups and requests.
+//! Handles callers' look-ups and requests.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -51,18 +51,18 @@
 const SERVICE_PREFIX: &str = "/svc/";
 
 /// Time for which a request waits for the first session of an entry VM that has just started.
-/// Others hear of the session when it does, and may name it in look-ups before its own word has
-/// come. Callers who are refused come back a second later.
+/// Other entry VMs learn of the session at the same time, and may name this one in look-ups
+/// before its own update arrives. Callers that are refused retry a second later.
 const FIRST_SESSION_WAIT: Duration = Duration::from_millis(500);
 
-/// Answers callers.
+/// Answers callers' look-ups and requests.
 #[derive(Clone, Debug)]
 pub struct CallerHandler {
     cx: Arc<EntryContext>,
 }
 
 impl CallerHandler {
-    /// Answers with what `cx` holds.
+    /// Creates a handler that answers from the state in `cx`.
     #[must_use]
     pub const fn new(cx: Arc<EntryContext>) -> Self {
         Self { cx }
@@ -82,7 +82,7 @@
         let mut response = match result {
             Ok(response) => response,
             Err(refused) => {
-                log::debug!(event = "refused", request_id = request_id.as_str(), outcome = refused.outcome(), reason = refused.reason(); "a caller's request got no answer");
+                log::debug!(event = "refused", request_id = request_id.as_str(), outcome = refused.outcome(), reason = refused.reason(); "refused a caller's request");
                 decision_note::refusal(&self.cx, &request_id, &method, service, &refused);
                 let entries = self.cx.state.other_entries(&self.cx.info);
                 refusal::to_caller(&refused, &request_id, entries)
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Makes a refusal true of the request's key as well, if it has one.
+    /// Makes the refusal of an unread request hold for its idempotency key as well, if it has
+    /// one: an earlier copy of the action may have run, or may still arrive.
     async fn refuse_unread(&self, keyed: Option<KeyedRequest>, not_run: NotRun) -> Refused {
         match keyed {
             Some(keyed) => {
@@ -189,8 +190,8 @@
         })
     }
 
-    /// Waits for control's word of a first session. One that was lost isn't waited for: others
-    /// have taken over what it stood for.
+    /// Waits for the first session to be opened. A lost session is not waited for: other entry
+    /// VMs have taken over its groups.
     async fn until_session(&self, arrived: Instant, headers: &HeaderMap) {
         let mut state = self.cx.state.clone();
         let opened = async {
@@ -201,7 +202,7 @@
         let patience = header::number(headers, &header::DEADLINE_MS).flatten();
         let patience = patience.map(Duration::from_millis);
         let until = start_wait::wait_until(arrived, FIRST_SESSION_WAIT, patience);
-        // Without one by then the request is refused.
+        // If no session is open by then, the request is refused.
         let _ = tokio::time::timeout_at(until.into(), opened).await;
     }
 
@@ -243,14 +244,15 @@
         Ok(to_response(&body, answer.cache))
     }
 
-    /// Returns the place of a caller; one in no block counts as near to this VM.
+    /// Returns the caller's failure domain; an address in no known block counts as being in the
+    /// failure domain of this VM.
     fn origin(&self, state: &EntryState, peer: IpAddr) -> PlaceName {
         let found = state.blocks.place_of(peer);
         found.unwrap_or(&self.cx.info.place).clone()
     }
 }
 
-/// Holds what is needed of a request with an idempotency key after it was refused.
+/// Holds the parts of a request with an idempotency key that are needed once it is refused.
 struct KeyedRequest {
     service: ServiceName,
     headers: HeaderMap,
@@ -275,7 +277,7 @@
     }
 }
 
-/// Returns the service that a path names, whether or not there is one.
+/// Returns the service that a path names; it need not exist.
 fn named_service(path: &str) -> Option<ServiceName> {
     let below = path
         .strip_prefix(LOOK_UP_PREFIX)
@@ -288,7 +290,7 @@
     Attempt::new().refuse(reason)
 }
 
-/// Returns a number that spreads callers evenly, the same in all processes.
+/// Returns a number that distributes callers evenly and is the same in all processes.
 fn caller_digest(peer: IpAddr) -> u64 {
     let hash = match peer {
         IpAddr::V4(address) => blake3::hash(&address.octets()),
@@ -297,11 +299,11 @@
     rendezvous::leading_number(&hash)
 }
 
-/// Parts the three endings into an answer and a refusal.
+/// Converts an outcome into a result.
 ///
 /// # Errors
 ///
-/// Returns "not run" and "unknown" as errors.
+/// Returns the outcomes "not run" and "unknown" as errors.
 pub fn into_result(
     outcome: Outcome<Response<AnswerBody>>,
 ) -> Result<Response<AnswerBody>, Refused> {
@@ -312,7 +314,7 @@
     }
 }
 
-/// Holds what a request asks for.
+/// Holds the operation that a request addresses.
 struct Target {
     service: ServiceName,
     operation: usize,
@@ -353,10 +355,10 @@
     }
 }
 
-/// Returns whether a path holds `.` or `..` as a segment, also percent-encoded.
+/// Returns whether a path has `.` or `..` as a segment, plain or percent-encoded.
 ///
-/// A backend server may resolve them, and would then run another operation than the
-/// one that was matched: an action could run under the name of an idempotent read.
+/// A backend server may resolve such segments and run another operation than the one that was
+/// matched: an action could run under the name of an idempotent read.
 fn has_dot_segment(path: &str) -> bool {
     path.split('/').any(|segment| {
         let decoded = segment.replace("%2e", ".").replace("%2E", ".");
@@ -364,7 +366,7 @@
     })
 }
 
-/// Returns the time to the deadline: the operation's, or a shorter one of the caller.
+/// Returns the time left to the deadline: that of the operation, or the caller's if shorter.
 fn deadline(headers: &HeaderMap, longest: Duration) -> Result<Duration, NotRun> {
     match header::number(headers, &header::DEADLINE_MS) {
         None => Ok(longest),
--- a/server/src/cold_querier.rs
+++ b/server/src/cold_querier.rs
@@ -1,7 +1,7 @@
-//! The task that asks backend servers whether they are cold while control is out of reach.
+//! Task that asks backend servers whether they are cold while control is unreachable.
 //!
-//! What is due, and what an answer means for the requests that follow, is decided by the
-//! dispatcher; this task carries the questions, as health checks.
+//! The dispatcher decides which queries are due and what a reply means for the following
+//! requests; this task sends the queries, as health checks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,43 +22,43 @@
 use crate::interface::EntryInterface;
 use crate::refusal_body;
 
-/// Time within which an answer must come to be of use: a word holds for 0.65 s, and the next
-/// question is asked after 0.25 s.
+/// Timeout of a reply: later ones are of no use, since a reply is valid for 0.65 s, and the next
+/// query is sent after 0.25 s.
 const ANSWER_WITHIN: Duration = Duration::from_millis(500);
 
-/// Time for which a connection may be idle between two questions.
+/// Longest idle time of a connection between two queries.
 const KEEP: Duration = Duration::from_secs(2);
 
-/// Tells why a question got no answer.
+/// Tells why a query got no reply.
 #[derive(Debug, Snafu)]
 enum QueryError {
     #[snafu(display("{source}"))]
     Unreachable { source: ConnectError },
-    #[snafu(display("the path of the health check isn't one: {source}"))]
+    #[snafu(display("invalid path of the health check: {source}"))]
     Path { source: http::Error },
-    #[snafu(display("the health check broke: {source}"))]
+    #[snafu(display("the health check failed: {source}"))]
     Exchange { source: hyper::Error },
-    #[snafu(display("the answer isn't that backend server's"))]
+    #[snafu(display("the reply is from another backend server"))]
     Foreign,
-    #[snafu(display("no answer in time"))]
+    #[snafu(display("timed out waiting for the reply"))]
     Late,
 }
 
-/// Holds what the task works with.
+/// Sends cold queries and passes the replies to the dispatcher.
 #[derive(Clone, Debug)]
 pub struct ColdQuerier {
-    /// The clock.
+    /// Determines when the next queries are due.
     pub clock: Arc<dyn Clock>,
-    /// Says what is due.
+    /// Returns the queries that are due, and receives the replies.
     pub dispatch: DispatchHandle,
-    /// Connects to backend servers.
+    /// Provides connections to backend servers.
     pub pool: BackendPool,
-    /// Reads their answers.
+    /// Parses the replies.
     pub interface: Arc<dyn EntryInterface>,
 }
 
 impl ColdQuerier {
-    /// Asks what is due, for as long as the process runs.
+    /// Sends the queries that are due until the process ends.
     pub async fn run(self) {
         while let Some((queries, next)) = self.dispatch.cold_queries().await {
             for query in queries {
@@ -75,13 +75,13 @@
         match answer {
             Ok(cold_for) => {
                 if !cold_for.is_zero() {
-                    log::info!(event = "backend_cold", backend = query.name.as_str(), cold_ms = whole_ms(cold_for); "a backend server says itself that it is cold; control is out of reach");
+                    log::info!(event = "backend_cold", backend = query.name.as_str(), cold_ms = whole_ms(cold_for); "a backend server reported that it is cold; control is unreachable");
                 }
                 let reply = ColdReply { query, cold_for };
                 self.dispatch.note_cold_reply(reply);
             }
             Err(error) => {
-                log::debug!(event = "backend_unasked", backend = query.name.as_str(), error:% = error; "a backend server didn't say whether it is cold");
+                log::debug!(event = "backend_unasked", backend = query.name.as_str(), error:% = error; "a backend server did not report whether it is cold");
             }
         }
     }
--- a/server/src/crash_watch.rs
+++ b/server/src/crash_watch.rs
@@ -1,7 +1,8 @@
-//! Finds out under which requests backend servers end, and tells control.
+//! Detects which requests were in flight when a backend server crashed, and reports them to
+//! control.
 //!
-//! The decisions are those of [`CrashEvidence`]. A request that breaks is followed by one new
-//! connection to its backend server: that it is refused is proof within a round trip.
+//! [`CrashEvidence`] makes the decisions. After a request breaks off, one new connection to its
+//! backend server is attempted: a refused connection proves within a round trip that it ended.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -47,36 +48,38 @@
 use crate::proto::NoteSuspectsRequest;
 use crate::proto::fleet_client::FleetClient;
 
-/// Time for which a connection is waited for: a way to another region and back, and a busy
-/// moment.
+/// Timeout of the connection attempt after a broken request: a round trip to another region,
+/// with room for a moment of high load.
 const CONNECT_WITHIN: Duration = Duration::from_millis(400);
 
-/// When the caller of a quarantined request is told to come back. Nothing changes sooner than
-/// minutes; a refusal for good would be wrong where the request is innocent after all.
+/// Retry delay returned to the caller of a quarantined request. Nothing changes within less
+/// than minutes; a permanent refusal would be wrong, since the request may be innocent.
 const QUARANTINE_RETRY: Duration = Duration::from_secs(30);
 
-/// Notes that wait for control at most.
+/// Largest number of notes that may wait to be sent to control.
 const MOST_NOTES: usize = 1_024;
 
-/// Notes that are told together at most.
+/// Largest number of notes sent to control in one call.
 const MOST_TOGETHER: usize = 128;
 
-/// Time for which notes are gathered: what stood on one backend server breaks together.
+/// Time for which notes are collected into one batch: the requests in flight on one backend
+/// server break off together.
 const GATHER_FOR: Duration = Duration::from_millis(50);
 
-/// Time for which the answer of a replica is awaited; it may have to ask the leader.
+/// Timeout of a replica's answer; the replica may have to ask the leader.
 const ANSWER_WITHIN: Duration = Duration::from_secs(2);
 
-/// Pause before notes are told again that weren't confirmed.
+/// Pause before unconfirmed notes are sent again.
 const AGAIN_PAUSE: Duration = Duration::from_millis(100);
 
-/// Tries to tell notes; together with the time of an answer longer than an election.
+/// Largest number of attempts to send a batch; with [`ANSWER_WITHIN`] they last longer than an
+/// election.
 const MOST_TRIES: usize = 20;
 
-/// Fingerprints that a log line names at most.
+/// Largest number of fingerprints in one log line.
 const MOST_NAMED: usize = 8;
 
-/// Reaches what an entry VM knows of requests that may end backend servers.
+/// Tracks the evidence of an entry VM on requests that may crash backend servers.
 #[derive(Clone, Debug)]
 pub struct CrashWatch {
     inner: Arc<Inner>,
@@ -87,7 +90,7 @@
     clock: Arc<dyn Clock>,
     pool: BackendPool,
     state: Mutex<State>,
-    /// Nothing where there is nobody to tell.
+    /// `None` on an entry VM that owns its backend servers and reports to nobody.
     notes: Option<mpsc::Sender<SuspectNote>>,
 }
 
@@ -96,7 +99,7 @@
     key: FingerprintKey,
     lives: Arc<dyn BackendIncarnations>,
     evidence: CrashEvidence,
-    /// Backend servers that are being connected to.
+    /// Backend servers to which a connection attempt is under way.
     asked: BTreeSet<BackendIncarnation>,
 }
 
@@ -111,7 +114,7 @@
     }
 }
 
-/// Backend servers whose lives are known by what is seen of them alone.
+/// Incarnations of owned backend servers, known only from the requests sent to them.
 #[derive(Debug)]
 struct OwnedLives;
 
@@ -125,14 +128,14 @@
     }
 }
 
-/// Names a backend server and how it is reached.
+/// Identifies a backend server and how to reach it.
 #[derive(Clone, Debug)]
 pub struct BackendAt {
-    /// The backend server.
+    /// The backend server's incarnation.
     pub life: BackendIncarnation,
     /// Its address.
     pub address: SocketAddr,
-    /// The bound on connections to it.
+    /// The limit on open connections to it.
     pub max_connections: u32,
 }
 
@@ -150,7 +153,7 @@
 }
 
 impl CrashWatch {
-    /// Creates the watch, and the task's part that tells control.
+    /// Creates the tracker, and the reporter that sends its notes to control.
     #[must_use]
     pub fn new(vm: VmName, clock: Arc<dyn Clock>, pool: BackendPool) -> (Self, SuspectReporter) {
         let (notes, rx) = mpsc::channel(MOST_NOTES);
@@ -159,8 +162,8 @@
         (watch, SuspectReporter { vm, rx })
     }
 
-    /// Creates the watch of an entry VM that owns its backend servers: it alone sends to them,
-    /// so that what it sees is all there is.
+    /// Creates the tracker of an entry VM that owns its backend servers. No other entry VM sends
+    /// to them, so that there are no other observations to combine with.
     #[must_use]
     pub fn of_owner(clock: Arc<dyn Clock>, pool: BackendPool) -> Self {
         let key = FingerprintKey::of_cluster(ClusterId(rand::random()));
@@ -184,24 +187,24 @@
         }
     }
 
-    /// Takes the key that all entry VMs of the cluster use.
+    /// Sets the fingerprint key, which all entry VMs of the cluster share.
     pub fn set_key(&self, key: FingerprintKey) {
         self.state().key = key;
     }
 
-    /// Takes control's verdicts in.
+    /// Applies control's verdicts; they replace the previous ones.
     pub fn apply_verdicts(&self, verdicts: BTreeMap<Fingerprint, Verdict>) {
-        log::info!(event = "verdicts_applied", count = verdicts.len(); "control says which requests are suspected");
+        log::info!(event = "verdicts_applied", count = verdicts.len(); "applied control's verdicts on suspected requests");
         self.state().evidence.apply_verdicts(verdicts);
     }
 
-    /// Follows a view of the fleet, by which backend servers may have ended.
+    /// Applies a view of the fleet, which may show that backend servers have ended.
     pub fn apply_view(&self, view: &Arc<FleetView>) {
         self.state().lives = Arc::clone(view) as Arc<_>;
         self.learn(|evidence, now, lives| evidence.apply_incarnations(now, lives));
     }
 
-    /// Names a request that comes from `caller`.
+    /// Computes the fingerprints of a request from `caller`.
     #[must_use]
     pub fn tag(&self, content: &RequestContent<'_>, caller: IpAddr) -> RequestTag {
         let key = self.state().key;
@@ -211,17 +214,17 @@
         }
     }
 
-    /// Returns how a request is to be treated.
+    /// Returns how the request must be treated; `None` if it is not suspected.
     #[must_use]
     pub fn treatment(&self, tag: &RequestTag) -> Option<Treatment> {
         self.state().evidence.treatment(tag)
     }
 
-    /// Lets a request go on, unless it is in quarantine.
+    /// Admits a request unless it is quarantined.
     ///
     /// # Errors
     ///
-    /// Returns the proof that it isn't run.
+    /// Returns the proof that the request has not run.
     pub fn admit(
         &self,
         tag: &RequestTag,
@@ -237,7 +240,7 @@
         Err(not_run.with_retry_after(QUARANTINE_RETRY))
     }
 
-    /// Follows a request that is being handed to a backend server.
+    /// Starts to track a request that is being sent to a backend server.
     #[must_use]
     pub fn follow(&self, backend: BackendAt, tag: RequestTag) -> FollowedRequest {
         let watched = self.treatment(&tag).is_some();
@@ -248,7 +251,8 @@
         }
     }
 
-    /// Returns the present life of a backend server that doesn't tell its lives apart itself.
+    /// Returns the current incarnation of a backend server that does not identify its incarnations
+    /// itself.
     #[must_use]
     pub fn incarnation_of(&self, backend: &BackendName) -> BackendIncarnation {
         self.state().evidence.incarnation_of(backend)
@@ -263,7 +267,8 @@
         self.learn(|evidence, now, lives| evidence.note_unanswered(now, lives, life, stood));
     }
 
-    /// Tells of the backend servers that are found to have ended by what `note` notes.
+    /// Records an observation with `note`, and reports the backend servers that it shows to have
+    /// ended.
     fn learn<E: IntoIterator<Item = Ended>>(
         &self,
         note: impl FnOnce(&mut CrashEvidence, Instant, &dyn BackendIncarnations) -> E,
@@ -280,7 +285,7 @@
         }
     }
 
-    /// Connects to a backend server to see whether it has ended.
+    /// Connects to a backend server to find out whether it has ended.
     fn ask(&self, backend: &BackendAt) {
         if !self.state().asked.insert(backend.life.clone()) {
             return;
@@ -304,7 +309,7 @@
                 Err(error) if error.is_refused() => {
                     watch.learn(|evidence, now, lives| evidence.note_ended(now, lives, &life));
                 }
-                // The view tells it, if it has ended.
+                // If the backend server has ended, a later view of the fleet shows it.
                 Err(_) => {}
             }
         });
@@ -314,7 +319,7 @@
         let named = ended.requests.iter().take(MOST_NAMED);
         let named: Vec<String> = named.map(|stood| stood.tag.content.to_string()).collect();
         let named = named.join(", ");
-        log::warn!(event = "backend_ended", backend = ended.life.backend.as_str(), standing = ended.requests.len(), fingerprints = named.as_str(); "a backend server ended with requests on it");
+        log::warn!(event = "backend_ended", backend = ended.life.backend.as_str(), standing = ended.requests.len(), fingerprints = named.as_str(); "a backend server ended with requests in flight");
         metric::backend_ended(ended.requests.len());
         self.tell(Some(SuspectNote::Ended(ended)));
     }
@@ -325,13 +330,13 @@
         };
         let notes = self.inner.notes.as_ref();
         if notes.is_some_and(|notes| notes.try_send(note).is_err()) {
-            log::warn!(event = "suspect_note_lost"; "too much waits to be told to control");
+            log::warn!(event = "suspect_note_lost"; "too many notes on suspected requests wait for control; dropped one");
         }
     }
 }
 
-/// Follows one request at one backend server. Dropped without a word, it got no answer: its
-/// caller left, or its time was over.
+/// Tracks one request at one backend server. If dropped without an outcome, the request counts
+/// as unanswered: its caller disconnected, or its deadline passed.
 #[derive(Debug)]
 pub struct FollowedRequest {
     watch: Option<CrashWatch>,
@@ -340,12 +345,13 @@
 }
 
 impl FollowedRequest {
-    /// Notes that the backend server didn't get it, or said that it didn't run it.
+    /// Records that the backend server did not receive the request, or reported that it did not
+    /// run it.
     pub fn not_run(mut self) {
         self.watch = None;
     }
 
-    /// Notes that it was answered whole.
+    /// Records that the request was answered completely.
     pub fn answered(mut self) {
         if let Some(watch) = self.watch.take() {
             let now = watch.inner.clock.now();
@@ -354,7 +360,7 @@
         }
     }
 
-    /// Notes that its connection broke.
+    /// Records that the connection broke.
     pub fn broken(mut self) {
         if let Some(watch) = self.watch.take() {
             watch.note_unanswered(&self.backend.life, self.stood);
@@ -371,7 +377,7 @@
     }
 }
 
-/// Tells control what was noted.
+/// Sends the collected notes to control.
 #[derive(Debug)]
 pub struct SuspectReporter {
     vm: VmName,
@@ -379,7 +385,7 @@
 }
 
 impl SuspectReporter {
-    /// Tells the replica that is followed, until the process ends.
+    /// Sends notes to the followed control replica until the process ends.
     pub async fn run(mut self, mut replica: watch::Receiver<Option<FleetClient<Channel>>>) {
         while let Some(first) = self.rx.recv().await {
             tokio::time::sleep(GATHER_FOR).await;
@@ -388,7 +394,7 @@
         }
     }
 
-    /// Tells notes until they are confirmed. Told twice they count once.
+    /// Sends a batch until it is confirmed. Notes that arrive twice count once.
     async fn tell(
         &self,
         replica: &mut watch::Receiver<Option<FleetClient<Channel>>>,
@@ -397,7 +403,7 @@
         let notes_encoded = match postcard::to_stdvec(notes) {
             Ok(encoded) => encoded,
             Err(error) => {
-                log::error!(event = "suspect_notes_unencodable", error:% = error; "control can't learn of ended backend servers");
+                log::error!(event = "suspect_notes_unencodable", error:% = error; "cannot encode the notes on ended backend servers for control");
                 return;
             }
         };
@@ -422,6 +428,6 @@
             }
             tokio::time::sleep(AGAIN_PAUSE).await;
         }
-        log::warn!(event = "suspect_notes_lost", count = notes.len(); "no replica confirmed what was noted of ended backend servers");
+        log::warn!(event = "suspect_notes_lost", count = notes.len(); "no control replica confirmed the notes on ended backend servers; dropped them");
     }
 }
--- a/server/src/demo.rs
+++ b/server/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: control, two entry VMs and four backend servers in one process.
+//! Demo: control, two entry VMs and four backend servers in one process.
 
 use std::io;
 use std::net::IpAddr;
@@ -49,7 +49,7 @@
 const REGION: &str = "demo";
 const PLACES: [&str; 2] = ["demo-a", "demo-b"];
 
-/// The one address of the demo; ports tell its processes apart.
+/// The address that all processes of the demo share; they differ by port.
 const HOST: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 const CONTROL_PORT: u16 = 7_400;
 const FIRST_ENTRY_PORT: u16 = 7_410;
@@ -62,66 +62,66 @@
 const SLOTS: u32 = 3;
 const MAX_CONNECTIONS: u32 = 64;
 
-/// Time for which control may take until it has accepted the manifest.
+/// Timeout for control to accept the manifest.
 const SUBMIT_BOUND: Duration = Duration::from_secs(20);
 
-/// Tells why the demo can't start or go on.
+/// Tells why the demo cannot start or continue.
 #[derive(Debug, Snafu)]
 pub enum DemoError {
-    /// There is no folder for the demo's state.
-    #[snafu(display("can't make a folder for the demo: {source}"))]
+    /// The folder for the demo's state cannot be created.
+    #[snafu(display("cannot create a folder for the demo: {source}"))]
     Folder {
-        /// What the operating system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A port is taken.
-    #[snafu(display("can't listen on {address}: {source}"))]
+    /// An address cannot be bound, usually because the port is in use.
+    #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The control replica's folder can't be formatted.
+    /// The control replica's folder cannot be formatted.
     #[snafu(display("{source}"))]
     Format {
-        /// Why.
+        /// Why it cannot be formatted.
         source: FormatError,
     },
     /// The control replica failed.
     #[snafu(display("{source}"))]
     Control {
-        /// Why.
+        /// Why it failed.
         source: ControlError,
     },
     /// An entry VM failed.
     #[snafu(display("{source}"))]
     Entry {
-        /// Why.
+        /// Why it failed.
         source: EntryError,
     },
-    /// The manifest can't be submitted.
+    /// The manifest cannot be submitted.
     #[snafu(display("{source}"))]
     Submit {
-        /// Why.
+        /// Why it cannot be submitted.
         source: OperatorClientError,
     },
-    /// The manifest wasn't accepted.
+    /// Control refused the manifest.
     #[snafu(display("the demo's manifest was refused: {}", problems.join("; ")))]
     Refused {
-        /// What is wrong with it.
+        /// The problems that control found.
         problems: Vec<String>,
     },
-    /// A part of the demo panicked.
-    #[snafu(display("a part of the demo was aborted: {source}"))]
+    /// A task of the demo panicked.
+    #[snafu(display("a task of the demo was aborted: {source}"))]
     Task {
-        /// How.
+        /// How the task ended.
         source: tokio::task::JoinError,
     },
 }
 
 impl DemoError {
-    /// Returns whether the user can mend it: a port is taken.
+    /// Returns whether the user can resolve it, such as a port in use.
     #[must_use]
     pub const fn is_user_error(&self) -> bool {
         match self {
@@ -133,12 +133,12 @@
     }
 }
 
-/// Runs the demo until `shutdown` asks it to stop. `ready` gets the lines to print once
-/// requests are served.
+/// Runs the demo until `shutdown` requests a stop. Once requests are served, `ready` is called
+/// with the instructions to print.
 ///
 /// # Errors
 ///
-/// Fails if a port is taken or a part of the demo can't start.
+/// Fails if a port is in use or a part of the demo cannot start.
 pub async fn run_demo(
     clock: Arc<dyn Clock>,
     mut shutdown: Shutdown,
@@ -227,7 +227,7 @@
     }
 }
 
-/// Holds a backend server of the demo before it starts.
+/// Holds a backend server of the demo before it is started.
 struct Backend {
     listener: TcpListener,
     announcement: Announcement,
--- a/server/src/demo_backend_server.rs
+++ b/server/src/demo_backend_server.rs
@@ -1,5 +1,4 @@
-//! A small backend server for the demo: announces itself and answers with what it was
-//! asked.
+//! Small backend server for the demo: announces itself and echoes requests.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -29,10 +28,10 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-/// Time that a request takes here.
+/// Simulated time to handle a request.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// Bytes of a body that are echoed.
+/// Largest number of body bytes echoed.
 const MAX_ECHO: usize = 4_096;
 
 #[derive(Serialize)]
@@ -43,8 +42,8 @@
     body: &'a str,
 }
 
-/// Serves `listener` and announces itself to `entries` until `stop` is cancelled; it
-/// then says that it leaves, and finishes what it has.
+/// Serves `listener` and announces itself to `entries` until `stop` is cancelled; it then
+/// announces that it is leaving, and finishes the requests in progress.
 pub async fn run(
     listener: TcpListener,
     announcement: Announcement,
@@ -122,7 +121,7 @@
     announce(&announcement, &entries).await;
 }
 
-/// Announces to the first entry VM that takes it; it passes the announcement on.
+/// Sends the announcement to the first entry VM that accepts it, which forwards it to the owner.
 async fn announce(announcement: &Announcement, entries: &[SocketAddr]) {
     let Ok(content) = serde_json::to_vec(announcement) else {
         return;
--- a/server/src/dispatch_task.rs
+++ b/server/src/dispatch_task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the dispatcher of an entry VM.
+//! Task that owns the [`Dispatcher`] of an entry VM.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -31,30 +31,30 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-/// Asks for a backend server.
+/// Asks the dispatcher to choose a backend server. Owned counterpart of [`DispatchRequest`].
 #[derive(Clone, Debug)]
 pub struct OwnedDispatchRequest {
-    /// The service.
+    /// The service that the caller addressed.
     pub service: ServiceName,
-    /// The name of the route that the request came by.
+    /// The name of the route that the request matched.
     pub route_name: RouteName,
-    /// The route.
+    /// The route's settings.
     pub route: Arc<Route>,
     /// The object that the request concerns.
     pub object: Option<ObjectHash>,
-    /// Which requests it comes after.
+    /// The request's rank in queueing and shedding.
     pub rank: RequestRank,
-    /// Regions that the request must stay in; empty allows all.
+    /// Regions that the request must stay in; empty allows all regions.
     pub homes: Vec<RegionName>,
-    /// When the answer must be there.
+    /// Time by which the answer must be complete.
     pub deadline: Instant,
-    /// When the answer should be there.
+    /// Time by which the answer should be complete, by the route's latency objective.
     pub objective: Instant,
-    /// When this entry VM, which stops, passes on its last answers.
+    /// When a stopping entry VM forwards its last answers; `None` while it does not stop.
     pub answers_until: Option<Instant>,
-    /// Backend servers that the request was sent to before.
+    /// Backend servers that earlier attempts of the request were sent to.
     pub tried: Vec<BackendKey>,
-    /// Whether one of them received it.
+    /// Whether one of them received the request.
     pub resend: bool,
 }
 
@@ -83,14 +83,14 @@
     ColdReply(ColdReply),
 }
 
-/// Reaches the task.
+/// Sends messages to the dispatch task.
 #[derive(Clone, Debug)]
 pub struct DispatchHandle {
     tx: mpsc::UnboundedSender<Message>,
 }
 
 impl DispatchHandle {
-    /// Starts the task.
+    /// Spawns the task, which ends when all handles are dropped.
     #[must_use]
     pub fn spawn(cfg: DispatchConfig, clock: Arc<dyn Clock>) -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -99,19 +99,19 @@
         Self { tx }
     }
 
-    /// Picks a backend server. The request counts as in flight there until the returned
-    /// guard says how it ended, or is dropped.
+    /// Chooses a backend server. The request counts as in flight there until the returned guard
+    /// is told its outcome or is dropped.
     ///
     /// # Errors
     ///
-    /// Tells why none was picked.
+    /// Returns the reason if no backend server was chosen.
     pub async fn choose(
         &self,
         request: OwnedDispatchRequest,
     ) -> Result<(Choice, SendGuard), Refused> {
         let (reply, answer) = oneshot::channel();
         let object = request.object;
-        // Sends fail only when the task has ended with its process.
+        // A send fails only when the task has ended together with its process.
         let _ = self.tx.send(Message::Choose { request, reply });
         let choice = answer.await.unwrap_or(Err(Refused {
             reason: RefusedReason::NoBackend,
@@ -132,12 +132,12 @@
         Ok((choice, guard))
     }
 
-    /// Notes how long a connection took to be established.
+    /// Records how long it took to establish a connection.
     pub fn note_connected(&self, backend: BackendKey, took: Duration) {
         let _ = self.tx.send(Message::Connected { backend, took });
     }
 
-    /// Notes how long an answer that was passed on as it came took from its head to its end.
+    /// Records the time from head to end of an answer that was forwarded while it arrived.
     pub fn note_streamed(&self, backend: BackendKey, latency_key: RouteLatencyKey, took: Duration) {
         let _ = self.tx.send(Message::Streamed {
             backend,
@@ -146,38 +146,38 @@
         });
     }
 
-    /// Follows a view of the fleet.
+    /// Applies a new view of the fleet.
     pub fn apply_view(&self, view: Arc<FleetView>) {
         let _ = self.tx.send(Message::View(view));
     }
 
-    /// Notes that control is in reach and that all it knows has been applied.
+    /// Records that control is reachable and that all its changes have been applied.
     pub fn note_control_contact(&self) {
         let _ = self.tx.send(Message::Control);
     }
 
-    /// Returns which backend servers must be asked now whether they are cold, and when to
-    /// ask next; nothing once the task has ended.
+    /// Returns the backend servers to ask now whether they are cold, and when to ask next;
+    /// `None` once the task has ended.
     pub async fn cold_queries(&self) -> Option<(Vec<ColdQuery>, Instant)> {
         let (reply, answer) = oneshot::channel();
         let _ = self.tx.send(Message::ColdQueries { reply });
         answer.await.ok()
     }
 
-    /// Notes what a backend server answered.
+    /// Applies a backend server's reply to a cold query.
     pub fn note_cold_reply(&self, reply: ColdReply) {
         let _ = self.tx.send(Message::ColdReply(reply));
     }
 
-    /// Notes which backend servers control hasn't heard of lately.
+    /// Applies the set of backend servers that control has received no recent heartbeat from.
     pub fn apply_silent(&self, silent: BTreeSet<BackendName>) {
         let _ = self.tx.send(Message::Silent(silent));
     }
 }
 
-/// Tells the dispatcher how a request ended; that it was abandoned, if nobody says. A
-/// caller that leaves drops the whole handling of its request, and would otherwise leave
-/// the request in flight for ever.
+/// Reports the outcome of a request to the dispatcher; `Abandoned` if dropped without one. A
+/// caller that disconnects drops the whole handling of its request, and without this guard
+/// the request would count as in flight for ever.
 #[derive(Debug)]
 pub struct SendGuard {
     tx: mpsc::UnboundedSender<Message>,
@@ -185,7 +185,7 @@
 }
 
 impl SendGuard {
-    /// Says how the request ended.
+    /// Reports how the request ended.
     pub fn ended(mut self, outcome: SendOutcome, load: Option<LoadReport>) {
         self.end.outcome = outcome;
         self.end.load = load;
@@ -223,7 +223,7 @@
             Message::Silent(silent) => dispatcher.apply_silent(silent),
             Message::Control => dispatcher.note_control_contact(now),
             Message::ColdQueries { reply } => {
-                // An asker that has gone ends with the process.
+                // A requester that has gone is stopping together with the process.
                 let _ = reply.send(dispatcher.cold_queries(now));
             }
             Message::ColdReply(reply) => dispatcher.note_cold_reply(now, &reply),
@@ -247,7 +247,7 @@
     }
 }
 
-/// Ends a choice whose asker has gone away.
+/// Returns the outcome of a choice whose requester has gone.
 const fn unused(choice: &Choice) -> SendEnd {
     SendEnd {
         backend: choice.backend,
--- a/server/src/dispatcher.rs
+++ b/server/src/dispatcher.rs
@@ -1,7 +1,7 @@
 //! Sends one admitted request to one backend server.
 //!
-//! The line between "not run" and "may have run" is crossed in one place, right before
-//! the request is handed to the connection.
+//! The state changes from "not run" to "may have run" in one place, right before the request
+//! is handed to the connection.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -31,53 +31,53 @@
 use crate::header;
 use crate::refusal_body;
 
-/// Holds a request as it is sent on: its body is whole, so that a slow caller never
-/// holds a slot while it uploads, and so that an idempotent request can be sent again.
+/// Holds a request as it is forwarded. Its body is complete, so that a slow caller does not
+/// occupy a slot while it uploads, and so that an idempotent request can be sent again.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
-    /// The method.
+    /// The caller's method.
     pub method: Method,
     /// Path and query as the backend server sees them, starting with a slash.
     pub path: String,
-    /// The caller's headers, without hop-by-hop ones and heatherring's own.
+    /// The caller's headers, without hop-by-hop headers and those of heatherring itself.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Identifies the request through all hops.
+    /// Identifies the request on all hops.
     pub request_id: String,
-    /// When an answer stops being of use.
+    /// Time after which an answer is of no use to the caller.
     pub deadline: Instant,
 }
 
-/// Names the backend server to send to.
+/// Identifies the backend server to send to.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendTarget {
     /// Its address.
     pub address: SocketAddr,
-    /// The bound on connections to it.
+    /// The limit on open connections to it.
     pub max_connections: u32,
 }
 
-/// Holds the head of a backend server's answer, the body to come and its connection.
+/// Holds the head of a backend server's answer, its unread body and its connection.
 #[derive(Debug)]
 pub struct BackendAnswer {
-    /// Head and body.
+    /// The head, and the body that is still to be read.
     pub response: Response<Incoming>,
-    /// What the body comes from; to be given back once the body is whole.
+    /// The connection that carries the body; to be returned to the pool once the body is read.
     pub connection: BackendConnection,
 }
 
-/// Permits a dispatch; asked right before the first byte is sent.
+/// Decides whether a request may be dispatched; checked right before the first byte is sent.
 ///
-/// A process that was frozen between admission and dispatch wakes up with a lease that
-/// is over, and another entry VM may own the backend server by then. The check on
-/// arrival can't see that; this one does.
+/// A process that was frozen between admission and dispatch resumes with an expired lease,
+/// when another entry VM may already own the backend server. The check on arrival cannot
+/// detect this; this one does.
 pub trait DispatchGate: Send + Sync {
-    /// Returns why nothing may be dispatched now, if so.
+    /// Returns the reason if nothing may be dispatched now.
     fn closed(&self) -> Option<NotRunReason>;
 }
 
-/// Sends `req` to the backend server and waits for the head of the answer.
+/// Sends `req` to the backend server and waits for the head of its answer.
 pub async fn dispatch(
     pool: &BackendPool,
     target: BackendTarget,
@@ -92,7 +92,7 @@
         let mut connection = match tokio::time::timeout_at(deadline, connecting).await {
             Ok(Ok(connection)) => connection,
             Ok(Err(error)) => {
-                log::debug!(event = "backend_unreachable", request_id = req.request_id.as_str(), address = target.address.to_string().as_str(), error = error.to_string().as_str(); "no connection to the backend server");
+                log::debug!(event = "backend_unreachable", request_id = req.request_id.as_str(), address = target.address.to_string().as_str(), error = error.to_string().as_str(); "cannot connect to the backend server");
                 return attempt.refuse(NotRunReason::BackendUnreachable).into();
             }
             Err(_) => return attempt.refuse(NotRunReason::DeadlineTooShort).into(),
@@ -109,7 +109,7 @@
         match tokio::time::timeout_at(deadline, answering).await {
             Ok(Ok(response)) => return read_head(pool, sent, response, connection).await,
             Ok(Err(mut error)) => match error.take_message() {
-                // The server closed an idle connection before it took the request.
+                // The server closed an idle connection before the request was written.
                 Some(unwritten) if reused => attempt = sent.returned_unsent(&unwritten),
                 Some(unwritten) => {
                     let unsent = sent.returned_unsent(&unwritten);
@@ -166,9 +166,9 @@
     })
 }
 
-/// Returns whether the end of the body is marked. A body that ends when the connection
-/// closes looks whole when the backend server dies in the middle of it, so that such
-/// an answer is never passed on.
+/// Returns whether the end of the body is marked. A body delimited by the close of the
+/// connection looks complete when the backend server crashes in the middle of it, so such
+/// an answer is never forwarded.
 fn is_framed(response: &Response<Incoming>) -> bool {
     let body = response.body();
     body.is_end_stream()
--- a/server/src/entry_context.rs
+++ b/server/src/entry_context.rs
@@ -1,4 +1,4 @@
-//! What the request tasks of an entry VM share: handles, settings and the clock.
+//! Context shared by the request tasks of an entry VM: handles, settings and the clock.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -20,36 +20,36 @@
 use crate::metrics::Metrics;
 use crate::peer_client::PeerClients;
 
-/// Holds what every request task needs. It has no state of its own beyond counters.
+/// Holds what every request task needs. Apart from counters it has no state of its own.
 #[derive(Debug)]
 pub struct EntryContext {
-    /// Where this entry VM is.
+    /// Name, failure domain, region and addresses of this entry VM.
     pub info: EntryInfo,
-    /// Bounds on what one peer may cost.
+    /// Limits on the resources that one peer may use.
     pub limits: EntryLimits,
-    /// Tells the time.
+    /// Provides the monotonic time.
     pub clock: Arc<dyn Clock>,
-    /// The session with control.
+    /// Reads the state of the session with control.
     pub state: EntryStateReader,
-    /// Records of actions.
+    /// Reaches the task that records actions.
     pub actions: ActionHandle,
-    /// The decisions.
+    /// Reaches the task that makes the admission and steering decisions.
     pub admission: AdmissionHandle,
     /// Connections to backend servers.
     pub pool: BackendPool,
-    /// Knows which requests end backend servers that this entry VM owns.
+    /// Tracks requests that crash backend servers owned by this entry VM.
     pub crashes: CrashWatch,
-    /// Connections to other entry VMs, for requests.
+    /// Connections to other entry VMs, for forwarded requests.
     pub forward: ForwardClients,
-    /// Shares of the links to other regions.
+    /// Budgets of this entry VM on the links to other regions.
     pub links: LinkHandle,
     /// Channels to other entry VMs, for messages.
     pub peers: PeerClients,
-    /// Recent decisions, for operators who ask why.
+    /// Recent decisions, for operators who ask for an explanation.
     pub decisions: DecisionHandle,
-    /// Metrics.
+    /// Sends metrics to the configured receiver, if there is one.
     pub metrics: Metrics,
-    /// Names the requests that arrive here.
+    /// Generates identifiers for requests that arrive here.
     pub request_ids: RequestIds,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Draws identifiers of requests, unique over all processes.
+/// Generates request identifiers that are unique across all processes.
 #[derive(Debug)]
 pub struct RequestIds {
     process: u64,
@@ -69,7 +69,7 @@
 }
 
 impl RequestIds {
-    /// Starts with the random identifier of this process.
+    /// Creates a generator; `process` is the random identifier of this process.
     #[must_use]
     pub const fn new(process: u64) -> Self {
         Self {
--- a/server/src/entry_directory.rs
+++ b/server/src/entry_directory.rs
@@ -1,7 +1,7 @@
-//! Answers callers' look-ups at an entry VM, from what control said last.
+//! Answers callers' look-ups at an entry VM, from the latest state received from control.
 //!
-//! Control may be out of reach for a while, and callers that can't look up go on using entry
-//! VMs that have ended. An entry VM that answers at least knows that it lives itself.
+//! Control may be unreachable for a while, and callers that cannot look up keep using entry VMs
+//! that have ended. An entry VM that answers at least knows that it is itself running.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,18 +16,18 @@
 use crate::interface::LookUp;
 use crate::interface::LookUpSource;
 
-/// Knows the entry VMs that control named last, and this one.
+/// Finds entry VMs among this one and those in the latest view of the fleet.
 #[derive(Clone, Debug)]
 pub struct EntryDirectory {
     /// This entry VM.
     pub vm: VmName,
-    /// Whether it takes requests.
+    /// Whether this entry VM accepts requests.
     pub ready: watch::Receiver<bool>,
     /// The view of the fleet.
     pub view: watch::Receiver<Arc<FleetView>>,
-    /// The entry VMs of the view that take no requests, as control said last.
+    /// The entry VMs of the view that do not accept requests, as last reported by control.
     pub out_of_service: watch::Receiver<Arc<BTreeSet<VmName>>>,
-    /// How long answers may be kept.
+    /// Time for which callers may cache an answer.
     pub keep: Duration,
 }
 
--- a/server/src/entry_metrics.rs
+++ b/server/src/entry_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of an entry VM. docs/metrics.md lists them with units and meaning.
+//! Metrics of an entry VM. docs/metrics.md lists them with their units and meaning.
 
 use std::sync::Arc;
 use std::sync::Weak;
@@ -13,15 +13,15 @@
 use crate::entry_status::EntryStatus;
 use crate::refusal::Refused;
 
-/// Time between two rounds of gauges.
+/// Interval at which gauges are sent.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tells look-ups and requests to services apart.
+/// Distinguishes look-ups from requests to services.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Asked {
-    /// Which entry VM to use.
+    /// A look-up of the entry VM to use.
     LookUp,
-    /// Something of a service.
+    /// A request to a service.
     Request,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Counts what a caller was told, and times it.
+/// Counts and times the answer to a caller.
 pub fn asked(metrics: &StatsdClient, asked: Asked, refused: Option<&Refused>, elapsed: Duration) {
     let name = asked.name();
     let Some(refused) = refused else {
@@ -48,18 +48,18 @@
     time(metrics, &format!("{name}.refusal_time"), elapsed);
 }
 
-/// Counts a decision that `explain` won't know of.
+/// Counts a decision that was dropped and will be missing from `explain`.
 pub fn decision_dropped(metrics: &StatsdClient) {
     count(metrics, "decisions.dropped");
 }
 
-/// Sends gauges until the entry VM's process ends.
+/// Spawns a task that sends gauges until the entry VM's process ends.
 pub fn spawn_gauges(cx: &Arc<EntryContext>) {
     let cx = Arc::downgrade(cx);
     tokio::spawn(send_gauges(cx));
 }
 
-/// Holds no share of the context while it sleeps, so that it keeps nothing alive.
+/// Holds only a weak reference to the context between rounds, so as not to keep it alive.
 async fn send_gauges(cx: Weak<EntryContext>) {
     loop {
         tokio::time::sleep(GAUGE_INTERVAL).await;
@@ -71,7 +71,7 @@
     }
 }
 
-/// Sends the gauges of a status.
+/// Sends the gauges derived from a status.
 pub fn gauges(metrics: &StatsdClient, status: &EntryStatus) {
     let held_back = status
         .drains
@@ -107,13 +107,13 @@
     }
 }
 
-/// Makes a name one segment of a metric's name, whose segments full stops part.
+/// Escapes a name as one segment of a metric's name, in which full stops separate segments.
 fn segment(name: &str) -> String {
     name.replace('.', "_")
 }
 
-// A metric that can't be sent is dropped: nothing that serves callers may wait or fail
-// for it.
+// A metric that cannot be sent is dropped: requests of callers must not wait or fail because of
+// metrics.
 
 fn count(metrics: &StatsdClient, name: &str) {
     let _ = metrics.count(name, 1);
--- a/server/src/entry_process.rs
+++ b/server/src/entry_process.rs
@@ -1,4 +1,4 @@
-//! The process of an entry VM: starts and stops its tasks.
+//! Process of an entry VM: starts and stops its tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,53 +39,53 @@
 use crate::shutdown::Shutdown;
 use crate::sync_target::SyncTargets;
 
-/// Time for which a planned stop waits until every entry VM knows that this one leaves.
-/// Control may be silent for longer; then callers are better served by ending.
+/// Time for which a planned stop waits until every entry VM knows that this one is leaving.
+/// Control may be unreachable for longer; stopping then serves callers better than waiting.
 const LEAVE_BOUND: Duration = Duration::from_secs(10);
 
-/// Time beyond that for which look-ups may be kept until no more requests are taken. A caller
-/// that goes by a look-up at the last moment has yet to connect and to send, three ways of 55 ms
-/// between the farthest regions, and may be busy itself. Its request would meet a connection
-/// that closes, and be lost.
+/// Time added to the cache time of look-ups before requests are no longer accepted. A caller that
+/// uses a look-up at the last moment has yet to connect and to send, which takes three one-way
+/// delays of 55 ms between the farthest regions, and may be under load itself. Without this its
+/// request would meet a connection that is closing, and be lost.
 const LOOK_UP_WAY: Duration = Duration::from_millis(500);
 
-/// Time for which a planned stop waits for what is in flight, beyond the longest
-/// deadline in the manifest.
+/// Time for which a planned stop waits for requests in flight, beyond the longest deadline in
+/// the manifest.
 const FINISH_MARGIN: Duration = Duration::from_secs(5);
 
-/// Time for which the end of the session is waited for.
+/// Timeout for closing the session.
 const CLOSE_BOUND: Duration = Duration::from_secs(3);
 
-/// Tells why an entry VM can't start.
+/// Tells why an entry VM cannot start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum EntryError {
-    /// An address of the settings can't be listened on: a fault of the settings.
-    #[snafu(display("can't listen on {address} for {purpose}: {source}"))]
+    /// A configured address cannot be bound; the settings are at fault.
+    #[snafu(display("cannot listen on {address} for {purpose}: {source}"))]
     Listen {
-        /// Which listener.
+        /// The listener that the address is for.
         purpose: &'static str,
         /// The address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The security settings can't be used: a fault of the settings.
+    /// The security settings cannot be used; the settings are at fault.
     #[snafu(display("{source}"))]
     Security {
-        /// Why.
+        /// Why they cannot be used.
         source: PeerSecurityError,
     },
-    /// Metrics can't be sent.
-    #[snafu(display("can't send metrics: {source}"))]
+    /// The sender of metrics cannot be opened.
+    #[snafu(display("cannot send metrics: {source}"))]
     Metrics {
-        /// Why.
+        /// Why it cannot be opened.
         source: MetricsError,
     },
 }
 
 impl EntryError {
-    /// Returns whether the settings are at fault, rather than the program or its VM.
+    /// Returns whether the cause is the settings rather than the program or its VM.
     #[must_use]
     pub const fn is_user_error(&self) -> bool {
         match self {
@@ -95,17 +95,17 @@
     }
 }
 
-/// Runs an entry VM until `shutdown` asks it to stop and it has finished everything.
+/// Runs an entry VM until `shutdown` requests a stop and all work is finished.
 ///
-/// A planned stop first tells control that the entry VM leaves, so that it owns nothing
-/// and is named in no look-up any more. It serves on until look-up answers that callers
-/// have cached are over, finishes what is in flight, closes its session and ends. A
-/// second request to stop ends the waiting.
+/// A planned stop first reports to control that the entry VM is leaving, so that it loses
+/// ownership of its groups and look-ups no longer name it. It continues to serve until cached
+/// look-up answers have expired, finishes the requests in flight, closes its session and ends.
+/// A second stop request ends the waiting.
 ///
 /// # Errors
 ///
-/// Fails if a listener can't be bound or the settings' security can't be set up;
-/// nothing has been started then.
+/// Fails if a listener cannot be bound or the security settings cannot be used; no task has
+/// been started then.
 pub async fn run_entry(
     settings: EntrySettings,
     clock: Arc<dyn Clock>,
@@ -115,11 +115,11 @@
     let metrics = metrics::open_metrics(settings.metrics.as_ref()).context(MetricsSnafu)?;
     let grpc_server = security.grpc_server().context(SecuritySnafu)?;
     let listeners = Listeners::bind(&settings).await?;
-    log::info!(event = "entry_started", vm = settings.vm.as_str(), callers = settings.listen.callers.to_string().as_str(); "the entry VM listens");
+    log::info!(event = "entry_started", vm = settings.vm.as_str(), callers = settings.listen.callers.to_string().as_str(); "entry VM listening");
     let running = Running::start(&settings, clock, security, metrics, listeners, grpc_server);
     shutdown.requested().await;
     running.stop(shutdown).await;
-    log::info!(event = "entry_ended", vm = settings.vm.as_str(); "the entry VM has finished");
+    log::info!(event = "entry_ended", vm = settings.vm.as_str(); "entry VM stopped");
     Ok(())
 }
 
@@ -211,13 +211,13 @@
     }
 
     async fn stop(self, mut shutdown: Shutdown) {
-        log::info!(event = "entry_leaving", vm = self.cx.info.vm.as_str(); "a planned stop begins");
+        log::info!(event = "entry_leaving", vm = self.cx.info.vm.as_str(); "planned stop started");
         self.wish.send_replace(SessionWish::Leave);
         self.servers.leave();
         tokio::select! {
             () = self.finish() => {}
             () = shutdown.insisted() => {
-                log::warn!(event = "entry_stop_forced", vm = self.cx.info.vm.as_str(); "asked to stop twice: what is in flight is cut off");
+                log::warn!(event = "entry_stop_forced", vm = self.cx.info.vm.as_str(); "second stop request: cutting off requests in flight");
             }
         }
         self.wish.send_replace(SessionWish::Close);
@@ -234,7 +234,7 @@
         let _ = tokio::time::timeout_at(bound.into(), self.until_finished()).await;
     }
 
-    /// Waits until no entry VM names this one in a look-up or forwards to it.
+    /// Waits until no entry VM names this one in look-ups or forwards requests to it.
     async fn until_known_everywhere(&self) {
         let mut state = self.cx.state.clone();
         let mut leaving_since = None;
@@ -277,8 +277,8 @@
         while !self.servers.requests_finished() {
             tokio::time::sleep(POLL).await;
         }
-        // Callers of these actions may have gone away, and ask the backup after this
-        // process has ended: it must have been told the ends by then.
+        // Callers of these actions may have disconnected, and will ask the backup once this
+        // process has ended: it must know the outcomes by then.
         while !self.cx.actions.runs().is_empty() {
             tokio::time::sleep(POLL).await;
         }
--- a/server/src/entry_servers.rs
+++ b/server/src/entry_servers.rs
@@ -1,4 +1,4 @@
-//! The listeners of an entry VM and what serves them.
+//! Listeners of an entry VM and the servers on them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,12 +39,12 @@
 }
 
 impl Listeners {
-    /// Binds all addresses before anything starts, so that a port in use leaves nothing
-    /// half-started.
+    /// Binds all addresses before any task starts, so that a port in use does not leave the entry
+    /// VM partly started.
     ///
     /// # Errors
     ///
-    /// Fails if one of the addresses can't be listened on.
+    /// Fails if one of the addresses cannot be bound.
     pub async fn bind(settings: &EntrySettings) -> Result<Self, EntryError> {
         let listen = &settings.listen;
         Ok(Self {
@@ -65,13 +65,13 @@
 /// Holds the servers of a running entry VM.
 #[derive(Debug)]
 pub struct EntryServers {
-    /// Has each connection take one more request, whose answer says that it closes.
+    /// Lets each connection accept one more request and announce its close with the answer.
     leaving: CancellationToken,
-    /// Ends what takes requests of callers and other entry VMs.
+    /// Stops accepting requests of callers and other entry VMs.
     stop_requests: CancellationToken,
     callers: JoinHandle<()>,
     forward: JoinHandle<()>,
-    /// Ends what takes messages.
+    /// Stops accepting announcements and messages of other entry VMs.
     stop_messages: CancellationToken,
     backend_servers: JoinHandle<()>,
     peers: JoinHandle<()>,
@@ -143,26 +143,26 @@
         }
     }
 
-    /// Has callers turn to other entry VMs: each connection takes one more request at most.
+    /// Makes callers move to other entry VMs: each connection accepts at most one more request.
     ///
-    /// One that is kept open until the stop is closed without a word, and a request that its
+    /// A connection left open until the stop is closed without notice, and a request that its
     /// caller sends at that moment is lost.
     pub fn leave(&self) {
         self.leaving.cancel();
     }
 
-    /// Takes no new requests and lets those that have begun finish.
+    /// Accepts no new requests and lets those in progress finish.
     pub fn stop_requests(&self) {
         self.stop_requests.cancel();
     }
 
-    /// Returns whether all requests that had begun are finished.
+    /// Returns whether all requests in progress have finished after [`Self::stop_requests`].
     #[must_use]
     pub fn requests_finished(&self) -> bool {
         self.callers.is_finished() && self.forward.is_finished()
     }
 
-    /// Ends everything at once.
+    /// Aborts all servers.
     pub fn end(&self) {
         self.stop_messages.cancel();
         self.backend_servers.abort();
@@ -196,12 +196,12 @@
         .add_service(PeerServer::new(service))
         .add_service(SessionServer::new(relay));
     tokio::spawn(async move {
-        // Small replies would wait for the peer's delayed acknowledgement otherwise; one
-        // action in a hundred took 50 ms longer for it.
+        // Nagle's algorithm would delay small replies until the peer's delayed acknowledgement; one
+        // action in a hundred took 50 ms longer.
         let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
         let serving = router.serve_with_incoming_shutdown(incoming, stop.cancelled_owned());
         if let Err(error) = serving.await {
-            log::error!(event = "peers_listener_failed", error = error.to_string().as_str(); "messages of other entry VMs can't be taken");
+            log::error!(event = "peers_listener_failed", error = error.to_string().as_str(); "listener for messages of other entry VMs failed");
         }
     })
 }
--- a/server/src/entry_state.rs
+++ b/server/src/entry_state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an entry VM share of its session with control.
+//! State of an entry VM's session with control, shared by its tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,23 +19,23 @@
 
 use crate::dispatcher::DispatchGate;
 
-/// Other entry VMs that a refusal names.
+/// Largest number of other entry VMs named in a refusal.
 const MAX_NAMED_ENTRIES: usize = 3;
 
-/// Holds the last state that control confirmed.
+/// Holds the latest state that control confirmed.
 #[derive(Clone, Debug, Default)]
 pub struct EntryState {
-    /// The view, applied in log order.
+    /// The view, to which changes are applied in log order.
     pub view: Arc<ControlView>,
-    /// The changes that led to the view, as far back as this session saw them.
+    /// The changes that led to the view, as far back as this session received them.
     pub recent: Arc<ViewLog>,
-    /// Places of callers, of the manifest in the view.
+    /// Failure domains of callers by address, from the manifest in the view.
     pub blocks: Arc<ClientBlockTable>,
-    /// The last revision that every entry VM has applied.
+    /// The latest revision that every entry VM has applied.
     pub settled: Revision,
-    /// Whether this entry VM may take new work.
+    /// The lease under which this entry VM may accept new work.
     pub lease: EntryLease,
-    /// The set of control replicas, once one has answered.
+    /// Identifier of the control cluster; `None` until a replica has answered.
     pub cluster: Option<ClusterId>,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Reads the state, and tells at any moment whether the lease holds.
+/// Reads the state, and tells whether the lease is valid at the time of the call.
 #[derive(Clone, Debug)]
 pub struct EntryStateReader {
     rx: watch::Receiver<EntryState>,
@@ -58,19 +58,19 @@
 }
 
 impl EntryStateReader {
-    /// Reads what `rx` receives, by `clock`.
+    /// Creates a reader of the state in `rx`; `clock` decides whether the lease is valid.
     #[must_use]
     pub const fn new(rx: watch::Receiver<EntryState>, clock: Arc<dyn Clock>) -> Self {
         Self { rx, clock }
     }
 
-    /// Returns the state of this moment.
+    /// Returns a copy of the current state.
     #[must_use]
     pub fn read(&self) -> EntryState {
         self.rx.borrow().clone()
     }
 
-    /// Returns the session whose lease holds now.
+    /// Returns the session if its lease is valid now.
     #[must_use]
     pub fn live_session(&self) -> Option<SessionId> {
         let state = self.rx.borrow();
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Returns the session of another entry VM, if the view has it.
+    /// Returns the session of another entry VM, if it is in the view.
     #[must_use]
     pub fn session(&self, id: SessionId) -> Option<EntrySession> {
         self.rx.borrow().view.sessions.get(&id).cloned()
     }
 
-    /// Returns where else callers may ask: entry VMs of the same place first, then of
-    /// the region, then others.
+    /// Returns other entry VMs that callers may use: those in the same failure domain first, then
+    /// those in the same region, then others.
     #[must_use]
     pub fn other_entries(&self, own: &EntryInfo) -> Vec<SocketAddr> {
         let state = self.rx.borrow();
@@ -110,14 +110,14 @@
             .collect()
     }
 
-    /// Waits until the state changes; pends for ever once the session's task is gone.
+    /// Waits until the state changes; never completes once the session's task has ended.
     pub async fn changed(&mut self) {
         if self.rx.changed().await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Returns a gate that is open while `session` holds its lease.
+    /// Returns a gate that is open while the lease of `session` is valid.
     #[must_use]
     pub fn gate(&self, session: SessionId) -> LeaseGate {
         LeaseGate {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Permits dispatches under one session's lease.
+/// Permits dispatches while the lease of one session is valid.
 #[derive(Clone, Debug)]
 pub struct LeaseGate {
     state: EntryStateReader,
--- a/server/src/entry_status.rs
+++ b/server/src/entry_status.rs
@@ -1,4 +1,4 @@
-//! What an entry VM tells operators of itself.
+//! Status of an entry VM as shown to operators.
 
 use heatherring_lib::drain::DrainDecision;
 use heatherring_lib::duration_text::whole_ms;
@@ -9,45 +9,45 @@
 
 use crate::entry_context::EntryContext;
 
-/// Holds an entry VM's status as it is written in JSON.
+/// Holds an entry VM's status; serialized to JSON.
 #[derive(Clone, Debug, Serialize)]
 pub struct EntryStatus {
     /// The VM's name.
     pub vm: String,
     /// The session with control; 0 without one.
     pub session: u64,
-    /// What is left of the lease, in milliseconds.
+    /// Time until the lease expires, in milliseconds.
     pub lease_left_ms: u64,
-    /// The last revision applied.
+    /// The latest revision applied.
     pub revision: u64,
-    /// The last revision that all entry VMs have applied.
+    /// The latest revision that all entry VMs have applied.
     pub settled_revision: u64,
     /// The version of the manifest in force; 0 without one.
     pub manifest_version: u64,
     /// Entry VMs that have a session.
     pub entries: usize,
-    /// Requests that wait for a slot here.
+    /// Number of requests that wait for a slot here.
     pub waiting: usize,
-    /// What becomes of each planned drain.
+    /// Status of each planned drain.
     pub drains: Vec<DrainStatus>,
-    /// What each group that this entry VM owns can take.
+    /// Load and capacity of each group that this entry VM owns.
     pub owned: Vec<GroupLoad>,
-    /// What the owners of all groups have told lately.
+    /// Latest load received from the owners of all groups.
     pub known: Vec<GroupLoad>,
 }
 
-/// Tells what becomes of one planned drain.
+/// Describes the state of one planned drain.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct DrainStatus {
     /// The drain, as planned.
     pub drain: Drain,
-    /// Why it is held back; absent once it is carried out.
+    /// Why it is held back; absent once it has been carried out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub held_back: Option<String>,
 }
 
 impl DrainStatus {
-    /// Describes a decision.
+    /// Converts a drain decision.
     #[must_use]
     pub fn of(decision: &DrainDecision) -> Self {
         Self {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Collects the status.
+/// Collects the current status.
 pub async fn collect(cx: &EntryContext) -> EntryStatus {
     let admission = cx.admission.status().await;
     let state = cx.state.read();
--- a/server/src/http_server.rs
+++ b/server/src/http_server.rs
@@ -1,9 +1,9 @@
-//! Serves HTTP connections within bounds.
+//! Serves HTTP connections within resource limits.
 //!
-//! A slow or garbage peer must cost a bounded amount: the number of connections, the
-//! size of a head and the time in which the first head must arrive are limited.
+//! The cost of a slow or misbehaving peer must be bounded: the number of connections, the size
+//! of a request head and the time until the first head arrives are limited.
 //!
-//! Connections of HTTP/1.1 in the clear are served by [`crate::pipelined_connection`].
+//! Plaintext HTTP/1.1 connections are served by [`crate::pipelined_connection`].
 
 use std::convert::Infallible;
 use std::fmt;
@@ -50,66 +50,66 @@
 use crate::request_body::RequestBody;
 use crate::request_fault;
 
-/// Streams that one HTTP/2 connection may have open.
+/// Largest number of concurrent streams on one HTTP/2 connection.
 const MAX_STREAMS: u32 = 1_024;
 
-/// Bytes that may be under way on an HTTP/2 stream before the receiver has read them;
-/// wide enough for the delay between regions.
+/// Flow-control window of an HTTP/2 stream in bytes; large enough for the round trip between
+/// regions.
 pub const STREAM_WINDOW: u32 = 1 << 20;
 
-/// The same for a whole HTTP/2 connection.
+/// Flow-control window of an HTTP/2 connection in bytes.
 pub const CONNECTION_WINDOW: u32 = 1 << 24;
 
-/// Time between pings on an HTTP/2 connection, and how long their answer may take. A
-/// peer that vanished without a word is noticed by the missing answer.
+/// Interval of pings on an HTTP/2 connection, and the timeout of their answers. They detect
+/// peers that vanished without closing the connection.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after a failed accept, such as one for want of file descriptors; without it
-/// the loop would spin until another connection closes.
+/// Pause after a failed accept, for example for lack of file descriptors; without it the loop
+/// would spin until another connection closes.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What an HTTP/2 connection begins with.
+/// Connection preface of HTTP/2.
 const HTTP2_PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-/// Bytes of a head that must be allowed at least; `hyper` needs that much room.
+/// Smallest limit on the size of a request head, in bytes; `hyper` requires this much.
 const LEAST_HEADER_BYTES: usize = 8 << 10;
 
-/// Bounds what the peers of one listener may cost.
+/// Limits the resources that the peers of one listener may use.
 #[derive(Clone, Debug)]
 pub struct HttpBounds {
-    /// Connections open at once; further ones are closed on arrival.
+    /// Largest number of open connections; further ones are closed when they arrive.
     pub max_connections: usize,
-    /// Bounds of one connection.
+    /// Source of the limits of a single connection.
     pub limits: LimitsSource,
-    /// The versions of HTTP that are spoken.
+    /// The HTTP versions that the listener speaks.
     pub versions: HttpVersions,
-    /// The clock.
+    /// Determines the arrival times of requests.
     pub clock: Arc<dyn Clock>,
 }
 
-/// Bounds what one connection may cost.
+/// Limits the resources that one connection may use.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Bytes of a request's head.
+    /// Largest size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// Time within which a request's head must arrive, once it has begun to.
+    /// Time within which a request's head must be complete after its first byte.
     pub header_timeout: Duration,
-    /// Time for which a connection may be idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// Tells the limits of connections that begin now.
+/// Provides the limits for connections that are opened now.
 #[derive(Clone)]
 pub struct LimitsSource(Arc<dyn Fn() -> ConnectionLimits + Send + Sync>);
 
 impl LimitsSource {
-    /// Asks `limits` for each new connection.
+    /// Creates a source that calls `limits` for each new connection.
     pub fn new(limits: impl Fn() -> ConnectionLimits + Send + Sync + 'static) -> Self {
         Self(Arc::new(limits))
     }
 
-    /// Gives all connections the same limits.
+    /// Creates a source with the same limits for all connections.
     #[must_use]
     pub fn fixed(limits: ConnectionLimits) -> Self {
         Self::new(move || limits)
@@ -130,17 +130,17 @@
     }
 }
 
-/// Tells connections to end.
+/// Holds the signals that tell connections to end.
 #[derive(Clone, Debug)]
 pub struct Stops {
-    /// The process will stop: each connection takes one more request at most.
+    /// The process will stop soon: each connection accepts at most one more request.
     pub leaving: CancellationToken,
-    /// No further request is taken.
+    /// No further request is accepted.
     pub stop: CancellationToken,
 }
 
 impl From<CancellationToken> for Stops {
-    /// Stops without announcing it.
+    /// Stops without a preceding leaving phase.
     fn from(stop: CancellationToken) -> Self {
         Self {
             leaving: stop.clone(),
@@ -149,52 +149,52 @@
     }
 }
 
-/// Says where a request came from, and when.
+/// Holds the origin and arrival time of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// The peer.
+    /// The address of the peer.
     pub peer: SocketAddr,
-    /// When the last byte of its head was read. Its time runs from here, also while it stands
-    /// behind others on its connection.
+    /// When the last byte of its head was read. The request's deadline counts from here, also
+    /// while it waits for earlier requests on its connection.
     pub at: Instant,
 }
 
-/// Names the versions of HTTP that a listener speaks.
+/// Selects the versions of HTTP that a listener speaks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HttpVersions {
-    /// HTTP/1.1 and HTTP/2, told apart by the first bytes of a connection.
+    /// HTTP/1.1 and HTTP/2, distinguished by the first bytes of a connection.
     Both,
-    /// HTTP/1.1 alone, which takes less memory.
+    /// Only HTTP/1.1, which takes less memory.
     Http1,
 }
 
-/// Tells who may connect to a listener.
+/// Selects who may connect to a listener.
 #[derive(Clone, Debug)]
 pub enum Admittance {
-    /// Anybody, in the clear.
+    /// Anybody, without TLS.
     Anybody,
-    /// Processes of the deployment.
+    /// Only processes of the deployment, which authenticate with its credentials.
     Deployment(PeerSecurity),
 }
 
-/// Answers requests. Clones share what they need through messages.
+/// Handles requests. Each connection uses a clone of its own.
 pub trait Handler: Clone + Send + Sync + 'static {
-    /// Answers one request. The future is dropped when the peer goes away.
+    /// Handles one request. The future is dropped when the peer closes the connection.
     fn handle(
         &self,
         arrival: Arrival,
         req: Request<RequestBody>,
     ) -> impl Future<Output = Response<AnswerBody>> + Send;
 
-    /// Returns whether a request may be handled before those ahead of it on its connection
-    /// are answered: it does no harm if it runs although its caller doesn't learn of it.
+    /// Returns whether a request may be handled before the earlier ones on its connection are
+    /// answered, because running it does no harm if its caller never learns the outcome.
     fn is_idempotent(&self, req: &Request<RequestBody>) -> bool {
         req.method().is_safe()
     }
 }
 
-/// Serves `listener` until `stop` is cancelled, then lets each connection finish what
-/// it has begun.
+/// Serves `listener` until `stop` is cancelled, then waits for the requests in progress on each
+/// connection.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     admittance: Admittance,
@@ -214,13 +214,13 @@
         let (stream, peer) = match accepted {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!(event = "accept_failed", error = error.to_string().as_str(); "can't accept a connection");
+                log::warn!(event = "accept_failed", error = error.to_string().as_str(); "cannot accept a connection");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
-            log::warn!(event = "connection_refused", peer = peer.to_string().as_str(); "too many connections");
+            log::warn!(event = "connection_refused", peer = peer.to_string().as_str(); "closed a new connection: connection limit reached");
             continue;
         };
         let connection = Connection {
@@ -280,7 +280,7 @@
 
 impl<H: Handler> Connection<H> {
     async fn run(self, stream: TcpStream) {
-        // Without this the end of an answer may wait for an acknowledgement.
+        // Nagle's algorithm could delay the end of an answer until an acknowledgement.
         if stream.set_nodelay(true).is_err() {
             return;
         }
@@ -289,20 +289,20 @@
             Admittance::Deployment(security) => match security.accept(stream).await {
                 Ok(stream) => self.serve(stream).await,
                 Err(error) => {
-                    log::warn!(event = "peer_refused", peer = self.peer.to_string().as_str(), error = error.to_string().as_str(); "a peer couldn't prove that it belongs here");
+                    log::warn!(event = "peer_refused", peer = self.peer.to_string().as_str(), error = error.to_string().as_str(); "refused a peer that failed to authenticate");
                 }
             },
         }
     }
 
-    /// Reads as much as tells the version of HTTP apart, and serves the connection.
+    /// Detects the HTTP version from the first bytes, and serves the connection accordingly.
     async fn tell_version(&self, mut stream: TcpStream) {
         if self.versions == HttpVersions::Http1 {
             return self.pipeline(stream, Bytes::new()).await;
         }
         let reading = read_preface(&mut stream);
         let Ok(Ok(prefix)) = tokio::time::timeout(self.limits.header_timeout, reading).await else {
-            log::debug!(event = "connection_broken", peer = self.peer.to_string().as_str(); "a peer sent too little to tell what it speaks");
+            log::debug!(event = "connection_broken", peer = self.peer.to_string().as_str(); "a peer sent too few bytes to detect its HTTP version");
             return;
         };
         if prefix == HTTP2_PREFACE {
@@ -352,12 +352,12 @@
             tokio::select! {
                 result = connection.as_mut() => {
                     if let Err(error) = result {
-                        log::debug!(event = "connection_broken", peer = self.peer.to_string().as_str(), error = error.to_string().as_str(); "a connection ended early");
+                        log::debug!(event = "connection_broken", peer = self.peer.to_string().as_str(), error = error.to_string().as_str(); "a connection broke off");
                     }
                     return;
                 }
-                // The HTTP library's own timeout starts only once it has told the
-                // version apart; a peer that sends less than that would stay for ever.
+                // The HTTP library starts its own timeout only after it has detected the version;
+                // a peer that sends fewer bytes than that would stay connected for ever.
                 () = first_head.as_mut(), if watch_first_head => {
                     watch_first_head = false;
                     if !begun.load(Ordering::Relaxed) {
@@ -373,9 +373,10 @@
     }
 }
 
-/// Answers a request of a connection that isn't pipelined. Its bytes aren't followed, so what
-/// can't be told from a request with two ends is refused with it: processes of the deployment
-/// speak HTTP/2, which has no encodings.
+/// Answers a request on a connection that is not pipelined. The raw bytes of its head are not
+/// scanned here, so any request with a transfer encoding is refused, as it cannot be told from
+/// one that gives its length in two ways. Processes of the deployment speak HTTP/2, which has
+/// no transfer encodings.
 async fn answer<H: Handler>(
     handler: H,
     arrival: Arrival,
@@ -391,14 +392,14 @@
     let Err(fault) = checked else {
         return handler.handle(arrival, req).await;
     };
-    log::debug!(event = "request_refused", peer:% = arrival.peer, error:% = fault; "a request that must not be handled");
+    log::debug!(event = "request_refused", peer:% = arrival.peer, error:% = fault; "refused an invalid request");
     let mut response = reply::status(StatusCode::BAD_REQUEST);
     let close = HeaderValue::from_static("close");
     response.headers_mut().insert(CONNECTION, close);
     response
 }
 
-/// Reads until the bytes differ from what an HTTP/2 connection begins with, or are that.
+/// Reads until the bytes equal the HTTP/2 connection preface or differ from it.
 async fn read_preface(stream: &mut TcpStream) -> std::io::Result<Vec<u8>> {
     let mut bytes = Vec::with_capacity(HTTP2_PREFACE.len());
     while bytes.len() < HTTP2_PREFACE.len() && HTTP2_PREFACE.starts_with(&bytes) {
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -1,7 +1,7 @@
-//! The sockets, files and timers round the decisions of heatherring.
+//! Sockets, files and timers around the decisions of heatherring.
 //!
-//! Each task owns its sockets and its state; tasks talk by messages. Decisions are
-//! made by the core (`heatherring-lib`); this crate carries them out.
+//! Each task owns its sockets and its state; tasks communicate by messages. `heatherring-lib`
+//! makes the decisions without I/O; this crate carries them out.
 
 pub mod credential;
 pub mod known_asker;
--- a/server/src/link_task.rs
+++ b/server/src/link_task.rs
@@ -1,4 +1,4 @@
-//! The task that holds this entry VM's shares of the links to other regions.
+//! Task that owns this entry VM's budgets on the links to other regions.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 use crate::answer_body::AnswerBody;
 use crate::answer_body::AnswerBroken;
 
-/// Bytes that framing adds to a head, and to each of its headers.
+/// Estimated framing overhead of a head and of each of its headers, in bytes.
 const HEAD_OVERHEAD: usize = 64;
 const HEADER_OVERHEAD: usize = 4;
 
@@ -43,7 +43,7 @@
     },
 }
 
-/// Reaches the task.
+/// Sends messages to the link task.
 #[derive(Clone, Debug)]
 pub struct LinkHandle {
     own: RegionName,
@@ -51,7 +51,7 @@
 }
 
 impl LinkHandle {
-    /// Starts the task of an entry VM in the region `own`.
+    /// Spawns the task of an entry VM in the region `own`.
     #[must_use]
     pub fn spawn(own: RegionName, clock: Arc<dyn Clock>) -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -63,28 +63,27 @@
         Self { own, tx }
     }
 
-    /// Returns the region that the entry VM stands in.
+    /// Returns the region of this entry VM.
     #[must_use]
     pub const fn own_region(&self) -> &RegionName {
         &self.own
     }
 
-    /// Follows a view. A session that wasn't known before starts with fresh shares.
+    /// Applies a view. A new session starts with full budgets.
     pub fn apply_view(&self, session: SessionId, view: Arc<ControlView>, step: ViewStep) {
         let _ = self.tx.send(Message::View(session, view, step));
     }
 
-    /// Notes that a revision is settled.
+    /// Records that all entry VMs have applied `revision`.
     pub fn settle(&self, revision: Revision) {
         let _ = self.tx.send(Message::Settled(revision));
     }
 
-    /// Takes `bytes` out of the share of the link to `to`. Nothing is counted within a
-    /// region.
+    /// Takes `bytes` from the budget of the link to `to`. Traffic within the region is not limited.
     ///
     /// # Errors
     ///
-    /// Returns the time after which it may be tried again if the share is used up.
+    /// Returns the time after which to retry if the budget is exhausted.
     pub async fn try_send(&self, to: &RegionName, bytes: u64) -> Result<(), Duration> {
         if *to == self.own {
             return Ok(());
@@ -95,7 +94,7 @@
         answer.await.unwrap_or(Ok(()))
     }
 
-    /// Waits until `bytes` may be sent to `to`.
+    /// Waits until the budget allows `bytes` to be sent to `to`.
     pub async fn send(self, to: RegionName, bytes: u64) {
         while let Err(wait) = self.try_send(&to, bytes).await {
             tokio::time::sleep(wait.max(Duration::from_millis(1))).await;
@@ -103,7 +102,7 @@
     }
 }
 
-/// Returns about how many bytes a head takes on the wire.
+/// Returns the approximate size of a head on the wire, in bytes.
 #[must_use]
 pub fn head_bytes(headers: &HeaderMap) -> u64 {
     let bytes: usize = headers
@@ -135,8 +134,8 @@
                 }
                 Message::TrySend { to, bytes, reply } => {
                     let now = self.clock.now();
-                    // Without a session nothing new is taken; what is still under way
-                    // ends by its deadline.
+                    // Without a session no new requests are accepted; those in flight end by their
+                    // deadline.
                     let result = match &mut self.session {
                         Some(links) => links.budgets.try_send(now, &to, bytes),
                         None => Ok(()),
@@ -160,8 +159,8 @@
 
 type FramePoll = Poll<Option<Result<Frame<Bytes>, AnswerBroken>>>;
 
-/// Lets an answer to another region through as fast as this entry VM's share of the
-/// link allows. The share is taken before each piece leaves.
+/// Sends an answer to another region at the rate allowed by this entry VM's budget of the link.
+/// The budget is charged before each piece is sent.
 struct PacedBody {
     inner: AnswerBody,
     links: LinkHandle,
@@ -170,7 +169,7 @@
     held: Option<(Frame<Bytes>, BoxFuture<'static, bool>)>,
 }
 
-/// Paces `inner`, which goes to the region `to`, and breaks it off at `deadline`.
+/// Limits the rate of `inner`, which goes to the region `to`, and cuts it off at `deadline`.
 #[must_use]
 pub fn pace(inner: AnswerBody, links: LinkHandle, to: RegionName, deadline: Instant) -> AnswerBody {
     let body = PacedBody {
@@ -184,7 +183,7 @@
 }
 
 impl PacedBody {
-    /// Returns whether the bytes may leave before the deadline.
+    /// Waits for budget for the bytes; returns whether it was granted before the deadline.
     fn permission(&self, bytes: usize) -> BoxFuture<'static, bool> {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         let sending = self.links.clone().send(self.to.clone(), bytes);
--- a/server/src/log_writer.rs
+++ b/server/src/log_writer.rs
@@ -1,9 +1,8 @@
-//! Log lines that never hold the process up.
+//! Log writer that never blocks the process.
 //!
-//! A line is written by a thread of its own, from a bounded queue. When whoever reads the
-//! lines stops, the queue fills up; lines are dropped from then on, which a metric and a later
-//! line tell. Were lines written by the thread that serves, a reader that stops would stop
-//! the process.
+//! A dedicated thread writes the lines from a bounded queue. When the reader of the lines stops
+//! reading, the queue fills up; further lines are dropped, which a metric and a later line
+//! report. If serving threads wrote lines themselves, a stalled reader would stall the process.
 
 use std::fmt;
 use std::io;
@@ -34,20 +33,20 @@
 
 use crate::metric;
 
-/// Target of the lines on requests that were answered: the first to go under load.
+/// Target of the lines on answered requests, which are dropped first under load.
 pub const ROUTINE: &str = "heatherring_server::routine";
 
-/// Lines that wait to be written; at 450 bytes a line 115 kB.
+/// Capacity of the queue in lines; at 450 bytes a line 115 kB.
 const QUEUE: usize = 256;
 
-/// Bytes that are written at once.
+/// Largest number of bytes per write, up to the last line.
 const BATCH_BYTES: usize = 32 << 10;
 
-/// Stack of the thread that writes. It formats nothing: a layout reads the system's time zone,
-/// which takes more than this, and a thread that overflows its stack ends the process.
+/// Stack size of the writing thread. It formats nothing: a layout reads the system's time zone,
+/// which takes more than this, and a stack overflow aborts the process.
 const STACK_BYTES: usize = 128 << 10;
 
-/// Time between two lines on dropped ones.
+/// Shortest interval between two lines that report dropped lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time for which a process that ends waits until its last lines are written.
@@ -58,7 +57,7 @@
     Flush(SyncSender<()>),
 }
 
-/// Appends JSON lines to a queue.
+/// Appends JSON lines to the queue.
 pub struct LogWriter {
     layout: JsonLayout,
     clock: Arc<dyn Clock>,
@@ -67,11 +66,11 @@
     tx: SyncSender<Message>,
 }
 
-/// What bounds the lines, and what was told of those that were dropped.
+/// Holds the rate limiter, and which dropped lines have been reported.
 struct Volume {
     rate: LogRateLimiter,
     told: u64,
-    /// When that was last tried.
+    /// When the last report was attempted.
     told_at: Option<Instant>,
 }
 
@@ -86,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the system cannot start a thread.
     pub fn start(out: impl Write + Send + 'static, clock: Arc<dyn Clock>) -> io::Result<Self> {
         let (tx, rx) = mpsc::sync_channel(QUEUE);
         std::thread::Builder::new()
@@ -106,7 +105,7 @@
         })
     }
 
-    /// Returns the lines that were dropped so far.
+    /// Returns the number of lines dropped so far.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
@@ -122,7 +121,7 @@
         metric::log_line_dropped();
     }
 
-    /// Tells of dropped lines, before the first line that is written after them.
+    /// Reports dropped lines, before the first line that is written after them.
     fn tell_dropped(&self) -> Result<(), logforth::Error> {
         let mut volume = self.volume.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
@@ -135,7 +134,7 @@
         }
         volume.told_at = Some(now);
         let line = self.dropped_line(dropped - volume.told)?;
-        // A queue that is still full leaves it to a later line to tell.
+        // If the queue is still full, a later line triggers the report.
         if self.tx.try_send(Message::Line(line)).is_ok() {
             volume.told = dropped;
         }
@@ -151,7 +150,7 @@
             .level(Level::Warn)
             .target(module_path!())
             .payload(format_args!(
-                "log lines were dropped: too many at once, or nobody reads them"
+                "dropped log lines: too many at once, or their reader has stalled"
             ))
             .key_values(fields.as_slice())
             .build();
@@ -199,7 +198,7 @@
 
     fn flush(&self) -> Result<(), logforth::Error> {
         let (tx, rx) = mpsc::sync_channel(1);
-        // A full queue belongs to a reader that has stopped: there is nobody to wait for.
+        // A full queue means that the reader has stalled, so waiting is of no use.
         if self.tx.try_send(Message::Flush(tx)).is_ok() {
             let _ = rx.recv_timeout(FLUSH_WITHIN);
         }
@@ -221,7 +220,7 @@
                 .then(|| rx.try_recv().ok())
                 .flatten();
         }
-        // Nobody reads any more: dropping the queue has every later line counted as dropped.
+        // The reader has gone: dropping the queue counts every later line as dropped.
         if out.write_all(&batch).and_then(|()| out.flush()).is_err() {
             return;
         }
--- a/server/src/metric.rs
+++ b/server/src/metric.rs
@@ -1,8 +1,8 @@
 //! Counters and histograms of a process, served as text on its metrics address.
 //!
-//! All names and labels stand here. Labels are words out of fixed lists, so that the number
-//! of series is bounded whatever callers ask. Without a metrics address nothing is recorded.
-//! docs/metrics.md says what each means.
+//! All names and labels are defined here. Label values come from fixed lists, so that callers
+//! cannot increase the number of series. Without a metrics address nothing is recorded.
+//! docs/metrics.md describes each metric.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -41,13 +41,13 @@
     0.002, 0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 3.0, 5.0, 8.0,
 ];
 
-/// Time between two rounds in which the library puts observations into their buckets.
+/// Interval at which the library sorts observations into buckets.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Connections of those who read the metrics.
+/// Largest number of open connections to the metrics address.
 const MAX_CONNECTIONS: usize = 8;
 
-/// Bounds on one of them.
+/// Limits of each of these connections.
 const LIMITS: ConnectionLimits = ConnectionLimits {
     max_header_bytes: 8 << 10,
     header_timeout: Duration::from_secs(10),
@@ -56,43 +56,43 @@
 
 static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
-/// Counts a request of a caller and times it until the head of its answer.
+/// Counts a request of a caller and records its time to the head of the answer.
 pub fn request(outcome: &'static str, reason: &'static str, took: Duration) {
     counter!("heatherring_requests_total", "outcome" => outcome, "reason" => reason).increment(1);
     histogram!("heatherring_request_seconds", "outcome" => outcome).record(took);
 }
 
-/// Counts a request that was read before one ahead of it on its connection was answered.
+/// Counts a request that was read before an earlier one on its connection was answered.
 pub fn read_ahead() {
     counter!("heatherring_requests_read_ahead_total").increment(1);
 }
 
-/// Counts an announcement that names no backend server to use.
+/// Counts an announcement that does not describe a usable backend server.
 pub fn announcement_refused() {
     counter!("heatherring_announcements_refused_total").increment(1);
 }
 
-/// Counts one send to a backend server: how it ended, the time until then, and the wait that
-/// was expected there.
+/// Counts one send to a backend server by its outcome; records its duration and the wait that
+/// had been expected there.
 pub fn send(verdict: SendOutcome, took: Duration, expected_wait: Duration) {
     counter!("heatherring_sends_total", "verdict" => verdict.name()).increment(1);
     histogram!("heatherring_send_seconds").record(took);
     histogram!("heatherring_expected_wait_seconds").record(expected_wait);
 }
 
-/// Counts an attempt to connect to a backend server: what came of it, and the time until then.
+/// Counts an attempt to connect to a backend server by its result, and records its duration.
 pub fn connect(result: &'static str, took: Duration) {
     counter!("heatherring_connects_total", "result" => result).increment(1);
     histogram!("heatherring_connect_seconds").record(took);
 }
 
-/// Counts a request that was sent once more, or wasn't for want of budget.
+/// Counts a resend that was made, or was denied because the budget was exhausted.
 pub fn resend(allowed: bool) {
     let result = if allowed { "sent" } else { "no_budget" };
     counter!("heatherring_resends_total", "result" => result).increment(1);
 }
 
-/// Counts a request of a team with a limit by what became of it there.
+/// Counts a request of a team with a limit by the decision on it.
 pub fn limit(ruling: LimitDecision) {
     let result = match ruling {
         LimitDecision::Run => "within",
@@ -102,21 +102,21 @@
     counter!("heatherring_team_limits_total", "result" => result).increment(1);
 }
 
-/// Counts tokens for the limits of teams that were asked for, and those that were given.
+/// Counts tokens requested and granted for the limits of teams.
 pub fn tokens(asked: u32, given: u32) {
     counter!("heatherring_tokens_asked_total").increment(u64::from(asked));
     counter!("heatherring_tokens_given_total").increment(u64::from(given));
 }
 
-/// Counts a backend server that ended with requests on it.
+/// Counts a backend server that ended with requests in flight, and these requests.
 pub fn backend_ended(standing: usize) {
     counter!("heatherring_backends_ended_total").increment(1);
     counter!("heatherring_requests_on_ended_backends_total")
         .increment(u64::try_from(standing).unwrap_or(u64::MAX));
 }
 
-/// Shows how many requests are suspected of ending backend servers, and how many of these are
-/// in quarantine.
+/// Sets the number of requests suspected of crashing backend servers, and how many of these are
+/// quarantined.
 pub fn suspects(suspected: usize, quarantined: usize) {
     #[expect(clippy::cast_precision_loss, reason = "counts far below 2^52")]
     let (suspected, quarantined) = (suspected as f64, quarantined as f64);
@@ -124,7 +124,7 @@
     gauge!("heatherring_requests_quarantined").set(quarantined);
 }
 
-/// Shows the view of the fleet that is in force here.
+/// Sets the manifest version and the revision of the view of the fleet in force here.
 pub fn view(version: u64, revision: u64) {
     #[expect(clippy::cast_precision_loss, reason = "counts far below 2^52")]
     let (version, revision) = (version as f64, revision as f64);
@@ -132,56 +132,56 @@
     gauge!("heatherring_view_revision").set(revision);
 }
 
-/// Shows how long ago control was last in reach, and how old the last proof is that the view of
-/// the fleet was all that is confirmed.
+/// Sets the time since the last contact with control, and the age of the last proof that the
+/// view of the fleet included every committed change.
 pub fn control_silent(since: Duration, proof_age: Duration) {
     gauge!("heatherring_control_silent_seconds").set(since.as_secs_f64());
     gauge!("heatherring_control_proof_seconds").set(proof_age.as_secs_f64());
 }
 
-/// Times a manifest from when this replica learned of it until an entry VM that follows it says
-/// that it is in force there.
+/// Records the time from this replica learning of a manifest until an entry VM that follows it
+/// reports the manifest to be in force there.
 pub fn in_force(after: Duration) {
     histogram!("heatherring_in_force_seconds").record(after);
 }
 
-/// Counts an entry VM that goes by an older manifest for too long.
+/// Counts an entry VM that has used an outdated manifest for too long.
 pub fn entry_behind() {
     counter!("heatherring_entries_behind_total").increment(1);
 }
 
-/// Counts a replica that was of no use to an entry VM.
+/// Counts a control replica found unusable by an entry VM.
 pub fn control_lost() {
     counter!("heatherring_control_lost_total").increment(1);
 }
 
-/// Counts a change of a replica's role.
+/// Counts a change of a replica's role, and sets its term.
 pub fn role(role: &'static str, term: u64) {
     counter!("heatherring_role_changes_total", "role" => role).increment(1);
     #[expect(clippy::cast_precision_loss, reason = "counts far below 2^52")]
     gauge!("heatherring_term").set(term as f64);
 }
 
-/// Times a sync of a replica's disk.
+/// Records the duration of a sync of a replica's disk.
 pub fn log_sync(took: Duration) {
     histogram!("heatherring_log_sync_seconds").record(took);
 }
 
-/// Counts an operator's order or a backend server's change by what became of it.
+/// Counts an operator's call or a backend server's change by its result.
 pub fn order(kind: &'static str, result: &'static str) {
     counter!("heatherring_orders_total", "kind" => kind, "result" => result).increment(1);
 }
 
-/// Counts a log line that wasn't written.
+/// Counts a log line that was dropped.
 pub fn log_line_dropped() {
     counter!("heatherring_log_lines_dropped_total").increment(1);
 }
 
-/// Begins to record, and serves the metrics as text until `stop` is cancelled.
+/// Starts recording, and serves the metrics as text until `stop` is cancelled.
 ///
 /// # Errors
 ///
-/// Fails if the address can't be listened on.
+/// Fails if the address cannot be bound.
 pub async fn serve(
     address: SocketAddr,
     clock: Arc<dyn Clock>,
@@ -214,13 +214,13 @@
     let recorder = match builder {
         Ok(builder) => builder.build_recorder(),
         Err(error) => {
-            log::error!(event = "metrics_unavailable", error:% = error; "no metrics are recorded");
+            log::error!(event = "metrics_unavailable", error:% = error; "cannot record metrics");
             return None;
         }
     };
     let handle = recorder.handle();
     if let Err(error) = metrics::set_global_recorder(recorder) {
-        log::error!(event = "metrics_unavailable", error:% = error; "no metrics are recorded");
+        log::error!(event = "metrics_unavailable", error:% = error; "cannot record metrics");
         return None;
     }
     Some(handle)
--- a/server/src/metrics.rs
+++ b/server/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, sent by `StatsD` over UDP where the settings say so.
+//! Metrics sent by `StatsD` over UDP if the settings ask for it.
 
 use std::net::UdpSocket;
 use std::sync::Arc;
@@ -11,31 +11,31 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// Metrics that wait to be sent; more are dropped, so that a slow receiver can't hold
-/// a request up or take memory without bound.
+/// Largest number of metrics that wait to be sent; further ones are dropped, so that a slow
+/// receiver cannot delay requests or use unbounded memory.
 const QUEUE_CAPACITY: usize = 8_192;
 
-/// Tells why metrics can't be sent.
+/// Tells why metrics cannot be sent.
 #[derive(Debug, Snafu)]
 pub enum MetricsError {
     /// No socket could be opened.
-    #[snafu(display("can't open a socket for metrics"))]
+    #[snafu(display("cannot open a socket for metrics"))]
     Socket {
-        /// What the operating system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The receiver's address can't be used.
-    #[snafu(display("can't send metrics to the given address"))]
+    /// The address of the receiver cannot be used.
+    #[snafu(display("cannot send metrics to the configured address"))]
     Sink {
-        /// What the metrics library said.
+        /// The error of the metrics library.
         source: cadence::MetricError,
     },
 }
 
-/// Shares the sender of metrics among tasks.
+/// Is a metrics client shared among tasks.
 pub type Metrics = Arc<StatsdClient>;
 
-/// Opens the sender of metrics; without settings, one that drops them.
+/// Opens the metrics client; without settings, one that discards all metrics.
 ///
 /// # Errors
 ///
@@ -56,7 +56,7 @@
     Ok(Arc::new(StatsdClient::from_sink(&settings.prefix, sink)))
 }
 
-/// Returns a sender that drops every metric.
+/// Returns a client that discards all metrics.
 #[must_use]
 pub fn no_metrics() -> Metrics {
     Arc::new(StatsdClient::from_sink("", NopMetricSink))
--- a/server/src/pipeline_io.rs
+++ b/server/src/pipeline_io.rs
@@ -1,10 +1,10 @@
-//! The two ends of a caller's connection whose requests are read ahead of their answers.
+//! Adapters between a caller's pipelined HTTP/1.1 connection and `hyper`.
 //!
 //! `hyper` handles one request of an HTTP/1.1 connection at a time. So one of its server
-//! connections reads the requests, and another writes the answers: [`RequestBytes`] is what
-//! the first sees, [`AnswerBytes`] what the second does. What the first would write and what
-//! the second reads never leaves the process. A single parser, the first connection's, thus
-//! decides where each request ends; [`HeadScanner`] follows what it is handed.
+//! connections parses the requests, reading through [`RequestBytes`], and another formats the
+//! answers, writing through [`AnswerBytes`]. Whatever the first writes and the second reads
+//! stays inside the process. Only the first one parses the caller's bytes and decides where
+//! each request ends; [`HeadScanner`] scans the bytes that it is given.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -40,31 +40,31 @@
 
 use crate::answer_body::AnswerBody;
 
-/// What a caller that waits before it sends a body is told.
+/// Interim response for a caller that waits for permission to send the body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Holds a request that was read and isn't answered yet. Dropped with its connection, which
-/// ends what is under way for it.
+/// Holds a request that was read but not answered yet. Dropping it, which happens with its
+/// connection, aborts its handling.
 #[derive(Debug)]
 pub(crate) struct Slot {
-    /// Its number on the connection, from 0.
+    /// Index of the request on the connection, from 0.
     pub number: u64,
-    /// What its answer depends on: `HEAD` has no body, HTTP/1.0 no chunks.
+    /// Properties that the answer depends on: no body for `HEAD`, no chunks for HTTP/1.0.
     pub shape: AnswerShape,
-    /// What handles it.
+    /// The task that handles the request.
     pub handling: AbortOnDropHandle<Response<AnswerBody>>,
-    /// Its share of what may be read ahead.
+    /// Permits for reading it ahead of the answers; `None` if it was first in line.
     pub _ahead: Option<Ahead>,
 }
 
-/// Holds permits of the connection and of its listener to read one request ahead.
+/// Holds the permits of the connection and of its listener for one request read ahead.
 #[derive(Debug)]
 pub(crate) struct Ahead {
     pub _connection: OwnedSemaphorePermit,
     pub _listener: OwnedSemaphorePermit,
 }
 
-/// Says what a request's head means for the form of its answer.
+/// Holds the properties of a request that determine the format of its answer.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerShape {
     is_head: bool,
@@ -73,7 +73,7 @@
 }
 
 impl AnswerShape {
-    /// Takes from a request what its answer depends on.
+    /// Extracts the properties from a request.
     pub fn of<B>(req: &Request<B>) -> Self {
         Self {
             is_head: req.method() == Method::HEAD,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns the shape of an answer after which the connection ends.
+    /// Returns the shape of an answer that closes the connection.
     pub const fn last() -> Self {
         Self {
             is_head: false,
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Writes a head that has the connection which writes answers form one for this request.
+    /// Returns a request head that makes the answering `hyper` connection format its answer for
+    /// this request.
     fn head(&self) -> Bytes {
         let method = if self.is_head { "HEAD" } else { "GET" };
         let version = match self.version {
@@ -109,7 +110,7 @@
     }
 }
 
-/// Follows how far a connection has come; shared by both ends, which run in one task.
+/// Tracks the progress of a connection; shared by its two halves, which run in one task.
 #[derive(Debug)]
 pub(crate) struct Progress {
     state: Mutex<ProgressState>,
@@ -117,37 +118,36 @@
     clock: Arc<dyn Clock>,
 }
 
-/// Says what is being read of a connection.
+/// Tells which part of a request is being read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Reading {
-    /// Heads of requests.
+    /// The head of a request.
     Heads,
-    /// The body of one, until it is whole or given up.
+    /// The body of a request, until it is complete or abandoned.
     Body,
-    /// Nothing any more.
+    /// Nothing; reading has ended.
     Ended,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProgressState {
-    /// When bytes last came or went.
+    /// When bytes were last read or written.
     pub active_at: Instant,
-    /// When bytes last came: the arrival of a head that they complete.
+    /// When bytes were last read: the arrival time of a head that they complete.
     pub read_at: Instant,
-    /// Since when the beginning of a head has been there.
+    /// When the first bytes of the incomplete head arrived; `None` without such bytes.
     pub head_since: Option<Instant>,
-    /// What is being read.
+    /// The part of a request that is being read.
     pub reading: Reading,
-    /// Whether no request is read behind the one that is being read, or behind the first of
-    /// the connection.
+    /// Whether reading stops after the current request, or after the first one of the connection.
     pub ending: bool,
-    /// Whether the caller has closed its side.
+    /// Whether the caller has closed its side of the connection.
     pub caller_left: bool,
-    /// Requests that were read.
+    /// Number of requests read.
     pub read: u64,
-    /// Requests whose answers were begun.
+    /// Number of requests whose answers have been started.
     pub answered: u64,
-    /// Whether all answers so far have been written to their last byte.
+    /// Whether all answers started so far have been written completely.
     pub written: bool,
 }
 
@@ -176,15 +176,15 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts one more request as read, and returns its number, from 0.
+    /// Counts one more request as read and returns its index on the connection, from 0.
     pub fn next_number(&self) -> u64 {
         let mut state = self.state();
         state.read += 1;
         state.read - 1
     }
 
-    /// Says how the head that was just taken announces the end of its body, of which the HTTP
-    /// library makes `body_length`. To be asked before anything behind the head is read.
+    /// Returns how the head that was just parsed frames its body; `body_length` is the HTTP
+    /// library's reading of it. To be called before any byte behind the head is read.
     pub fn finish_head(&self, body_length: Option<u64>) -> HeadFraming {
         self.heads().finish_head(body_length)
     }
@@ -211,10 +211,10 @@
         }
     }
 
-    /// Tells why a connection ends, and how many requests end unanswered with it.
+    /// Logs why a connection ends, and how many of its requests stay unanswered.
     pub fn tell_end(&self, peer: SocketAddr, reason: &str) {
         let unanswered = self.state().unanswered();
-        log::debug!(event = "connection_ended", peer:% = peer, unanswered, reason; "a caller's connection ends");
+        log::debug!(event = "connection_ended", peer:% = peer, unanswered, reason; "closed a caller's connection");
     }
 
     fn note_written(&self) {
@@ -223,30 +223,30 @@
 }
 
 impl ProgressState {
-    /// Returns the number of requests that were read and have no answer yet.
+    /// Returns the number of requests that were read and whose answers have not been started.
     pub const fn unanswered(&self) -> u64 {
         self.read - self.answered
     }
 
-    /// Returns whether the answer that was begun last is the connection's last one.
+    /// Returns whether the answer that was started last is the last one of the connection.
     ///
-    /// A body may be read on while its request is answered. Without `ending` such an answer
-    /// didn't say that the connection closes; its caller sent the next request on it, which was
-    /// dropped unread half a second later.
+    /// A request may be answered while its body is still being read. Without the check of
+    /// `ending` such an answer did not announce the close of the connection, and its caller sent
+    /// another request on it, which was dropped unread half a second later.
     pub fn is_over(&self) -> bool {
         (self.ending || self.reading == Reading::Ended) && self.unanswered() == 0
     }
 
-    /// Returns whether it is up to the caller to go on.
+    /// Returns whether all requests are answered, so that the caller has to send the next one.
     pub const fn waits_for_caller(&self) -> bool {
         self.written && self.unanswered() == 0
     }
 }
 
-/// Reads what a caller sends, and hands it on in the pieces that [`HeadScanner`] cuts.
+/// Reads what a caller sends, and passes it on in the pieces cut by [`HeadScanner`].
 #[derive(Debug)]
 pub(crate) struct RequestBytes {
-    /// What was read of the connection and isn't handed on yet.
+    /// Bytes that were read from the connection and not passed on yet.
     rest: Bytes,
     stream: Arc<OwnedReadHalf>,
     progress: Arc<Progress>,
@@ -298,18 +298,18 @@
 }
 
 impl AsyncWrite for RequestBytes {
-    /// Drops what is written, which are answers that stand in for the true ones. Only the word
-    /// that a body may be sent is passed on: whoever waits for it has no answer before it.
+    /// Discards what is written, which are placeholder answers. Only `100 Continue` is passed on:
+    /// a caller that waits for it has not been answered before.
     fn poll_write(
         self: Pin<&mut Self>,
         _cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         if buf.starts_with(CONTINUE) {
-            // A caller that doesn't get it sends the body a little later.
+            // A caller that does not receive it sends the body after a delay of its own.
             let told = self.stream.as_ref().as_ref().try_write(CONTINUE);
             if let Err(error) = told {
-                log::debug!(event = "continue_untold", error:% = error; "a caller wasn't told to go on");
+                log::debug!(event = "continue_untold", error:% = error; "could not send 100 Continue to a caller");
             }
         }
         Poll::Ready(Ok(buf.len()))
@@ -324,8 +324,8 @@
     }
 }
 
-/// Writes answers to the caller, and reads a head for each request in turn. Ends when no
-/// further request is there, so that nothing is kept for a connection that is idle.
+/// Writes answers to the caller, and supplies one request head for each of them in turn. Ends
+/// when no request is pending, so that an idle connection needs no buffers.
 #[derive(Debug)]
 pub(crate) struct AnswerBytes<'a> {
     next: Option<Slot>,
@@ -337,7 +337,7 @@
 }
 
 impl<'a> AnswerBytes<'a> {
-    /// Begins with `first`; requests whose heads were read are put into `turns`.
+    /// Starts with `first`; requests whose heads were supplied are appended to `turns`.
     pub const fn new(
         first: Slot,
         slots: &'a mut mpsc::UnboundedReceiver<Slot>,
@@ -359,7 +359,7 @@
         self.stream.as_ref().poll_write_ready(cx)
     }
 
-    /// Writes by `write` as soon as the connection takes bytes.
+    /// Calls `write` as soon as the connection accepts bytes.
     fn poll_written(
         &self,
         cx: &mut Context<'_>,
@@ -386,7 +386,7 @@
     ) -> Poll<std::io::Result<()>> {
         let this = self.get_mut();
         if !this.head.has_remaining() {
-            // The next head is asked for once the answer before it has been written.
+            // The next head is read only once the previous answer has been written.
             let next = this.next.take().or_else(|| this.slots.try_recv().ok());
             let Some(slot) = next else {
                 return Poll::Ready(Ok(()));
@@ -426,7 +426,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Leaves the connection open: the caller may go on.
+    /// Leaves the connection open, since the caller may send more requests.
     fn poll_shutdown(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/server/src/pipelined_connection.rs
+++ b/server/src/pipelined_connection.rs
@@ -1,8 +1,9 @@
-//! One caller's HTTP/1.1 connection, whose requests are read before earlier ones are answered.
+//! Pipelined HTTP/1.1 connection of a caller: requests are read before earlier ones are answered.
 //!
-//! Idempotent requests are handled side by side. An action begins only once everything before
-//! it on its connection is answered, and nothing behind it begins before it is. Answers leave
-//! in the order of the requests. `docs/design/pipelining.md` says what else was weighed.
+//! Idempotent requests are handled concurrently. An action starts only after everything before
+//! it on its connection has been answered, and nothing after it starts before its answer.
+//! Answers are sent in the order of the requests. For the alternatives considered see
+//! `docs/design/pipelining.md`.
 
 use std::collections::VecDeque;
 use std::error::Error;
@@ -59,30 +60,31 @@
 use crate::request_fault;
 use crate::request_fault::RequestFault;
 
-/// Requests of one connection that are read beyond the first unanswered one. A caller with
-/// more than that in flight gains nothing: the entry VM's share of any service is smaller.
+/// Number of requests that one connection may read beyond the first unanswered one. A caller
+/// gains nothing from more in flight: the entry VM's share of any service is smaller.
 const AHEAD_OF_CONNECTION: usize = 16;
 
-/// The same for all connections of a listener together. With [`MOST_BODY_AHEAD`] and heads of
-/// 16 KiB at most this bounds what is held for callers who don't wait to 12 MiB.
+/// Limit on requests read ahead on all connections of a listener together. With
+/// [`MOST_BODY_AHEAD`] and heads of at most 16 KiB it limits the memory for callers that do not
+/// wait for answers to 12 MiB.
 pub(crate) const AHEAD_OF_LISTENER: usize = 256;
 
-/// Bytes of a body up to which its request is handled before those ahead of it are answered.
-/// Larger ones, and those of unknown length, would let one connection hold many of them.
+/// Largest body, in bytes, of a request that may be handled before earlier ones are answered.
+/// With larger ones, or those of unknown length, one connection could occupy much memory.
 const MOST_BODY_AHEAD: u64 = 32 << 10;
 
-/// Time between two looks at whether a caller has left that isn't read from at the moment.
-/// What is under way for it must end within half a second.
+/// Interval of checks whether a caller has disconnected while its connection is not read. Its
+/// requests must be cancelled within half a second.
 const LOOK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time for which the rest of what a caller sent is read after the last answer. Closing a
-/// connection with unread bytes resets it, and the caller could lose the answer with that.
+/// Time for which the remaining bytes of a caller are read after the last answer. Closing a
+/// connection with unread bytes resets it, which could lose that answer.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// Bytes that are read and dropped at a time.
+/// Size of the buffer for discarded bytes.
 const SCRATCH_BYTES: usize = 2_048;
 
-/// Holds what a connection is served with.
+/// Holds the parameters for serving one connection.
 #[derive(Debug)]
 pub(crate) struct PipelineSetup<H> {
     pub handler: H,
@@ -93,16 +95,16 @@
     pub ahead_of_listener: Arc<Semaphore>,
 }
 
-/// Tells why an answer couldn't be had from what handles its request.
+/// Tells why there is no answer to a request.
 #[derive(Debug, Snafu)]
 enum NoAnswer {
-    #[snafu(display("the handling of a request ended early: {source}"))]
+    #[snafu(display("the task that handles a request ended early: {source}"))]
     Ended { source: JoinError },
-    #[snafu(display("an answer was asked for without a request"))]
+    #[snafu(display("an answer was requested without a pending request"))]
     NoRequest,
 }
 
-/// Serves a connection, of which `prefix` has been read, until either side ends it.
+/// Serves a connection, of which `prefix` was already read, until either side closes it.
 pub(crate) async fn serve<H: Handler>(stream: TcpStream, prefix: Bytes, setup: PipelineSetup<H>) {
     let (read_half, write_half) = stream.into_split();
     let read_half = Arc::new(read_half);
@@ -123,7 +125,7 @@
     let request_bytes = RequestBytes::new(prefix, Arc::clone(&read_half), Arc::clone(&progress));
     let service = service_fn(move |req| {
         let intake = Arc::clone(&intake);
-        // At once: what is behind the head may be read before the rest is polled.
+        // Not inside the future: bytes behind the head may be read before it is polled.
         let head = intake.note_head(&req);
         async move { Ok::<_, RequestFault>(intake.take(head?, req).await) }
     });
@@ -156,24 +158,23 @@
                 reading.as_mut().graceful_shutdown();
             }
             () = nothing_came(&stops, &progress), if slots_tx.is_some() => {
-                return progress.tell_end(peer, "the process stops and nothing has come");
+                return progress.tell_end(peer, "the process is stopping and no request arrived");
             }
             () = overdue(&progress, limits) => {
-                return progress.tell_end(peer, "the caller was idle, or slow with a head");
+                return progress.tell_end(peer, "the caller was idle or slow to send a head");
             }
             () = left(&read_half, &progress) => {
-                return progress.tell_end(peer, "the caller closed it behind unread bytes");
+                return progress.tell_end(peer, "the caller closed it with bytes unread");
             }
         }
     }
-    // An answer that was cut short has broken the connection; nobody waits for the rest then.
+    // An answer that was cut short has broken the connection; there is no rest to wait for then.
     let _ = tokio::time::timeout(LINGER, drain(&read_half)).await;
 }
 
-/// Answers a caller whose bytes can't be read as a request, or as one that may be handled, behind
-/// the answers before it.
+/// Answers bytes that are not a valid request with an error status, after the pending answers.
 fn end_with_fault(error: &hyper::Error, slots: &mpsc::UnboundedSender<Slot>, progress: &Progress) {
-    log::debug!(event = "connection_broken", error:% = error; "what a caller sent can't be read");
+    log::debug!(event = "connection_broken", error:% = error; "a caller sent an invalid request");
     let is_refused = error.source().is_some_and(<dyn Error>::is::<RequestFault>);
     if !error.is_parse() && !is_refused {
         return;
@@ -191,32 +192,32 @@
         handling: AbortOnDropHandle::new(handling),
         _ahead: None,
     };
-    // Fails only once the answers have ended, and the connection with them.
+    // Fails only after the answering half has ended, and the connection with it.
     let _ = slots.send(slot);
 }
 
-/// Holds what is known of a request once its head was read.
+/// Holds what is recorded about a request when its head was read.
 struct NotedHead {
     at: Instant,
-    /// Whether an answer before it is still due.
+    /// Whether an earlier request is still unanswered.
     is_behind: bool,
 }
 
-/// Reads requests and has them handled.
+/// Reads requests and starts their handling.
 struct Intake<H> {
     setup: PipelineSetup<H>,
-    /// The number of the request whose answer is due.
+    /// Index of the request whose answer is due.
     turn: watch::Receiver<u64>,
-    /// Weak, so that the end of reading ends the answers too.
+    /// Weak, so that the answering half ends when reading ends.
     slots: mpsc::WeakUnboundedSender<Slot>,
     ahead: Arc<Semaphore>,
-    /// Number of the latest action.
+    /// Index of the latest action.
     last_action: Mutex<Option<u64>>,
 }
 
 impl<H: Handler> Intake<H> {
-    /// Takes one request; returns, once its body was read or given up, an answer that nobody
-    /// gets and upon which `hyper` reads the next one.
+    /// Starts the handling of a request, and waits until its body was read or abandoned. The
+    /// returned placeholder answer is discarded; it makes `hyper` read the next request.
     async fn take(&self, head: NotedHead, req: Request<Incoming>) -> Response<Empty<Bytes>> {
         let shape = AnswerShape::of(&req);
         let (req, body_done) = RequestBody::hold(req);
@@ -234,7 +235,7 @@
         let handler = self.setup.handler.clone();
         let mut turn = self.turn.clone();
         let handling = tokio::spawn(async move {
-            // The other end goes with the connection, which ends this task as well.
+            // The sender ends together with the connection, which aborts this task as well.
             let _ = turn.wait_for(|turn| *turn >= begins_at).await;
             handler.handle(arrival, req).await
         });
@@ -245,10 +246,10 @@
             _ahead: ahead,
         };
         if let Some(slots) = self.slots.upgrade() {
-            // Fails only once the answers have ended, and the connection with them.
+            // Fails only after the answering half has ended, and the connection with it.
             let _ = slots.send(slot);
         }
-        // The sender is dropped with the body.
+        // The sender is dropped together with the body.
         let _ = body_done.await;
         let mut state = self.setup.progress.state();
         if state.reading == Reading::Body {
@@ -257,7 +258,7 @@
         Response::new(Empty::new())
     }
 
-    /// Notes that a head was read, and checks what the HTTP library doesn't.
+    /// Records that a head was read, and makes the checks that the HTTP library does not.
     fn note_head(&self, req: &Request<Incoming>) -> Result<NotedHead, RequestFault> {
         let progress = &self.setup.progress;
         let framing = progress.finish_head(req.body().size_hint().exact());
@@ -272,7 +273,7 @@
         })
     }
 
-    /// Waits until one more request may be read ahead; nothing only if the process ends.
+    /// Waits until one more request may be read ahead; `None` only if the process is stopping.
     async fn permission(&self) -> Option<Ahead> {
         metric::read_ahead();
         let connection = Arc::clone(&self.ahead).acquire_owned().await.ok()?;
@@ -284,7 +285,7 @@
         })
     }
 
-    /// Returns the number of the request whose turn it must be before this one begins.
+    /// Returns the index of the request whose answer must be due before this request may start.
     fn begins_at(&self, number: u64, req: &Request<RequestBody>) -> u64 {
         let is_action = !self.setup.handler.is_idempotent(req);
         let body = req.body().size_hint().upper();
@@ -304,9 +305,10 @@
 
 /// Writes the answers in the order of the requests, until no more are due.
 ///
-/// What writes them lives as long as requests follow each other: its buffers are 16 KiB, and
-/// most connections are idle most of the time. An entry VM with 350 to 420 open sockets took
-/// 13.0 to 15.0 MB at its peak with one kept for each connection, and takes 11.7 to 12.8.
+/// The `hyper` connection that writes them is dropped whenever no request is pending: its
+/// buffers take 16 KiB, and most connections are idle most of the time. An entry VM with 350 to
+/// 420 open sockets peaked at 13.0 to 15.0 MB with one kept per connection, and at 11.7 to
+/// 12.8 MB without.
 async fn answer(
     mut slots: mpsc::UnboundedReceiver<Slot>,
     stream: OwnedWriteHalf,
@@ -332,12 +334,12 @@
                 Ok::<_, NoAnswer>(response)
             }
         });
-        // The heads end while an answer is still due.
+        // There may be no further head while an answer is still due.
         let connection = http1::Builder::new()
             .half_close(true)
             .serve_connection(TokioIo::new(bytes), service);
         if let Err(error) = connection.await {
-            log::debug!(event = "connection_broken", error:% = error; "a connection ended early");
+            log::debug!(event = "connection_broken", error:% = error; "a connection broke off");
             return;
         }
         progress.state().written = true;
@@ -345,7 +347,7 @@
     }
 }
 
-/// Waits for the answer to a request; says on the last one that the connection closes.
+/// Waits for the answer to a request; on the last one, sets `connection: close`.
 async fn answer_to(slot: Slot, progress: &Progress) -> Result<Response<AnswerBody>, NoAnswer> {
     let handled = slot.handling.await;
     let mut response = handled.map_err(|source| NoAnswer::Ended { source })?;
@@ -358,10 +360,10 @@
     Ok(response)
 }
 
-/// Ends when no further request shall be read. An entry VM that leaves takes what comes next on
-/// each connection, whose last answer says that it closes; after a stop nothing. The stop is
-/// waited for also once leaving was told: a connection that was idle then would take a request at
-/// any time until the process ends, which cuts it off.
+/// Completes when no further request may be read. An entry VM that is leaving accepts one more
+/// request per connection and announces the close with its answer; after the stop signal it
+/// accepts none. The stop signal is awaited even after the leaving signal: a connection that was
+/// idle then could otherwise accept a request until the process ends and cuts it off.
 async fn must_end(stops: &Stops, progress: &Progress) {
     let last_request = async {
         stops.leaving.cancelled().await;
@@ -373,7 +375,8 @@
     }
 }
 
-/// Waits for a state of the connection. Whatever is read wakes its task.
+/// Waits until the connection is in a state for which `holds` returns true. Polled whenever the
+/// task wakes, which every read causes.
 async fn until(progress: &Progress, holds: impl Fn(&ProgressState) -> bool) {
     let look = || {
         if holds(&progress.state()) {
@@ -385,19 +388,19 @@
     poll_fn(|_| look()).await;
 }
 
-/// Ends a moment after the stop where no request has come on the connection. The HTTP library
-/// closes connections on which nothing was sent, or nothing since an answer, and waits for the
-/// rest of a first head that has begun.
+/// Completes a moment after the stop signal if the connection has carried no request. The HTTP
+/// library closes connections on which nothing was received, or nothing since an answer, but
+/// keeps waiting for the rest of a first head that has begun.
 async fn nothing_came(stops: &Stops, progress: &Progress) {
     stops.stop.cancelled().await;
-    // One that is on its way is still read, and told that it isn't taken any more.
+    // A request that is on its way is still read, and refused with an answer.
     tokio::time::sleep(LINGER).await;
     if progress.state().read > 0 {
         std::future::pending::<()>().await;
     }
 }
 
-/// Ends when a caller has taken too long for a request's head, or was idle for too long.
+/// Completes when a caller has exceeded the timeout of a request's head, or was idle too long.
 async fn overdue(progress: &Progress, limits: ConnectionLimits) {
     loop {
         let now = progress.now();
@@ -409,16 +412,16 @@
         if due <= now && state.waits_for_caller() {
             return;
         }
-        // The beginning of a head may come at any time, and is due sooner than a caller that
-        // is idle. Each look wakes the task.
+        // The first bytes of a head may arrive at any time, and are due sooner than the idle
+        // timeout. Each wake-up polls the whole task.
         let look = now + limits.header_timeout;
         let next = if due <= now { look } else { due.min(look) };
         tokio::time::sleep_until(next.into()).await;
     }
 }
 
-/// Ends when a caller has left while bytes of it lie unread: reading would tell only after
-/// these.
+/// Completes when a caller has closed the connection while bytes from it are unread; a read
+/// would report the close only after these bytes.
 async fn left(stream: &OwnedReadHalf, progress: &Progress) {
     loop {
         until(progress, |state| state.reading == Reading::Body).await;
@@ -435,7 +438,7 @@
     }
 }
 
-/// Reads and drops what a caller still sends, until it closes its side.
+/// Reads and discards what a caller still sends, until it closes its side.
 async fn drain(stream: &OwnedReadHalf) {
     let mut scratch = vec![0; SCRATCH_BYTES];
     loop {
--- a/server/src/quarantine_keeper.rs
+++ b/server/src/quarantine_keeper.rs
@@ -1,5 +1,5 @@
-//! The task of a control replica that tells what becomes of suspected requests, and has those
-//! let go that weren't heard of for long.
+//! Task of a control replica that logs changes in the quarantine of requests, and releases
+//! suspects that have not been reported for long.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 use crate::metric;
 use crate::node_request::NodeHandle;
 
-/// Time between two looks at which requests are to be let go.
+/// Time between two checks for suspects that are due for release.
 const LOOK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Follows the suspected requests of one replica.
+/// Tracks the suspected requests that one replica has applied.
 #[derive(Debug)]
 pub struct QuarantineKeeper {
     clock: Arc<dyn Clock>,
@@ -30,7 +30,7 @@
 }
 
 impl QuarantineKeeper {
-    /// Follows what a replica has applied.
+    /// Creates the task; `picture` is what the replica has applied.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, picture: FleetPicture, node: NodeHandle) -> Self {
         Self {
@@ -75,18 +75,18 @@
         }
         let command = FleetCommand::ReleaseSuspects(due_for_release);
         if let Err(error) = self.node.propose_fleet(command).await {
-            log::debug!(event = "release_open", error:% = error; "tried again at the next look");
+            log::debug!(event = "release_open", error:% = error; "could not release suspected requests; retrying at the next check");
         }
     }
 }
 
-/// Returns how many contents are quarantined, from some callers or all.
+/// Returns the number of request contents quarantined for some or all callers.
 fn quarantined(quarantine: &Quarantine) -> usize {
     let verdicts = quarantine.verdicts().into_values();
     verdicts.filter(Verdict::is_quarantine).count()
 }
 
-/// Tells which requests are treated otherwise than before.
+/// Logs each request whose treatment has changed.
 fn tell_changes(before: &Quarantine, after: &Quarantine) {
     for (request, noted) in after.suspects() {
         let (verdict, earlier) = (noted.suspect.verdict(), before.verdict(request));
@@ -97,7 +97,7 @@
     for (request, noted) in before.suspects() {
         let earlier = noted.suspect.verdict();
         if after.suspect(request).is_none() && earlier.is_some() {
-            log::info!(event = "request_cleared", fingerprint:% = request, was = name(earlier.as_ref()); "a request isn't suspected any more");
+            log::info!(event = "request_cleared", fingerprint:% = request, was = name(earlier.as_ref()); "a request is no longer suspected");
         }
     }
 }
@@ -108,7 +108,7 @@
     let ended = ended.join(", ");
     let verdict = noted.suspect.verdict();
     let (verdict, was) = (name(verdict.as_ref()), name(earlier));
-    log::warn!(event = "request_verdict", fingerprint:% = request, verdict, was, ended = ended.as_str(), noted = noted.at.0; "backend servers ended while they ran a request");
+    log::warn!(event = "request_verdict", fingerprint:% = request, verdict, was, ended = ended.as_str(), noted = noted.at.0; "backend servers ended while running a request");
 }
 
 fn name(verdict: Option<&Verdict>) -> &'static str {
--- a/server/src/shutdown.rs
+++ b/server/src/shutdown.rs
@@ -1,30 +1,30 @@
-//! Requests to stop, from signals or from a test.
+//! Stop requests, from signals or from a test.
 
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 use tokio::sync::watch;
 
-/// Tells a process to stop: once for a planned stop, twice to end the wait.
+/// Requests a stop: once for a planned stop, twice to end the wait.
 #[derive(Clone, Debug)]
 pub struct ShutdownTrigger {
     tx: watch::Sender<u32>,
 }
 
 impl ShutdownTrigger {
-    /// Asks for a stop; the second call ends the wait for what is still in flight.
+    /// Requests a stop; the second call ends the wait for work in flight.
     pub fn request(&self) {
         self.tx.send_modify(|count| *count += 1);
     }
 }
 
-/// Waits for requests to stop.
+/// Waits for stop requests.
 #[derive(Clone, Debug)]
 pub struct Shutdown {
     rx: watch::Receiver<u32>,
 }
 
 impl Shutdown {
-    /// Returns a pair that isn't tied to any signal.
+    /// Returns a pair that is not tied to any signal.
     #[must_use]
     pub fn new() -> (ShutdownTrigger, Self) {
         let (tx, rx) = watch::channel(0);
@@ -52,8 +52,8 @@
         Ok(shutdown)
     }
 
-    /// Has SIGHUP do nothing. By default it would end the process; one whose settings are
-    /// read at its start only has no other use for it.
+    /// Ignores SIGHUP, which would end the process by default. A process that reads its settings
+    /// only at its start has no other use for it.
     ///
     /// # Errors
     ///
@@ -62,25 +62,25 @@
         let mut hangups = signal(SignalKind::hangup())?;
         tokio::spawn(async move {
             while hangups.recv().await.is_some() {
-                log::info!(event = "hangup_ignored"; "settings are read at the start only");
+                log::info!(event = "hangup_ignored"; "ignored SIGHUP: settings are read only at start");
             }
         });
         Ok(())
     }
 
-    /// Waits for the first request, the planned stop.
+    /// Waits for the first request, which begins the planned stop.
     pub async fn requested(&mut self) {
         self.wait_for(1).await;
     }
 
-    /// Waits for the second request, which ends the wait for what is in flight.
+    /// Waits for the second request, which ends the wait for work in flight.
     pub async fn insisted(&mut self) {
         self.wait_for(2).await;
     }
 
     async fn wait_for(&mut self, least: u32) {
         if self.rx.wait_for(|count| *count >= least).await.is_err() {
-            // Nobody is left who could ask.
+            // All triggers have been dropped, so no request can come any more.
             std::future::pending::<()>().await;
         }
     }
--- a/server/src/stop_watch.rs
+++ b/server/src/stop_watch.rs
@@ -1,42 +1,42 @@
-//! Whether the entry VM stops, as what is under way asks it.
+//! State of a planned stop of the entry VM, as seen by requests in flight.
 
 use std::time::Instant;
 
 use heatherring_lib::planned_stop::PlannedStop;
 use tokio::sync::watch;
 
-/// Says how far a planned stop has come.
+/// Tells the phase of a planned stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StopState {
-    /// None was asked for.
+    /// No stop was requested.
     Running,
-    /// What was taken is being finished.
+    /// No further requests are accepted; those in flight are being finished.
     Stopping(PlannedStop),
-    /// The process ends now. What is still under way is cut off.
+    /// The process ends now and cuts off what is still in flight.
     Ended(PlannedStop),
 }
 
-/// Follows whether the entry VM was asked to stop.
+/// Observes whether a stop of the entry VM was requested.
 #[derive(Clone, Debug)]
 pub struct StopWatch {
     state: watch::Receiver<StopState>,
 }
 
 impl StopWatch {
-    /// Returns a watch of a process that runs, and where its stop is told.
+    /// Returns the sender for a stop's phase and an observer of it, in the phase `Running`.
     #[must_use]
     pub fn new() -> (watch::Sender<StopState>, Self) {
         let (tx, state) = watch::channel(StopState::Running);
         (tx, Self { state })
     }
 
-    /// Returns how far a stop has come.
+    /// Returns the current phase.
     #[must_use]
     pub fn state(&self) -> StopState {
         *self.state.borrow()
     }
 
-    /// Returns the stop, if one was asked for.
+    /// Returns the planned stop, if one was requested.
     fn stop(&self) -> Option<PlannedStop> {
         match self.state() {
             StopState::Running => None,
@@ -44,22 +44,22 @@
         }
     }
 
-    /// Returns until when answers are passed on, if a stop was asked for.
+    /// Returns the time until which answers are forwarded, if a stop was requested.
     #[must_use]
     pub fn answers_until(&self) -> Option<Instant> {
         self.stop().map(|stop| stop.answers_until())
     }
 
-    /// Returns whether a request that came at `arrived` came after those that a stop still takes.
+    /// Returns whether a request that arrived at `arrived` is too late for a planned stop.
     #[must_use]
     pub fn is_over_for(&self, arrived: Instant) -> bool {
         self.stop().is_some_and(|stop| !stop.accepts(arrived))
     }
 
-    /// Ends when the last answers must be there; never if no stop is asked for.
+    /// Completes when the last answers must be finished; never if no stop is requested.
     pub async fn last_answers(&self) {
         let mut state = self.state.clone();
-        // Whoever tells of stops lives as long as the process.
+        // The sender is held for as long as the process runs.
         let _ = state.wait_for(|state| *state != StopState::Running).await;
         match self.answers_until() {
             Some(until) => tokio::time::sleep_until(until.into()).await,
