--- a/server/src/direct_context.rs
+++ b/server/src/direct_context.rs
@@ -13,7 +13,7 @@
 use heatherring_lib::weighted_round_robin::WeightedRoundRobin;
 use tokio::sync::watch;
 
-use crate::crash_watch::CrashWatch;
+use crate::crash_tracker::CrashWatch;
 use crate::direct_send::DirectSender;
 use crate::dispatch_task::DispatchHandle;
 use crate::interface::EntryInterface;
--- a/server/src/direct_process.rs
+++ b/server/src/direct_process.rs
@@ -30,7 +30,7 @@
 use crate::answer_body::AnswerBody;
 use crate::backend_pool::BackendPool;
 use crate::cold_querier::ColdQuerier;
-use crate::crash_watch::CrashWatch;
+use crate::crash_tracker::CrashWatch;
 use crate::direct_admission::FIRST_VIEW_WAIT;
 use crate::direct_context::DirectContext;
 use crate::direct_path::DirectHandler;
--- a/server/src/entry_context.rs
+++ b/server/src/entry_context.rs
@@ -12,7 +12,7 @@
 use crate::action_task::ActionHandle;
 use crate::admission_handle::AdmissionHandle;
 use crate::backend_pool::BackendPool;
-use crate::crash_watch::CrashWatch;
+use crate::crash_tracker::CrashWatch;
 use crate::decision_task::DecisionHandle;
 use crate::entry_state::EntryStateReader;
 use crate::forward_client::ForwardClients;
--- a/server/src/entry_process.rs
+++ b/server/src/entry_process.rs
@@ -19,7 +19,7 @@
 use crate::backend_pool::BackendPool;
 use crate::control_session::ControlSession;
 use crate::control_session::SessionWish;
-use crate::crash_watch::CrashWatch;
+use crate::crash_tracker::CrashWatch;
 use crate::decision_task::DecisionHandle;
 use crate::entry_context::EntryContext;
 use crate::entry_context::RequestIds;
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -31,7 +31,7 @@
 use tokio::sync::watch;
 use tonic::transport::Channel;
 
-use crate::crash_watch::CrashWatch;
+use crate::crash_tracker::CrashWatch;
 use crate::dispatch_task::DispatchHandle;
 use crate::follow_calls::Answered;
 use crate::follow_calls::Asked;
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -31,7 +31,7 @@
 pub mod control_node;
 pub mod control_process;
 pub mod control_session;
-pub mod crash_watch;
+pub mod crash_tracker;
 pub mod data_folder;
 pub mod decision_note;
 pub mod decision_task;
--- a/server/tests/test_fleet_follower.rs
+++ b/server/tests/test_fleet_follower.rs
@@ -23,7 +23,7 @@
 use heatherring_lib::replica_choice::ReplicaSite;
 use heatherring_lib::settings::Security;
 use heatherring_server::backend_pool::BackendPool;
-use heatherring_server::crash_watch::CrashWatch;
+use heatherring_server::crash_tracker::CrashWatch;
 use heatherring_server::dispatch_task::DispatchHandle;
 use heatherring_server::fleet_follower;
 use heatherring_server::fleet_follower::Followed;
