--- a/server/src/crash_tracker.rs
+++ b/server/src/crash_tracker.rs
@@ -81,7 +81,7 @@
 
 /// Tracks the evidence of an entry VM on requests that may crash backend servers.
 #[derive(Clone, Debug)]
-pub struct CrashWatch {
+pub struct CrashTracker {
     inner: Arc<Inner>,
 }
 
@@ -152,7 +152,7 @@
     }
 }
 
-impl CrashWatch {
+impl CrashTracker {
     /// Creates the tracker, and the reporter that sends its notes to control.
     #[must_use]
     pub fn new(vm: VmName, clock: Arc<dyn Clock>, pool: BackendPool) -> (Self, SuspectReporter) {
@@ -339,7 +339,7 @@
 /// as unanswered: its caller disconnected, or its deadline passed.
 #[derive(Debug)]
 pub struct FollowedRequest {
-    watch: Option<CrashWatch>,
+    watch: Option<CrashTracker>,
     backend: BackendAt,
     stood: InFlightRequest,
 }
--- a/server/src/direct_context.rs
+++ b/server/src/direct_context.rs
@@ -13,7 +13,7 @@
 use heatherring_lib::weighted_round_robin::WeightedRoundRobin;
 use tokio::sync::watch;
 
-use crate::crash_tracker::CrashWatch;
+use crate::crash_tracker::CrashTracker;
 use crate::direct_send::DirectSender;
 use crate::dispatch_task::DispatchHandle;
 use crate::interface::EntryInterface;
@@ -40,7 +40,7 @@
     /// Has tokens for the limits of teams.
     pub tokens: TokenHandle,
     /// Knows which requests end backend servers.
-    pub crashes: CrashWatch,
+    pub crashes: CrashTracker,
     /// Sends to them.
     pub sender: DirectSender,
     /// Whose turn it is in each split.
--- a/server/src/direct_process.rs
+++ b/server/src/direct_process.rs
@@ -30,7 +30,7 @@
 use crate::answer_body::AnswerBody;
 use crate::backend_pool::BackendPool;
 use crate::cold_querier::ColdQuerier;
-use crate::crash_tracker::CrashWatch;
+use crate::crash_tracker::CrashTracker;
 use crate::direct_admission::FIRST_VIEW_WAIT;
 use crate::direct_context::DirectContext;
 use crate::direct_path::DirectHandler;
@@ -229,7 +229,7 @@
     dispatch: DispatchHandle,
     tokens: TokenHandle,
     pool: BackendPool,
-    crashes: CrashWatch,
+    crashes: CrashTracker,
     followed: Followed,
 }
 
@@ -249,7 +249,7 @@
         };
         let pool = BackendPool::spawn();
         let vm = settings.vm.clone();
-        let (crashes, reporter) = CrashWatch::new(vm.clone(), Arc::clone(clock), pool.clone());
+        let (crashes, reporter) = CrashTracker::new(vm.clone(), Arc::clone(clock), pool.clone());
         let followed = fleet_follower::spawn(FollowerSetup {
             vm,
             record,
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -39,7 +39,7 @@
 use crate::answer_body::AnswerEnd;
 use crate::backend_pool::BackendConnection;
 use crate::backend_pool::BackendPool;
-use crate::crash_tracker::CrashWatch;
+use crate::crash_tracker::CrashTracker;
 use crate::crash_tracker::FollowedRequest;
 use crate::dispatch_task::DispatchHandle;
 use crate::header;
@@ -134,7 +134,7 @@
     view: watch::Receiver<Arc<FleetView>>,
     /// Told at once of connections: an answer may come a second later.
     dispatch: DispatchHandle,
-    crashes: CrashWatch,
+    crashes: CrashTracker,
     stopping: StopWatch,
 }
 
@@ -146,7 +146,7 @@
         interface: Arc<dyn EntryInterface>,
         view: watch::Receiver<Arc<FleetView>>,
         dispatch: DispatchHandle,
-        crashes: CrashWatch,
+        crashes: CrashTracker,
         stopping: StopWatch,
     ) -> Self {
         Self {
--- a/server/src/entry_context.rs
+++ b/server/src/entry_context.rs
@@ -12,7 +12,7 @@
 use crate::action_task::ActionHandle;
 use crate::admission_handle::AdmissionHandle;
 use crate::backend_pool::BackendPool;
-use crate::crash_tracker::CrashWatch;
+use crate::crash_tracker::CrashTracker;
 use crate::decision_task::DecisionHandle;
 use crate::entry_state::EntryStateReader;
 use crate::forward_client::ForwardClients;
@@ -38,7 +38,7 @@
     /// Connections to backend servers.
     pub pool: BackendPool,
     /// Tracks requests that crash backend servers owned by this entry VM.
-    pub crashes: CrashWatch,
+    pub crashes: CrashTracker,
     /// Connections to other entry VMs, for forwarded requests.
     pub forward: ForwardClients,
     /// Budgets of this entry VM on the links to other regions.
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -31,7 +31,7 @@
 use tokio::sync::watch;
 use tonic::transport::Channel;
 
-use crate::crash_tracker::CrashWatch;
+use crate::crash_tracker::CrashTracker;
 use crate::dispatch_task::DispatchHandle;
 use crate::follow_calls::Answered;
 use crate::follow_calls::Asked;
@@ -67,7 +67,7 @@
     /// Follows the view, too.
     pub dispatch: DispatchHandle,
     /// Follows the view and the verdicts on requests.
-    pub crashes: CrashWatch,
+    pub crashes: CrashTracker,
 }
 
 struct Follower {
