--- a/server/src/crash_tracker.rs
+++ b/server/src/crash_tracker.rs
@@ -130,7 +130,7 @@
 
 /// Identifies a backend server and how to reach it.
 #[derive(Clone, Debug)]
-pub struct BackendAt {
+pub struct TrackedBackend {
     /// The backend server's incarnation.
     pub life: BackendIncarnation,
     /// Its address.
@@ -139,7 +139,7 @@
     pub max_connections: u32,
 }
 
-impl From<&Choice> for BackendAt {
+impl From<&Choice> for TrackedBackend {
     fn from(choice: &Choice) -> Self {
         Self {
             life: BackendIncarnation {
@@ -242,7 +242,7 @@
 
     /// Starts to track a request that is being sent to a backend server.
     #[must_use]
-    pub fn follow(&self, backend: BackendAt, tag: RequestTag) -> FollowedRequest {
+    pub fn follow(&self, backend: TrackedBackend, tag: RequestTag) -> FollowedRequest {
         let watched = self.treatment(&tag).is_some();
         FollowedRequest {
             watch: Some(self.clone()),
@@ -286,12 +286,12 @@
     }
 
     /// Connects to a backend server to find out whether it has ended.
-    fn ask(&self, backend: &BackendAt) {
+    fn ask(&self, backend: &TrackedBackend) {
         if !self.state().asked.insert(backend.life.clone()) {
             return;
         }
         let watch = self.clone();
-        let BackendAt {
+        let TrackedBackend {
             life,
             address,
             max_connections: limit,
@@ -340,7 +340,7 @@
 #[derive(Debug)]
 pub struct FollowedRequest {
     watch: Option<CrashTracker>,
-    backend: BackendAt,
+    backend: TrackedBackend,
     stood: InFlightRequest,
 }
 
