--- a/server/src/crash_tracker.rs
+++ b/server/src/crash_tracker.rs
@@ -242,9 +242,9 @@
 
     /// Starts to track a request that is being sent to a backend server.
     #[must_use]
-    pub fn follow(&self, backend: TrackedBackend, tag: RequestTag) -> FollowedRequest {
+    pub fn follow(&self, backend: TrackedBackend, tag: RequestTag) -> TrackedRequest {
         let watched = self.treatment(&tag).is_some();
-        FollowedRequest {
+        TrackedRequest {
             watch: Some(self.clone()),
             backend,
             stood: InFlightRequest { tag, watched },
@@ -338,13 +338,13 @@
 /// Tracks one request at one backend server. If dropped without an outcome, the request counts
 /// as unanswered: its caller disconnected, or its deadline passed.
 #[derive(Debug)]
-pub struct FollowedRequest {
+pub struct TrackedRequest {
     watch: Option<CrashTracker>,
     backend: TrackedBackend,
     stood: InFlightRequest,
 }
 
-impl FollowedRequest {
+impl TrackedRequest {
     /// Records that the backend server did not receive the request, or reported that it did not
     /// run it.
     pub fn not_run(mut self) {
@@ -369,7 +369,7 @@
     }
 }
 
-impl Drop for FollowedRequest {
+impl Drop for TrackedRequest {
     fn drop(&mut self) {
         if let Some(watch) = self.watch.take() {
             watch.note_unanswered(&self.backend.life, self.stood);
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -40,7 +40,7 @@
 use crate::backend_pool::BackendConnection;
 use crate::backend_pool::BackendPool;
 use crate::crash_tracker::CrashTracker;
-use crate::crash_tracker::FollowedRequest;
+use crate::crash_tracker::TrackedRequest;
 use crate::dispatch_task::DispatchHandle;
 use crate::header;
 use crate::header::remove_hop_by_hop;
@@ -405,7 +405,7 @@
     req: &'a DirectRequest,
     sent: Attempt<MayHaveRun>,
     connection: BackendConnection,
-    followed: FollowedRequest,
+    followed: TrackedRequest,
 }
 
 enum Exchange {
@@ -418,7 +418,7 @@
 struct StreamEnd {
     pool: BackendPool,
     connection: BackendConnection,
-    followed: FollowedRequest,
+    followed: TrackedRequest,
     keep: Duration,
     dispatch: DispatchHandle,
     backend: BackendKey,
--- a/server/src/owner_path.rs
+++ b/server/src/owner_path.rs
@@ -29,8 +29,8 @@
 use crate::answer_body::AnswerEnd;
 use crate::backend_pool::BackendConnection;
 use crate::backend_pool::BackendPool;
-use crate::crash_tracker::FollowedRequest;
 use crate::crash_tracker::TrackedBackend;
+use crate::crash_tracker::TrackedRequest;
 use crate::dispatcher;
 use crate::dispatcher::BackendAnswer;
 use crate::dispatcher::BackendTarget;
@@ -206,7 +206,7 @@
 struct OwnedAnswerEnd {
     guard: DispatchGuard,
     connection: BackendConnection,
-    followed: FollowedRequest,
+    followed: TrackedRequest,
     pool: BackendPool,
 }
 
