--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -55,7 +55,7 @@
 use crate::proto::operator_server::OperatorServer;
 use crate::proto::replication_server::ReplicationServer;
 use crate::proto::session_server::SessionServer;
-use crate::quarantine_keeper::QuarantineKeeper;
+use crate::quarantine_monitor::QuarantineKeeper;
 use crate::replication_service::ReplicationService;
 use crate::session_service::SessionService;
 use crate::shutdown::Shutdown;
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -91,7 +91,7 @@
 mod pipeline_io;
 mod pipelined_connection;
 pub mod presence_task;
-pub mod quarantine_keeper;
+pub mod quarantine_monitor;
 pub mod query_parameter;
 pub mod record_codec;
 pub mod refusal;
