--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -55,7 +55,7 @@
 use crate::proto::operator_server::OperatorServer;
 use crate::proto::replication_server::ReplicationServer;
 use crate::proto::session_server::SessionServer;
-use crate::quarantine_monitor::QuarantineKeeper;
+use crate::quarantine_monitor::QuarantineMonitor;
 use crate::replication_service::ReplicationService;
 use crate::session_service::SessionService;
 use crate::shutdown::Shutdown;
@@ -337,7 +337,7 @@
         let places = direct.places.clone();
         tokio::spawn(follow_regions(presence.clone(), node.clone(), places));
     }
-    let keeper = QuarantineKeeper::new(Arc::clone(clock), picture.clone(), node.clone());
+    let keeper = QuarantineMonitor::new(Arc::clone(clock), picture.clone(), node.clone());
     tokio::spawn(keeper.run());
     FleetControl::new(
         Arc::clone(clock),
--- a/server/src/quarantine_monitor.rs
+++ b/server/src/quarantine_monitor.rs
@@ -21,7 +21,7 @@
 
 /// Tracks the suspected requests that one replica has applied.
 #[derive(Debug)]
-pub struct QuarantineKeeper {
+pub struct QuarantineMonitor {
     clock: Arc<dyn Clock>,
     picture: FleetPicture,
     node: NodeHandle,
@@ -29,7 +29,7 @@
     times: QuarantineTimes,
 }
 
-impl QuarantineKeeper {
+impl QuarantineMonitor {
     /// Creates the task; `picture` is what the replica has applied.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, picture: FleetPicture, node: NodeHandle) -> Self {
