--- a/server/src/direct_context.rs
+++ b/server/src/direct_context.rs
@@ -17,7 +17,7 @@
 use crate::direct_send::DirectSender;
 use crate::dispatch_task::DispatchHandle;
 use crate::interface::EntryInterface;
-use crate::stop_watch::StopWatch;
+use crate::stop_observer::StopWatch;
 use crate::token_task::TokenHandle;
 
 /// Holds what the handling of a request needs.
--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -38,7 +38,7 @@
 use crate::request_body::RequestBody;
 use crate::request_trace::Decided;
 use crate::request_trace::RequestTrace;
-use crate::stop_watch::StopState;
+use crate::stop_observer::StopState;
 
 /// When a caller is told to come back after a backend server turned its request away.
 const SHED_RETRY: Duration = Duration::from_millis(300);
--- a/server/src/direct_process.rs
+++ b/server/src/direct_process.rs
@@ -58,8 +58,8 @@
 use crate::peer_security::PeerSecurityError;
 use crate::request_body::RequestBody;
 use crate::shutdown::Shutdown;
-use crate::stop_watch::StopState;
-use crate::stop_watch::StopWatch;
+use crate::stop_observer::StopState;
+use crate::stop_observer::StopWatch;
 use crate::token_task::TokenHandle;
 use crate::token_task::TokenSetup;
 
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -49,7 +49,7 @@
 use crate::interface::OutgoingMarks;
 use crate::known_asker::KnownAsker;
 use crate::refusal_body;
-use crate::stop_watch::StopWatch;
+use crate::stop_observer::StopWatch;
 
 /// Bytes of an answer up to which it is read whole before its head is passed on. An answer
 /// that breaks off can then be asked for again elsewhere, if that does no harm.
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -108,7 +108,7 @@
 pub mod session_service;
 pub mod shutdown;
 pub mod status_report;
-pub mod stop_watch;
+pub mod stop_observer;
 pub mod submit_reply;
 pub mod sync_target;
 pub mod token_desk;
