--- a/server/src/direct_context.rs
+++ b/server/src/direct_context.rs
@@ -17,7 +17,7 @@
 use crate::direct_send::DirectSender;
 use crate::dispatch_task::DispatchHandle;
 use crate::interface::EntryInterface;
-use crate::stop_observer::StopWatch;
+use crate::stop_observer::StopObserver;
 use crate::token_task::TokenHandle;
 
 /// Holds what the handling of a request needs.
@@ -46,7 +46,7 @@
     /// Whose turn it is in each split.
     pub turns: Mutex<HashMap<RouteName, WeightedRoundRobin>>,
     /// Whether the entry VM stops.
-    pub stopping: StopWatch,
+    pub stopping: StopObserver,
     /// Time for which a request waits for the first view at most.
     pub first_view_wait: Duration,
 }
--- a/server/src/direct_process.rs
+++ b/server/src/direct_process.rs
@@ -58,8 +58,8 @@
 use crate::peer_security::PeerSecurityError;
 use crate::request_body::RequestBody;
 use crate::shutdown::Shutdown;
+use crate::stop_observer::StopObserver;
 use crate::stop_observer::StopState;
-use crate::stop_observer::StopWatch;
 use crate::token_task::TokenHandle;
 use crate::token_task::TokenSetup;
 
@@ -160,7 +160,7 @@
         interface: Arc::clone(&interface),
     };
     tokio::spawn(questioner.run());
-    let (stop_tx, stopping) = StopWatch::new();
+    let (stop_tx, stopping) = StopObserver::new();
     let sender = DirectSender::new(
         pool,
         Arc::clone(&interface),
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -49,7 +49,7 @@
 use crate::interface::OutgoingMarks;
 use crate::known_asker::KnownAsker;
 use crate::refusal_body;
-use crate::stop_observer::StopWatch;
+use crate::stop_observer::StopObserver;
 
 /// Bytes of an answer up to which it is read whole before its head is passed on. An answer
 /// that breaks off can then be asked for again elsewhere, if that does no harm.
@@ -135,7 +135,7 @@
     /// Told at once of connections: an answer may come a second later.
     dispatch: DispatchHandle,
     crashes: CrashTracker,
-    stopping: StopWatch,
+    stopping: StopObserver,
 }
 
 impl DirectSender {
@@ -147,7 +147,7 @@
         view: watch::Receiver<Arc<FleetView>>,
         dispatch: DispatchHandle,
         crashes: CrashTracker,
-        stopping: StopWatch,
+        stopping: StopObserver,
     ) -> Self {
         Self {
             pool,
--- a/server/src/stop_observer.rs
+++ b/server/src/stop_observer.rs
@@ -18,11 +18,11 @@
 
 /// Observes whether a stop of the entry VM was requested.
 #[derive(Clone, Debug)]
-pub struct StopWatch {
+pub struct StopObserver {
     state: watch::Receiver<StopState>,
 }
 
-impl StopWatch {
+impl StopObserver {
     /// Returns the sender for a stop's phase and an observer of it, in the phase `Running`.
     #[must_use]
     pub fn new() -> (watch::Sender<StopState>, Self) {
