--- a/server/src/entry_metrics.rs
+++ b/server/src/entry_metrics.rs
@@ -18,14 +18,14 @@
 
 /// Distinguishes look-ups from requests to services.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Asked {
+pub enum CallKind {
     /// A look-up of the entry VM to use.
     LookUp,
     /// A request to a service.
     Request,
 }
 
-impl Asked {
+impl CallKind {
     const fn name(self) -> &'static str {
         match self {
             Self::LookUp => "look_ups",
@@ -35,7 +35,12 @@
 }
 
 /// Counts and times the answer to a caller.
-pub fn asked(metrics: &StatsdClient, asked: Asked, refused: Option<&Refused>, elapsed: Duration) {
+pub fn asked(
+    metrics: &StatsdClient,
+    asked: CallKind,
+    refused: Option<&Refused>,
+    elapsed: Duration,
+) {
     let name = asked.name();
     let Some(refused) = refused else {
         count(metrics, &format!("{name}.answered"));
