--- a/server/src/admission_task.rs
+++ b/server/src/admission_task.rs
@@ -375,7 +375,7 @@
     /// it, other entry VMs send no requests to new slots and too many to removed ones.
     fn tell_changed_slots(&mut self, now: Instant) {
         let core = self.core.as_mut();
-        if core.is_some_and(|core| core.has_untold_slots(now)) {
+        if core.is_some_and(|core| core.has_unreported_slots(now)) {
             self.send_digest();
         }
     }
