--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -144,7 +144,7 @@
         req: Request<RequestBody>,
         trace: &mut RequestTrace,
     ) -> Result<DirectAnswer, Refused> {
-        if self.stopping.is_over_for(arrival.at) {
+        if self.stopping.is_too_late(arrival.at) {
             return Err(leaving().into());
         }
         let admitted = tokio::select! {
--- a/server/src/stop_observer.rs
+++ b/server/src/stop_observer.rs
@@ -52,7 +52,7 @@
 
     /// Returns whether a request that arrived at `arrived` is too late for a planned stop.
     #[must_use]
-    pub fn is_over_for(&self, arrived: Instant) -> bool {
+    pub fn is_too_late(&self, arrived: Instant) -> bool {
         self.stop().is_some_and(|stop| !stop.accepts(arrived))
     }
 
