--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -248,7 +248,7 @@
     handle.leave().await;
     tokio::select! {
         result = &mut node => node_result(result)?,
-        () = shutdown.insisted() => return Ok(()),
+        () = shutdown.requested_again() => return Ok(()),
     }
     stop_listeners.cancel();
     // The server may have ended by itself; then nobody listens to this.
@@ -261,7 +261,7 @@
     };
     tokio::select! {
         result = finished => result?,
-        () = shutdown.insisted() => {}
+        () = shutdown.requested_again() => {}
         () = tokio::time::sleep(FINISH_WITHIN) => log::warn!(event = "control_stop_late"; "some connections did not end in time"),
     }
     log::info!(event = "control_ended"; "control replica stopped");
--- a/server/src/direct_process.rs
+++ b/server/src/direct_process.rs
@@ -297,7 +297,7 @@
         self.stops.leaving.cancel();
         tokio::select! {
             () = serve_out(stop, &self.stops.stop, self.serving) => {}
-            () = shutdown.insisted() => log::warn!(event = "entry_stop_forced"; "asked to stop twice: what is under way is cut off"),
+            () = shutdown.requested_again() => log::warn!(event = "entry_stop_forced"; "asked to stop twice: what is under way is cut off"),
         }
         self.stopping.send_replace(StopState::Ended(stop));
     }
--- a/server/src/entry_process.rs
+++ b/server/src/entry_process.rs
@@ -216,7 +216,7 @@
         self.servers.leave();
         tokio::select! {
             () = self.finish() => {}
-            () = shutdown.insisted() => {
+            () = shutdown.requested_again() => {
                 log::warn!(event = "entry_stop_forced", vm = self.cx.info.vm.as_str(); "second stop request: cutting off requests in flight");
             }
         }
