--- a/server/src/admission_handle.rs
+++ b/server/src/admission_handle.rs
@@ -107,7 +107,7 @@
     Sent(Candidate),
     Failed(Candidate, CandidateFailure),
     RoundTrip(SessionId, Duration),
-    TryAgain(oneshot::Sender<bool>),
+    TakeRetry(oneshot::Sender<bool>),
     Status(oneshot::Sender<AdmissionStatus>),
 }
 
@@ -166,13 +166,13 @@
 struct WaitGuard<'a> {
     handle: &'a AdmissionHandle,
     token: RequestToken,
-    settled: bool,
+    done: bool,
 }
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        if !self.settled {
-            self.handle.tell(Message::Cancel(self.token));
+        if !self.done {
+            self.handle.send(Message::Cancel(self.token));
         }
     }
 }
@@ -202,7 +202,7 @@
         caller: u64,
     ) -> Result<LookupAnswer, NotRun> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::LookUp {
+        self.send(Message::LookUp {
             service,
             origin,
             caller,
@@ -219,7 +219,7 @@
         left: Duration,
     ) -> Vec<Candidate> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Steer {
+        self.send(Message::Steer {
             service,
             origin,
             left,
@@ -239,15 +239,15 @@
         let mut guard = WaitGuard {
             handle: self,
             token,
-            settled: false,
+            done: false,
         };
-        self.tell(Message::Offer {
+        self.send(Message::Offer {
             token,
             request,
             reply,
         });
         let result = answer.await;
-        guard.settled = true;
+        guard.done = true;
         result.unwrap_or_else(|_| Err(no_session()))
     }
 
@@ -261,7 +261,7 @@
         announcement: Announcement,
     ) -> Option<Result<(), AnnouncementError>> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Announce {
+        self.send(Message::Announce {
             announcement: Box::new(announcement),
             reply,
         });
@@ -270,44 +270,44 @@
 
     /// Applies the load digest of another entry VM.
     pub fn take_digest(&self, digest: LoadDigest) {
-        self.tell(Message::Digest { digest });
+        self.send(Message::Digest { digest });
     }
 
     /// Applies a release sent by a group's previous owner.
     pub fn take_release(&self, release: Release) {
-        self.tell(Message::Release(release));
+        self.send(Message::Release(release));
     }
 
     /// Records that a request was sent to `candidate`.
     pub fn note_sent(&self, candidate: Candidate) {
-        self.tell(Message::Sent(candidate));
+        self.send(Message::Sent(candidate));
     }
 
     /// Records that `candidate` did not accept a request.
     pub fn note_failed(&self, candidate: Candidate, failure: CandidateFailure) {
-        self.tell(Message::Failed(candidate, failure));
+        self.send(Message::Failed(candidate, failure));
     }
 
     /// Records a measured round trip to the entry VM of another session.
     pub fn note_round_trip(&self, session: SessionId, round_trip: Duration) {
-        self.tell(Message::RoundTrip(session, round_trip));
+        self.send(Message::RoundTrip(session, round_trip));
     }
 
     /// Takes one retry from the retry budget. Returns `false` if the budget is exhausted.
     pub async fn try_again(&self) -> bool {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::TryAgain(reply));
+        self.send(Message::TakeRetry(reply));
         answer.await.unwrap_or(false)
     }
 
     /// Returns the admission status; the default value once the task has ended.
     pub async fn status(&self) -> AdmissionStatus {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Status(reply));
+        self.send(Message::Status(reply));
         answer.await.unwrap_or_default()
     }
 
-    fn tell(&self, message: Message) {
+    fn send(&self, message: Message) {
         // Once the task has ended the reply channel closes, which the requester notices.
         let _ = self.tx.send(message);
     }
--- a/server/src/admission_task.rs
+++ b/server/src/admission_task.rs
@@ -96,18 +96,18 @@
                 .and_then(|core| core.admission.next_tick());
             tokio::select! {
                 biased;
-                Some(event) = self.events.recv() => self.take_event(event),
+                Some(event) = self.events.recv() => self.handle_event(event),
                 () = sleep_until(next_tick) => self.tick(),
                 _ = digest_due.tick() => self.send_digest(),
                 message = self.rx.recv() => match message {
-                    Some(message) => self.take_message(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
             }
         }
     }
 
-    fn take_event(&mut self, event: ControlEvent) {
+    fn handle_event(&mut self, event: ControlEvent) {
         let now = self.clock.now();
         if let ControlEvent::Opened { session, view } = event {
             let mut core = SessionCore::new(session, self.seed);
@@ -147,17 +147,17 @@
                 return;
             }
             ControlEvent::Lost => {
-                self.lose();
+                self.drop_session();
                 return;
             }
         };
         self.carry_out(effects);
-        self.tell_changed_slots(now);
+        self.report_changed_slots(now);
     }
 
     /// Drops all state of the session and refuses the waiting requests. Dispatched requests run
     /// to completion; the next owner counts the slots they occupy.
-    fn lose(&mut self) {
+    fn drop_session(&mut self) {
         self.core = None;
         for (_, reply) in self.waiting.drain() {
             let _ = reply.send(Err(no_session()));
@@ -181,7 +181,7 @@
         }
     }
 
-    fn take_message(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = self.clock.now();
         match message {
             Message::LookUp {
@@ -227,7 +227,7 @@
             Message::Status(reply) => {
                 let _ = reply.send(self.status(now));
             }
-            Message::TryAgain(reply) => {
+            Message::TakeRetry(reply) => {
                 let core = self.core.as_mut();
                 let granted = core.is_some_and(|core| core.retries.try_take(now));
                 let _ = reply.send(granted);
@@ -236,15 +236,15 @@
                 if let Some(core) = &mut self.core {
                     let effects = core.admission.take_release(now, &release);
                     self.carry_out(effects);
-                    self.tell_changed_slots(now);
+                    self.report_changed_slots(now);
                 }
             }
-            note => self.take_note(now, note),
+            note => self.handle_note(now, note),
         }
     }
 
     /// Handles messages that concern only steering.
-    fn take_note(&mut self, now: Instant, note: Message) {
+    fn handle_note(&mut self, now: Instant, note: Message) {
         let Some(core) = &mut self.core else {
             return;
         };
@@ -368,12 +368,12 @@
                 let _ = reply.send(Err(error));
             }
         }
-        self.tell_changed_slots(now);
+        self.report_changed_slots(now);
     }
 
     /// Sends a digest ahead of schedule if the number of slots has changed. Until they receive
     /// it, other entry VMs send no requests to new slots and too many to removed ones.
-    fn tell_changed_slots(&mut self, now: Instant) {
+    fn report_changed_slots(&mut self, now: Instant) {
         let core = self.core.as_mut();
         if core.is_some_and(|core| core.has_unreported_slots(now)) {
             self.send_digest();
@@ -401,7 +401,7 @@
                     let now = self.clock.now();
                     match self.waiting.remove(&token) {
                         Some(reply) => self.grant(now, dispatch, reply),
-                        None => self.give_back(now, dispatch.key),
+                        None => self.free_slot(now, dispatch.key),
                     }
                 }
                 Effect::Refuse { token, refusal } => {
@@ -416,7 +416,7 @@
     }
 
     /// Frees a slot whose requester has gone.
-    fn give_back(&mut self, now: Instant, key: DispatchKey) {
+    fn free_slot(&mut self, now: Instant, key: DispatchKey) {
         if let Some(core) = &mut self.core {
             let effects = core.admission.finish(now, key, Ending::Cancelled);
             self.carry_out(effects);
--- a/server/src/announcement_batch.rs
+++ b/server/src/announcement_batch.rs
@@ -11,10 +11,10 @@
 
 /// Time for which announcements are collected. It adds to the time until a new backend server
 /// receives requests, which is otherwise at most two heartbeats of 1.5 s.
-const GATHER_FOR: Duration = Duration::from_millis(50);
+const BATCH_WINDOW: Duration = Duration::from_millis(50);
 
 /// Largest number of announcements in one commit; each takes about 100 bytes.
-const MOST_TOGETHER: usize = 256;
+const MAX_BATCH: usize = 256;
 
 /// Adds announcements to the next commit.
 #[derive(Clone, Debug)]
@@ -29,7 +29,7 @@
         C: Future<Output = ()> + Send + 'static,
     {
         let (tx, rx) = mpsc::unbounded_channel();
-        tokio::spawn(gather(rx, commit));
+        tokio::spawn(collect_batches(rx, commit));
         Self { tx }
     }
 
@@ -40,21 +40,21 @@
     }
 }
 
-/// Collects `first` and the items that `next` returns, `most` altogether.
-pub(crate) fn gathered<T>(first: T, most: usize, next: impl FnMut() -> Option<T>) -> Vec<T> {
+/// Collects `first` and the items that `next` returns, `max` altogether.
+pub(crate) fn collect_batch<T>(first: T, max: usize, next: impl FnMut() -> Option<T>) -> Vec<T> {
     let rest = std::iter::from_fn(next);
-    std::iter::once(first).chain(rest).take(most).collect()
+    std::iter::once(first).chain(rest).take(max).collect()
 }
 
-async fn gather<C>(
+async fn collect_batches<C>(
     mut rx: mpsc::UnboundedReceiver<BackendChange>,
     commit: impl Fn(Vec<BackendChange>) -> C,
 ) where
     C: Future<Output = ()> + Send + 'static,
 {
     while let Some(first) = rx.recv().await {
-        tokio::time::sleep(GATHER_FOR).await;
-        let changes = gathered(first, MOST_TOGETHER, || rx.try_recv().ok());
+        tokio::time::sleep(BATCH_WINDOW).await;
+        let changes = collect_batch(first, MAX_BATCH, || rx.try_recv().ok());
         // Spawned, so that a slow commit does not delay the following ones.
         tokio::spawn(commit(changes));
     }
--- a/server/src/backend_pool.rs
+++ b/server/src/backend_pool.rs
@@ -239,11 +239,11 @@
         self.give_back_for(connection, MAX_IDLE);
     }
 
-    /// Like [`Self::give_back`], for a connection that may stay idle for at most `keep`.
-    pub fn give_back_for(&self, connection: BackendConnection, keep: Duration) {
-        let keep = keep.min(MAX_IDLE);
+    /// Like [`Self::give_back`], for a connection that may stay idle for at most `max_idle`.
+    pub fn give_back_for(&self, connection: BackendConnection, max_idle: Duration) {
+        let max_idle = max_idle.min(MAX_IDLE);
         // A failed send drops the connection and thereby closes it.
-        let _ = self.tx.send(PoolMessage::Return(connection, keep));
+        let _ = self.tx.send(PoolMessage::Return(connection, max_idle));
     }
 
     /// Closes the idle connections to `address`, so that they do not count against the backend
@@ -291,7 +291,7 @@
     // Nagle's algorithm could delay a small request until the previous one is acknowledged.
     stream.set_nodelay(true).context(ConnectSnafu { address })?;
     let established_in = begun.elapsed();
-    limit_silence(&stream);
+    set_user_timeout(&stream);
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .context(HandshakeSnafu { address })?;
@@ -312,7 +312,7 @@
 /// Sets the TCP user timeout, so that the system breaks the connection when sent bytes are
 /// not acknowledged within [`UNACKNOWLEDGED_TIMEOUT`]. A connection can go silent without a
 /// reset; without this only the caller's deadline would end the wait.
-fn limit_silence(stream: &TcpStream) {
+fn set_user_timeout(stream: &TcpStream) {
     let millis = u32::try_from(UNACKNOWLEDGED_TIMEOUT.as_millis()).unwrap_or(u32::MAX);
     if let Err(error) = rustix::net::sockopt::set_tcp_user_timeout(stream, millis) {
         log::debug!(event = "user_timeout_refused", error:% = error; "cannot set the TCP user timeout of a connection");
@@ -322,13 +322,13 @@
 #[derive(Debug)]
 struct IdleConnection {
     since: Instant,
-    keep: Duration,
+    max_idle: Duration,
     connection: BackendConnection,
 }
 
 impl IdleConnection {
     fn is_usable(&self, now: Instant) -> bool {
-        !self.connection.sender.is_closed() && now.duration_since(self.since) < self.keep
+        !self.connection.sender.is_closed() && now.duration_since(self.since) < self.max_idle
     }
 }
 
@@ -367,7 +367,7 @@
                 fresh,
                 reply,
             } => self.check_out(address, limit, fresh, reply),
-            PoolMessage::Return(connection, keep) => self.take_back(connection, keep),
+            PoolMessage::Return(connection, max_idle) => self.return_idle(connection, max_idle),
             PoolMessage::Closed(address) => self.note_closed(address),
             PoolMessage::Disconnect(address) => self.disconnect(address),
         }
@@ -400,14 +400,14 @@
         let _ = reply.send(Checkout::Connect(ConnectionPermit { address, tx }));
     }
 
-    fn take_back(&mut self, mut connection: BackendConnection, keep: Duration) {
+    fn return_idle(&mut self, mut connection: BackendConnection, max_idle: Duration) {
         connection.reused = true;
         let Some(server) = self.servers.get_mut(&connection.address) else {
             return;
         };
         server.idle.push(IdleConnection {
             since: Instant::now(),
-            keep,
+            max_idle,
             connection,
         });
     }
--- a/server/src/caller_listener.rs
+++ b/server/src/caller_listener.rs
@@ -74,11 +74,11 @@
         let Arrival { peer, at: arrived } = arrival;
         let request_id = self.cx.request_ids.draw();
         let method = req.method().clone();
-        let asked = asked(req.uri().path());
+        let kind = call_kind(req.uri().path());
         let service = named_service(req.uri().path());
         let result = self.answer(peer, &request_id, arrived, req).await;
         let elapsed = self.cx.now().saturating_duration_since(arrived);
-        entry_metrics::asked(&self.cx.metrics, asked, result.as_ref().err(), elapsed);
+        entry_metrics::record_call(&self.cx.metrics, kind, result.as_ref().err(), elapsed);
         let mut response = match result {
             Ok(response) => response,
             Err(refused) => {
@@ -152,7 +152,7 @@
         arrived: Instant,
         req: Request<RequestBody>,
     ) -> Result<ServiceRequest, NotRun> {
-        self.until_session(arrived, req.headers()).await;
+        self.wait_for_session(arrived, req.headers()).await;
         if self.cx.state.live_session().is_none() {
             return Err(refuse(NotRunReason::LeaseLapsed));
         }
@@ -192,16 +192,16 @@
 
     /// Waits for the first session to be opened. A lost session is not waited for: other entry
     /// VMs have taken over its groups.
-    async fn until_session(&self, arrived: Instant, headers: &HeaderMap) {
+    async fn wait_for_session(&self, arrived: Instant, headers: &HeaderMap) {
         let mut state = self.cx.state.clone();
         let opened = async {
             while state.read().view.revision == Revision::default() {
                 state.changed().await;
             }
         };
-        let patience = header::number(headers, &header::DEADLINE_MS).flatten();
-        let patience = patience.map(Duration::from_millis);
-        let until = start_wait::wait_until(arrived, FIRST_SESSION_WAIT, patience);
+        let caller_timeout = header::number(headers, &header::DEADLINE_MS).flatten();
+        let caller_timeout = caller_timeout.map(Duration::from_millis);
+        let until = start_wait::wait_until(arrived, FIRST_SESSION_WAIT, caller_timeout);
         // If no session is open by then, the request is refused.
         let _ = tokio::time::timeout_at(until.into(), opened).await;
     }
@@ -269,7 +269,7 @@
     }
 }
 
-fn asked(path: &str) -> CallKind {
+fn call_kind(path: &str) -> CallKind {
     if path.starts_with(LOOK_UP_PREFIX) {
         CallKind::LookUp
     } else {
--- a/server/src/cold_querier.rs
+++ b/server/src/cold_querier.rs
@@ -24,10 +24,10 @@
 
 /// Timeout of a reply: later ones are of no use, since a reply is valid for 0.65 s, and the next
 /// query is sent after 0.25 s.
-const ANSWER_WITHIN: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Longest idle time of a connection between two queries.
-const KEEP: Duration = Duration::from_secs(2);
+const MAX_IDLE: Duration = Duration::from_secs(2);
 
 /// Tells why a query got no reply.
 #[derive(Debug, Snafu)]
@@ -39,9 +39,9 @@
     #[snafu(display("the health check failed: {source}"))]
     Exchange { source: hyper::Error },
     #[snafu(display("the reply is from another backend server"))]
-    Foreign,
+    WrongBackend,
     #[snafu(display("timed out waiting for the reply"))]
-    Late,
+    Timeout,
 }
 
 /// Sends cold queries and passes the replies to the dispatcher.
@@ -70,8 +70,8 @@
     }
 
     async fn ask(self, query: ColdQuery) {
-        let asking = tokio::time::timeout(ANSWER_WITHIN, self.exchange(&query));
-        let answer = asking.await.unwrap_or(Err(QueryError::Late));
+        let asking = tokio::time::timeout(ANSWER_TIMEOUT, self.exchange(&query));
+        let answer = asking.await.unwrap_or(Err(QueryError::Timeout));
         match answer {
             Ok(cold_for) => {
                 if !cold_for.is_zero() {
@@ -89,7 +89,7 @@
     async fn exchange(&self, query: &ColdQuery) -> Result<Duration, QueryError> {
         let connecting =
             self.pool
-                .connect_within(query.address, query.service.max_connections, ANSWER_WITHIN);
+                .connect_within(query.address, query.service.max_connections, ANSWER_TIMEOUT);
         let mut connection = connecting.await.context(UnreachableSnafu)?;
         let req = Request::get(query.service.health_path.as_str())
             .header(http::header::HOST, query.address.to_string())
@@ -99,8 +99,10 @@
         let (head, body) = answering.await.context(ExchangeSnafu)?.into_parts();
         let reply = self.interface.read_health(&head, &query.name);
         if refusal_body::read_out(body).await {
-            self.pool.give_back_for(connection, KEEP);
+            self.pool.give_back_for(connection, MAX_IDLE);
         }
-        reply.map(|reply| reply.cold_for).ok_or(QueryError::Foreign)
+        reply
+            .map(|reply| reply.cold_for)
+            .ok_or(QueryError::WrongBackend)
     }
 }
--- a/server/src/crash_tracker.rs
+++ b/server/src/crash_tracker.rs
@@ -42,7 +42,7 @@
 use tokio::sync::watch;
 use tonic::transport::Channel;
 
-use crate::announcement_batch::gathered;
+use crate::announcement_batch::collect_batch;
 use crate::backend_pool::BackendPool;
 use crate::metric;
 use crate::proto::NoteSuspectsRequest;
@@ -50,34 +50,34 @@
 
 /// Timeout of the connection attempt after a broken request: a round trip to another region,
 /// with room for a moment of high load.
-const CONNECT_WITHIN: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Retry delay returned to the caller of a quarantined request. Nothing changes within less
 /// than minutes; a permanent refusal would be wrong, since the request may be innocent.
 const QUARANTINE_RETRY: Duration = Duration::from_secs(30);
 
 /// Largest number of notes that may wait to be sent to control.
-const MOST_NOTES: usize = 1_024;
+const MAX_QUEUED_NOTES: usize = 1_024;
 
 /// Largest number of notes sent to control in one call.
-const MOST_TOGETHER: usize = 128;
+const MAX_BATCH: usize = 128;
 
 /// Time for which notes are collected into one batch: the requests in flight on one backend
 /// server break off together.
-const GATHER_FOR: Duration = Duration::from_millis(50);
+const BATCH_WINDOW: Duration = Duration::from_millis(50);
 
 /// Timeout of a replica's answer; the replica may have to ask the leader.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Pause before unconfirmed notes are sent again.
-const AGAIN_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Largest number of attempts to send a batch; with [`ANSWER_WITHIN`] they last longer than an
+/// Largest number of attempts to send a batch; with [`ANSWER_TIMEOUT`] they last longer than an
 /// election.
-const MOST_TRIES: usize = 20;
+const MAX_TRIES: usize = 20;
 
 /// Largest number of fingerprints in one log line.
-const MOST_NAMED: usize = 8;
+const MAX_LOGGED_FINGERPRINTS: usize = 8;
 
 /// Tracks the evidence of an entry VM on requests that may crash backend servers.
 #[derive(Clone, Debug)]
@@ -97,28 +97,28 @@
 #[derive(Debug)]
 struct State {
     key: FingerprintKey,
-    lives: Arc<dyn BackendIncarnations>,
+    incarnations: Arc<dyn BackendIncarnations>,
     evidence: CrashEvidence,
     /// Backend servers to which a connection attempt is under way.
-    asked: BTreeSet<BackendIncarnation>,
+    probing: BTreeSet<BackendIncarnation>,
 }
 
 impl State {
-    fn new(key: FingerprintKey, lives: Arc<dyn BackendIncarnations>) -> Self {
+    fn new(key: FingerprintKey, incarnations: Arc<dyn BackendIncarnations>) -> Self {
         Self {
             key,
-            lives,
+            incarnations,
             evidence: CrashEvidence::default(),
-            asked: BTreeSet::new(),
+            probing: BTreeSet::new(),
         }
     }
 }
 
 /// Incarnations of owned backend servers, known only from the requests sent to them.
 #[derive(Debug)]
-struct OwnedLives;
+struct OwnedIncarnations;
 
-impl BackendIncarnations for OwnedLives {
+impl BackendIncarnations for OwnedIncarnations {
     fn was_replaced(&self, _life: &BackendIncarnation) -> bool {
         false
     }
@@ -156,10 +156,10 @@
     /// Creates the tracker, and the reporter that sends its notes to control.
     #[must_use]
     pub fn new(vm: VmName, clock: Arc<dyn Clock>, pool: BackendPool) -> (Self, SuspectReporter) {
-        let (notes, rx) = mpsc::channel(MOST_NOTES);
+        let (notes, rx) = mpsc::channel(MAX_QUEUED_NOTES);
         let state = State::new(FingerprintKey::default(), Arc::new(FleetView::default()));
-        let watch = Self::with(clock, pool, state, Some(notes));
-        (watch, SuspectReporter { vm, rx })
+        let tracker = Self::with(clock, pool, state, Some(notes));
+        (tracker, SuspectReporter { vm, rx })
     }
 
     /// Creates the tracker of an entry VM that owns its backend servers. No other entry VM sends
@@ -167,7 +167,12 @@
     #[must_use]
     pub fn of_owner(clock: Arc<dyn Clock>, pool: BackendPool) -> Self {
         let key = FingerprintKey::of_cluster(ClusterId(rand::random()));
-        Self::with(clock, pool, State::new(key, Arc::new(OwnedLives)), None)
+        Self::with(
+            clock,
+            pool,
+            State::new(key, Arc::new(OwnedIncarnations)),
+            None,
+        )
     }
 
     fn with(
@@ -200,8 +205,8 @@
 
     /// Applies a view of the fleet, which may show that backend servers have ended.
     pub fn apply_view(&self, view: &Arc<FleetView>) {
-        self.state().lives = Arc::clone(view) as Arc<_>;
-        self.learn(|evidence, now, lives| evidence.apply_incarnations(now, lives));
+        self.state().incarnations = Arc::clone(view) as Arc<_>;
+        self.record(|evidence, now, incarnations| evidence.apply_incarnations(now, incarnations));
     }
 
     /// Computes the fingerprints of a request from `caller`.
@@ -235,7 +240,7 @@
         }
         let now = self.inner.clock.now();
         let note = self.state().evidence.note_refused(now, tag.content);
-        self.tell(note);
+        self.send_note(note);
         let not_run = attempt.refuse(NotRunReason::Quarantined);
         Err(not_run.with_retry_after(QUARANTINE_RETRY))
     }
@@ -245,9 +250,9 @@
     pub fn follow(&self, backend: TrackedBackend, tag: RequestTag) -> TrackedRequest {
         let watched = self.treatment(&tag).is_some();
         TrackedRequest {
-            watch: Some(self.clone()),
+            tracker: Some(self.clone()),
             backend,
-            stood: InFlightRequest { tag, watched },
+            in_flight: InFlightRequest { tag, watched },
         }
     }
 
@@ -263,51 +268,57 @@
         state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_unanswered(&self, life: &BackendIncarnation, stood: InFlightRequest) {
-        self.learn(|evidence, now, lives| evidence.note_unanswered(now, lives, life, stood));
+    fn note_unanswered(&self, life: &BackendIncarnation, in_flight: InFlightRequest) {
+        self.record(|evidence, now, incarnations| {
+            evidence.note_unanswered(now, incarnations, life, in_flight)
+        });
     }
 
     /// Records an observation with `note`, and reports the backend servers that it shows to have
     /// ended.
-    fn learn<E: IntoIterator<Item = Ended>>(
+    fn record<E: IntoIterator<Item = Ended>>(
         &self,
         note: impl FnOnce(&mut CrashEvidence, Instant, &dyn BackendIncarnations) -> E,
     ) {
         let now = self.inner.clock.now();
         let mut state = self.state();
         let State {
-            lives, evidence, ..
+            incarnations,
+            evidence,
+            ..
         } = &mut *state;
-        let ended = note(evidence, now, &**lives);
+        let ended = note(evidence, now, &**incarnations);
         drop(state);
         for ended in ended {
-            self.tell_ended(ended);
+            self.report_ended(ended);
         }
     }
 
     /// Connects to a backend server to find out whether it has ended.
-    fn ask(&self, backend: &TrackedBackend) {
-        if !self.state().asked.insert(backend.life.clone()) {
+    fn probe(&self, backend: &TrackedBackend) {
+        if !self.state().probing.insert(backend.life.clone()) {
             return;
         }
-        let watch = self.clone();
+        let tracker = self.clone();
         let TrackedBackend {
             life,
             address,
             max_connections: limit,
         } = backend.clone();
         tokio::spawn(async move {
-            let pool = &watch.inner.pool;
-            let connected = pool.connect_anew(address, limit, CONNECT_WITHIN).await;
-            watch.state().asked.remove(&life);
+            let pool = &tracker.inner.pool;
+            let connected = pool.connect_anew(address, limit, CONNECT_TIMEOUT).await;
+            tracker.state().probing.remove(&life);
             match connected {
                 Ok(connection) => {
                     pool.give_back(connection);
-                    let now = watch.inner.clock.now();
-                    watch.state().evidence.note_reachable(now, &life);
+                    let now = tracker.inner.clock.now();
+                    tracker.state().evidence.note_reachable(now, &life);
                 }
                 Err(error) if error.is_refused() => {
-                    watch.learn(|evidence, now, lives| evidence.note_ended(now, lives, &life));
+                    tracker.record(|evidence, now, incarnations| {
+                        evidence.note_ended(now, incarnations, &life)
+                    });
                 }
                 // If the backend server has ended, a later view of the fleet shows it.
                 Err(_) => {}
@@ -315,16 +326,18 @@
         });
     }
 
-    fn tell_ended(&self, ended: Ended) {
-        let named = ended.requests.iter().take(MOST_NAMED);
-        let named: Vec<String> = named.map(|stood| stood.tag.content.to_string()).collect();
+    fn report_ended(&self, ended: Ended) {
+        let named = ended.requests.iter().take(MAX_LOGGED_FINGERPRINTS);
+        let named: Vec<String> = named
+            .map(|in_flight| in_flight.tag.content.to_string())
+            .collect();
         let named = named.join(", ");
         log::warn!(event = "backend_ended", backend = ended.life.backend.as_str(), standing = ended.requests.len(), fingerprints = named.as_str(); "a backend server ended with requests in flight");
         metric::backend_ended(ended.requests.len());
-        self.tell(Some(SuspectNote::Ended(ended)));
+        self.send_note(Some(SuspectNote::Ended(ended)));
     }
 
-    fn tell(&self, note: Option<SuspectNote>) {
+    fn send_note(&self, note: Option<SuspectNote>) {
         let Some(note) = note else {
             return;
         };
@@ -339,40 +352,43 @@
 /// as unanswered: its caller disconnected, or its deadline passed.
 #[derive(Debug)]
 pub struct TrackedRequest {
-    watch: Option<CrashTracker>,
+    tracker: Option<CrashTracker>,
     backend: TrackedBackend,
-    stood: InFlightRequest,
+    in_flight: InFlightRequest,
 }
 
 impl TrackedRequest {
     /// Records that the backend server did not receive the request, or reported that it did not
     /// run it.
     pub fn not_run(mut self) {
-        self.watch = None;
+        self.tracker = None;
     }
 
     /// Records that the request was answered completely.
     pub fn answered(mut self) {
-        if let Some(watch) = self.watch.take() {
-            let now = watch.inner.clock.now();
-            let note = watch.state().evidence.note_answered(now, &self.stood.tag);
-            watch.tell(note);
+        if let Some(tracker) = self.tracker.take() {
+            let now = tracker.inner.clock.now();
+            let note = tracker
+                .state()
+                .evidence
+                .note_answered(now, &self.in_flight.tag);
+            tracker.send_note(note);
         }
     }
 
     /// Records that the connection broke.
     pub fn broken(mut self) {
-        if let Some(watch) = self.watch.take() {
-            watch.note_unanswered(&self.backend.life, self.stood);
-            watch.ask(&self.backend);
+        if let Some(tracker) = self.tracker.take() {
+            tracker.note_unanswered(&self.backend.life, self.in_flight);
+            tracker.probe(&self.backend);
         }
     }
 }
 
 impl Drop for TrackedRequest {
     fn drop(&mut self) {
-        if let Some(watch) = self.watch.take() {
-            watch.note_unanswered(&self.backend.life, self.stood);
+        if let Some(tracker) = self.tracker.take() {
+            tracker.note_unanswered(&self.backend.life, self.in_flight);
         }
     }
 }
@@ -388,14 +404,14 @@
     /// Sends notes to the followed control replica until the process ends.
     pub async fn run(mut self, mut replica: watch::Receiver<Option<FleetClient<Channel>>>) {
         while let Some(first) = self.rx.recv().await {
-            tokio::time::sleep(GATHER_FOR).await;
-            let notes = gathered(first, MOST_TOGETHER, || self.rx.try_recv().ok());
-            self.tell(&mut replica, &notes).await;
+            tokio::time::sleep(BATCH_WINDOW).await;
+            let notes = collect_batch(first, MAX_BATCH, || self.rx.try_recv().ok());
+            self.send(&mut replica, &notes).await;
         }
     }
 
     /// Sends a batch until it is confirmed. Notes that arrive twice count once.
-    async fn tell(
+    async fn send(
         &self,
         replica: &mut watch::Receiver<Option<FleetClient<Channel>>>,
         notes: &[SuspectNote],
@@ -411,7 +427,7 @@
             vm: self.vm.as_str().to_owned(),
             notes_encoded,
         };
-        for _ in 0..MOST_TRIES {
+        for _ in 0..MAX_TRIES {
             let Ok(client) = replica
                 .wait_for(Option::is_some)
                 .await
@@ -423,10 +439,10 @@
                 continue;
             };
             let call = client.note_suspects(request.clone());
-            if let Ok(Ok(_)) = tokio::time::timeout(ANSWER_WITHIN, call).await {
+            if let Ok(Ok(_)) = tokio::time::timeout(ANSWER_TIMEOUT, call).await {
                 return;
             }
-            tokio::time::sleep(AGAIN_PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
         log::warn!(event = "suspect_notes_lost", count = notes.len(); "no control replica confirmed the notes on ended backend servers; dropped them");
     }
--- a/server/src/demo.rs
+++ b/server/src/demo.rs
@@ -63,7 +63,7 @@
 const MAX_CONNECTIONS: u32 = 64;
 
 /// Timeout for control to accept the manifest.
-const SUBMIT_BOUND: Duration = Duration::from_secs(20);
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Tells why the demo cannot start or continue.
 #[derive(Debug, Snafu)]
@@ -283,7 +283,7 @@
     let client = OperatorClient::new(
         vec![address(CONTROL_PORT)],
         PeerSecurity::open_loopback(),
-        SUBMIT_BOUND,
+        SUBMIT_TIMEOUT,
     );
     let request = SubmitRequest {
         manifest: MANIFEST.to_owned(),
--- a/server/src/demo_backend_server.rs
+++ b/server/src/demo_backend_server.rs
@@ -50,7 +50,7 @@
     entries: Vec<SocketAddr>,
     stop: CancellationToken,
 ) {
-    let announcing = tokio::spawn(announce_on(announcement.clone(), entries, stop.clone()));
+    let announcing = tokio::spawn(keep_announcing(announcement.clone(), entries, stop.clone()));
     let connections = TaskTracker::new();
     let backend = announcement.backend.as_str().to_owned();
     loop {
@@ -104,7 +104,7 @@
     Ok(response)
 }
 
-async fn announce_on(
+async fn keep_announcing(
     mut announcement: Announcement,
     entries: Vec<SocketAddr>,
     stop: CancellationToken,
--- a/server/src/entry_metrics.rs
+++ b/server/src/entry_metrics.rs
@@ -35,13 +35,13 @@
 }
 
 /// Counts and times the answer to a caller.
-pub fn asked(
+pub fn record_call(
     metrics: &StatsdClient,
-    asked: CallKind,
+    kind: CallKind,
     refused: Option<&Refused>,
     elapsed: Duration,
 ) {
-    let name = asked.name();
+    let name = kind.name();
     let Some(refused) = refused else {
         count(metrics, &format!("{name}.answered"));
         time(metrics, &format!("{name}.answer_time"), elapsed);
--- a/server/src/entry_process.rs
+++ b/server/src/entry_process.rs
@@ -41,20 +41,20 @@
 
 /// Time for which a planned stop waits until every entry VM knows that this one is leaving.
 /// Control may be unreachable for longer; stopping then serves callers better than waiting.
-const LEAVE_BOUND: Duration = Duration::from_secs(10);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time added to the cache time of look-ups before requests are no longer accepted. A caller that
 /// uses a look-up at the last moment has yet to connect and to send, which takes three one-way
 /// delays of 55 ms between the farthest regions, and may be under load itself. Without this its
 /// request would meet a connection that is closing, and be lost.
-const LOOK_UP_WAY: Duration = Duration::from_millis(500);
+const LOOK_UP_MARGIN: Duration = Duration::from_millis(500);
 
 /// Time for which a planned stop waits for requests in flight, beyond the longest deadline in
 /// the manifest.
 const FINISH_MARGIN: Duration = Duration::from_secs(5);
 
 /// Timeout for closing the session.
-const CLOSE_BOUND: Duration = Duration::from_secs(3);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Tells why an entry VM cannot start.
 #[derive(Debug, Snafu)]
@@ -221,21 +221,21 @@
             }
         }
         self.wish.send_replace(SessionWish::Close);
-        let _ = tokio::time::timeout(CLOSE_BOUND, self.session).await;
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.session).await;
         self.servers.end();
     }
 
     async fn finish(&self) {
-        let bound = self.cx.now() + LEAVE_BOUND;
-        let _ = tokio::time::timeout_at(bound.into(), self.until_known_everywhere()).await;
-        tokio::time::sleep(self.cache_time() + LOOK_UP_WAY).await;
+        let bound = self.cx.now() + LEAVE_TIMEOUT;
+        let _ = tokio::time::timeout_at(bound.into(), self.wait_until_known_everywhere()).await;
+        tokio::time::sleep(self.cache_time() + LOOK_UP_MARGIN).await;
         self.servers.stop_requests();
         let bound = self.cx.now() + self.longest_deadline() + FINISH_MARGIN;
-        let _ = tokio::time::timeout_at(bound.into(), self.until_finished()).await;
+        let _ = tokio::time::timeout_at(bound.into(), self.wait_until_finished()).await;
     }
 
     /// Waits until no entry VM names this one in look-ups or forwards requests to it.
-    async fn until_known_everywhere(&self) {
+    async fn wait_until_known_everywhere(&self) {
         let mut state = self.cx.state.clone();
         let mut leaving_since = None;
         loop {
@@ -272,7 +272,7 @@
         Duration::from_millis(longest.unwrap_or(0).into())
     }
 
-    async fn until_finished(&self) {
+    async fn wait_until_finished(&self) {
         const POLL: Duration = Duration::from_millis(10);
         while !self.servers.requests_finished() {
             tokio::time::sleep(POLL).await;
--- a/server/src/http_server.rs
+++ b/server/src/http_server.rs
@@ -44,7 +44,7 @@
 use crate::peer_security::PeerSecurity;
 use crate::pipeline_io::Progress;
 use crate::pipelined_connection;
-use crate::pipelined_connection::AHEAD_OF_LISTENER;
+use crate::pipelined_connection::MAX_READ_AHEAD_PER_LISTENER;
 use crate::pipelined_connection::PipelineSetup;
 use crate::reply;
 use crate::request_body::RequestBody;
@@ -73,7 +73,7 @@
 const HTTP2_PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
 /// Smallest limit on the size of a request head, in bytes; `hyper` requires this much.
-const LEAST_HEADER_BYTES: usize = 8 << 10;
+const MIN_HEADER_BYTES: usize = 8 << 10;
 
 /// Limits the resources that the peers of one listener may use.
 #[derive(Clone, Debug)]
@@ -118,7 +118,7 @@
     fn now(&self) -> ConnectionLimits {
         let limits = (self.0)();
         ConnectionLimits {
-            max_header_bytes: limits.max_header_bytes.max(LEAST_HEADER_BYTES),
+            max_header_bytes: limits.max_header_bytes.max(MIN_HEADER_BYTES),
             ..limits
         }
     }
@@ -205,7 +205,7 @@
     let connections = TaskTracker::new();
     let permits = Arc::new(Semaphore::new(bounds.max_connections));
     let builder = Arc::new(builder(&bounds));
-    let ahead = Arc::new(Semaphore::new(AHEAD_OF_LISTENER));
+    let ahead = Arc::new(Semaphore::new(MAX_READ_AHEAD_PER_LISTENER));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -285,7 +285,7 @@
             return;
         }
         match &self.admittance {
-            Admittance::Anybody => self.tell_version(stream).await,
+            Admittance::Anybody => self.detect_version(stream).await,
             Admittance::Deployment(security) => match security.accept(stream).await {
                 Ok(stream) => self.serve(stream).await,
                 Err(error) => {
@@ -296,7 +296,7 @@
     }
 
     /// Detects the HTTP version from the first bytes, and serves the connection accordingly.
-    async fn tell_version(&self, mut stream: TcpStream) {
+    async fn detect_version(&self, mut stream: TcpStream) {
         if self.versions == HttpVersions::Http1 {
             return self.pipeline(stream, Bytes::new()).await;
         }
@@ -321,7 +321,7 @@
             limits: self.limits,
             progress: Arc::new(Progress::new(Arc::clone(&self.clock))),
             stops: self.stops.clone(),
-            ahead_of_listener: Arc::clone(&self.ahead),
+            listener_read_ahead: Arc::clone(&self.ahead),
         };
         pipelined_connection::serve(stream, prefix, setup).await;
     }
--- a/server/src/link_task.rs
+++ b/server/src/link_task.rs
@@ -161,43 +161,43 @@
 
 /// Sends an answer to another region at the rate allowed by this entry VM's budget of the link.
 /// The budget is charged before each piece is sent.
-struct PacedBody {
+struct RateLimitedBody {
     inner: AnswerBody,
     links: LinkHandle,
     to: RegionName,
     deadline: Instant,
-    held: Option<(Frame<Bytes>, BoxFuture<'static, bool>)>,
+    waiting: Option<(Frame<Bytes>, BoxFuture<'static, bool>)>,
 }
 
 /// Limits the rate of `inner`, which goes to the region `to`, and cuts it off at `deadline`.
 #[must_use]
 pub fn pace(inner: AnswerBody, links: LinkHandle, to: RegionName, deadline: Instant) -> AnswerBody {
-    let body = PacedBody {
+    let body = RateLimitedBody {
         inner,
         links,
         to,
         deadline,
-        held: None,
+        waiting: None,
     };
     body.boxed_unsync()
 }
 
-impl PacedBody {
+impl RateLimitedBody {
     /// Waits for budget for the bytes; returns whether it was granted before the deadline.
-    fn permission(&self, bytes: usize) -> BoxFuture<'static, bool> {
+    fn wait_for_budget(&self, bytes: usize) -> BoxFuture<'static, bool> {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         let sending = self.links.clone().send(self.to.clone(), bytes);
         let deadline = self.deadline.into();
         async move { tokio::time::timeout_at(deadline, sending).await.is_ok() }.boxed()
     }
 
-    fn poll_held(&mut self, cx: &mut Context<'_>) -> Option<FramePoll> {
-        let (_, permission) = self.held.as_mut()?;
-        let permitted = match permission.as_mut().poll(cx) {
+    fn poll_waiting(&mut self, cx: &mut Context<'_>) -> Option<FramePoll> {
+        let (_, wait_for_budget) = self.waiting.as_mut()?;
+        let permitted = match wait_for_budget.as_mut().poll(cx) {
             Poll::Ready(permitted) => permitted,
             Poll::Pending => return Some(Poll::Pending),
         };
-        let (frame, _) = self.held.take()?;
+        let (frame, _) = self.waiting.take()?;
         Some(Poll::Ready(Some(if permitted {
             Ok(frame)
         } else {
@@ -206,13 +206,13 @@
     }
 }
 
-impl Body for PacedBody {
+impl Body for RateLimitedBody {
     type Data = Bytes;
     type Error = AnswerBroken;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
         let this = self.get_mut();
-        if let Some(poll) = this.poll_held(cx) {
+        if let Some(poll) = this.poll_waiting(cx) {
             return poll;
         }
         let frame = match Pin::new(&mut this.inner).poll_frame(cx) {
@@ -222,26 +222,26 @@
         let Some(data) = frame.data_ref() else {
             return Poll::Ready(Some(Ok(frame)));
         };
-        let permission = this.permission(data.len());
-        this.held = Some((frame, permission));
-        this.poll_held(cx).unwrap_or(Poll::Pending)
+        let wait_for_budget = this.wait_for_budget(data.len());
+        this.waiting = Some((frame, wait_for_budget));
+        this.poll_waiting(cx).unwrap_or(Poll::Pending)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.held.is_none() && self.inner.is_end_stream()
+        self.waiting.is_none() && self.inner.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let Some((frame, _)) = &self.held else {
+        let Some((frame, _)) = &self.waiting else {
             return self.inner.size_hint();
         };
-        let held = frame.data_ref().map_or(0, Bytes::len);
-        let held = u64::try_from(held).unwrap_or(u64::MAX);
+        let waiting = frame.data_ref().map_or(0, Bytes::len);
+        let waiting = u64::try_from(waiting).unwrap_or(u64::MAX);
         let inner = self.inner.size_hint();
         let mut hint = SizeHint::new();
-        hint.set_lower(inner.lower() + held);
+        hint.set_lower(inner.lower() + waiting);
         if let Some(upper) = inner.upper() {
-            hint.set_upper(upper + held);
+            hint.set_upper(upper + waiting);
         }
         hint
     }
--- a/server/src/log_writer.rs
+++ b/server/src/log_writer.rs
@@ -37,7 +37,7 @@
 pub const ROUTINE: &str = "heatherring_server::routine";
 
 /// Capacity of the queue in lines; at 450 bytes a line 115 kB.
-const QUEUE: usize = 256;
+const QUEUE_LINES: usize = 256;
 
 /// Largest number of bytes per write, up to the last line.
 const BATCH_BYTES: usize = 32 << 10;
@@ -50,7 +50,7 @@
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time for which a process that ends waits until its last lines are written.
-const FLUSH_WITHIN: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Message {
     Line(Vec<u8>),
@@ -61,17 +61,17 @@
 pub struct LogWriter {
     layout: JsonLayout,
     clock: Arc<dyn Clock>,
-    volume: Mutex<Volume>,
+    volume: Mutex<LogVolume>,
     dropped: AtomicU64,
     tx: SyncSender<Message>,
 }
 
 /// Holds the rate limiter, and which dropped lines have been reported.
-struct Volume {
+struct LogVolume {
     rate: LogRateLimiter,
-    told: u64,
+    reported: u64,
     /// When the last report was attempted.
-    told_at: Option<Instant>,
+    reported_at: Option<Instant>,
 }
 
 impl fmt::Debug for LogWriter {
@@ -87,17 +87,17 @@
     ///
     /// Fails if the system cannot start a thread.
     pub fn start(out: impl Write + Send + 'static, clock: Arc<dyn Clock>) -> io::Result<Self> {
-        let (tx, rx) = mpsc::sync_channel(QUEUE);
+        let (tx, rx) = mpsc::sync_channel(QUEUE_LINES);
         std::thread::Builder::new()
             .name("log".to_owned())
             .stack_size(STACK_BYTES)
             .spawn(move || write_lines(out, &rx))?;
         Ok(Self {
             layout: JsonLayout::default(),
-            volume: Mutex::new(Volume {
+            volume: Mutex::new(LogVolume {
                 rate: LogRateLimiter::new(clock.now()),
-                told: 0,
-                told_at: None,
+                reported: 0,
+                reported_at: None,
             }),
             clock,
             dropped: AtomicU64::new(0),
@@ -113,7 +113,7 @@
 
     fn may_write(&self, record: &Record<'_>) -> bool {
         let mut volume = self.volume.lock().unwrap_or_else(PoisonError::into_inner);
-        volume.rate.try_take(self.clock.now(), weight(record))
+        volume.rate.try_take(self.clock.now(), priority(record))
     }
 
     fn drop_line(&self) {
@@ -122,21 +122,21 @@
     }
 
     /// Reports dropped lines, before the first line that is written after them.
-    fn tell_dropped(&self) -> Result<(), logforth::Error> {
+    fn report_dropped(&self) -> Result<(), logforth::Error> {
         let mut volume = self.volume.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
         let dropped = self.dropped();
         let due = volume
-            .told_at
+            .reported_at
             .is_none_or(|at| now.saturating_duration_since(at) >= REPORT_INTERVAL);
-        if dropped == volume.told || !due {
+        if dropped == volume.reported || !due {
             return Ok(());
         }
-        volume.told_at = Some(now);
-        let line = self.dropped_line(dropped - volume.told)?;
+        volume.reported_at = Some(now);
+        let line = self.dropped_line(dropped - volume.reported)?;
         // If the queue is still full, a later line triggers the report.
         if self.tx.try_send(Message::Line(line)).is_ok() {
-            volume.told = dropped;
+            volume.reported = dropped;
         }
         Ok(())
     }
@@ -168,7 +168,7 @@
     }
 }
 
-fn weight(record: &Record<'_>) -> LinePriority {
+fn priority(record: &Record<'_>) -> LinePriority {
     if record.level() >= Level::Warn {
         LinePriority::Alarm
     } else if record.target() == ROUTINE {
@@ -188,7 +188,7 @@
             self.drop_line();
             return Ok(());
         }
-        self.tell_dropped()?;
+        self.report_dropped()?;
         let line = self.line_of(record, diags)?;
         if self.tx.try_send(Message::Line(line)).is_err() {
             self.drop_line();
@@ -200,7 +200,7 @@
         let (tx, rx) = mpsc::sync_channel(1);
         // A full queue means that the reader has stalled, so waiting is of no use.
         if self.tx.try_send(Message::Flush(tx)).is_ok() {
-            let _ = rx.recv_timeout(FLUSH_WITHIN);
+            let _ = rx.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
--- a/server/src/pipeline_io.rs
+++ b/server/src/pipeline_io.rs
@@ -46,7 +46,7 @@
 /// Holds a request that was read but not answered yet. Dropping it, which happens with its
 /// connection, aborts its handling.
 #[derive(Debug)]
-pub(crate) struct Slot {
+pub(crate) struct PendingAnswer {
     /// Index of the request on the connection, from 0.
     pub number: u64,
     /// Properties that the answer depends on: no body for `HEAD`, no chunks for HTTP/1.0.
@@ -54,12 +54,12 @@
     /// The task that handles the request.
     pub handling: AbortOnDropHandle<Response<AnswerBody>>,
     /// Permits for reading it ahead of the answers; `None` if it was first in line.
-    pub _ahead: Option<Ahead>,
+    pub _ahead: Option<ReadAheadPermits>,
 }
 
 /// Holds the permits of the connection and of its listener for one request read ahead.
 #[derive(Debug)]
-pub(crate) struct Ahead {
+pub(crate) struct ReadAheadPermits {
     pub _connection: OwnedSemaphorePermit,
     pub _listener: OwnedSemaphorePermit,
 }
@@ -212,7 +212,7 @@
     }
 
     /// Logs why a connection ends, and how many of its requests stay unanswered.
-    pub fn tell_end(&self, peer: SocketAddr, reason: &str) {
+    pub fn log_end(&self, peer: SocketAddr, reason: &str) {
         let unanswered = self.state().unanswered();
         log::debug!(event = "connection_ended", peer:% = peer, unanswered, reason; "closed a caller's connection");
     }
@@ -307,8 +307,8 @@
     ) -> Poll<std::io::Result<usize>> {
         if buf.starts_with(CONTINUE) {
             // A caller that does not receive it sends the body after a delay of its own.
-            let told = self.stream.as_ref().as_ref().try_write(CONTINUE);
-            if let Err(error) = told {
+            let sent = self.stream.as_ref().as_ref().try_write(CONTINUE);
+            if let Err(error) = sent {
                 log::debug!(event = "continue_untold", error:% = error; "could not send 100 Continue to a caller");
             }
         }
@@ -328,9 +328,9 @@
 /// when no request is pending, so that an idle connection needs no buffers.
 #[derive(Debug)]
 pub(crate) struct AnswerBytes<'a> {
-    next: Option<Slot>,
-    slots: &'a mut mpsc::UnboundedReceiver<Slot>,
-    turns: &'a Mutex<VecDeque<Slot>>,
+    next: Option<PendingAnswer>,
+    pending_answers: &'a mut mpsc::UnboundedReceiver<PendingAnswer>,
+    turns: &'a Mutex<VecDeque<PendingAnswer>>,
     head: Bytes,
     stream: &'a OwnedWriteHalf,
     progress: &'a Progress,
@@ -339,15 +339,15 @@
 impl<'a> AnswerBytes<'a> {
     /// Starts with `first`; requests whose heads were supplied are appended to `turns`.
     pub const fn new(
-        first: Slot,
-        slots: &'a mut mpsc::UnboundedReceiver<Slot>,
-        turns: &'a Mutex<VecDeque<Slot>>,
+        first: PendingAnswer,
+        pending_answers: &'a mut mpsc::UnboundedReceiver<PendingAnswer>,
+        turns: &'a Mutex<VecDeque<PendingAnswer>>,
         stream: &'a OwnedWriteHalf,
         progress: &'a Progress,
     ) -> Self {
         Self {
             next: Some(first),
-            slots,
+            pending_answers,
             turns,
             head: Bytes::new(),
             stream,
@@ -387,13 +387,16 @@
         let this = self.get_mut();
         if !this.head.has_remaining() {
             // The next head is read only once the previous answer has been written.
-            let next = this.next.take().or_else(|| this.slots.try_recv().ok());
-            let Some(slot) = next else {
+            let next = this
+                .next
+                .take()
+                .or_else(|| this.pending_answers.try_recv().ok());
+            let Some(pending) = next else {
                 return Poll::Ready(Ok(()));
             };
-            this.head = slot.shape.head();
+            this.head = pending.shape.head();
             let mut turns = this.turns.lock().unwrap_or_else(PoisonError::into_inner);
-            turns.push_back(slot);
+            turns.push_back(pending);
         }
         let taken = this.head.len().min(buf.remaining());
         buf.put_slice(&this.head.split_to(taken));
--- a/server/src/pipelined_connection.rs
+++ b/server/src/pipelined_connection.rs
@@ -47,14 +47,14 @@
 use crate::http_server::Handler;
 use crate::http_server::Stops;
 use crate::metric;
-use crate::pipeline_io::Ahead;
 use crate::pipeline_io::AnswerBytes;
 use crate::pipeline_io::AnswerShape;
+use crate::pipeline_io::PendingAnswer;
 use crate::pipeline_io::Progress;
 use crate::pipeline_io::ProgressState;
+use crate::pipeline_io::ReadAheadPermits;
 use crate::pipeline_io::Reading;
 use crate::pipeline_io::RequestBytes;
-use crate::pipeline_io::Slot;
 use crate::reply;
 use crate::request_body::RequestBody;
 use crate::request_fault;
@@ -62,20 +62,20 @@
 
 /// Number of requests that one connection may read beyond the first unanswered one. A caller
 /// gains nothing from more in flight: the entry VM's share of any service is smaller.
-const AHEAD_OF_CONNECTION: usize = 16;
+const MAX_READ_AHEAD_PER_CONNECTION: usize = 16;
 
 /// Limit on requests read ahead on all connections of a listener together. With
-/// [`MOST_BODY_AHEAD`] and heads of at most 16 KiB it limits the memory for callers that do not
+/// [`MAX_BODY_READ_AHEAD`] and heads of at most 16 KiB it limits the memory for callers that do not
 /// wait for answers to 12 MiB.
-pub(crate) const AHEAD_OF_LISTENER: usize = 256;
+pub(crate) const MAX_READ_AHEAD_PER_LISTENER: usize = 256;
 
 /// Largest body, in bytes, of a request that may be handled before earlier ones are answered.
 /// With larger ones, or those of unknown length, one connection could occupy much memory.
-const MOST_BODY_AHEAD: u64 = 32 << 10;
+const MAX_BODY_READ_AHEAD: u64 = 32 << 10;
 
 /// Interval of checks whether a caller has disconnected while its connection is not read. Its
 /// requests must be cancelled within half a second.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time for which the remaining bytes of a caller are read after the last answer. Closing a
 /// connection with unread bytes resets it, which could lose that answer.
@@ -92,12 +92,12 @@
     pub limits: ConnectionLimits,
     pub progress: Arc<Progress>,
     pub stops: Stops,
-    pub ahead_of_listener: Arc<Semaphore>,
+    pub listener_read_ahead: Arc<Semaphore>,
 }
 
 /// Tells why there is no answer to a request.
 #[derive(Debug, Snafu)]
-enum NoAnswer {
+enum AnswerError {
     #[snafu(display("the task that handles a request ended early: {source}"))]
     Ended { source: JoinError },
     #[snafu(display("an answer was requested without a pending request"))]
@@ -109,62 +109,62 @@
     let (read_half, write_half) = stream.into_split();
     let read_half = Arc::new(read_half);
     let progress = Arc::clone(&setup.progress);
-    let (slots_tx, slots) = mpsc::unbounded_channel();
+    let (pending_tx, pending_answers) = mpsc::unbounded_channel();
     let (turn_tx, turn) = watch::channel(0);
-    let answering = answer(slots, write_half, turn_tx, &progress);
+    let answering = answer(pending_answers, write_half, turn_tx, &progress);
     let limits = setup.limits;
     let stops = setup.stops.clone();
     let peer = setup.peer;
-    let intake = Arc::new(Intake {
+    let reader = Arc::new(RequestReader {
         setup,
         turn,
-        slots: slots_tx.downgrade(),
-        ahead: Arc::new(Semaphore::new(AHEAD_OF_CONNECTION)),
+        pending_answers: pending_tx.downgrade(),
+        ahead: Arc::new(Semaphore::new(MAX_READ_AHEAD_PER_CONNECTION)),
         last_action: Mutex::new(None),
     });
     let request_bytes = RequestBytes::new(prefix, Arc::clone(&read_half), Arc::clone(&progress));
     let service = service_fn(move |req| {
-        let intake = Arc::clone(&intake);
+        let reader = Arc::clone(&reader);
         // Not inside the future: bytes behind the head may be read before it is polled.
-        let head = intake.note_head(&req);
-        async move { Ok::<_, RequestFault>(intake.take(head?, req).await) }
+        let head = reader.accept_head(&req);
+        async move { Ok::<_, RequestFault>(reader.take(head?, req).await) }
     });
     let reading = http1::Builder::new()
         .max_buf_size(limits.max_header_bytes)
         .serve_connection(TokioIo::new(request_bytes), service);
     let mut reading = std::pin::pin!(reading);
     let mut answering = std::pin::pin!(answering);
-    let mut slots_tx = Some(slots_tx);
-    let mut told_to_end = false;
+    let mut pending_tx = Some(pending_tx);
+    let mut shutdown_begun = false;
     loop {
         tokio::select! {
             biased;
-            result = reading.as_mut(), if slots_tx.is_some() => {
+            result = reading.as_mut(), if pending_tx.is_some() => {
                 progress.state().reading = Reading::Ended;
                 if progress.state().caller_left {
-                    return progress.tell_end(peer, "the caller closed it");
+                    return progress.log_end(peer, "the caller closed it");
                 }
-                if let (Err(error), Some(slots)) = (result, slots_tx.take()) {
-                    end_with_fault(&error, &slots, &progress);
+                if let (Err(error), Some(pending_answers)) = (result, pending_tx.take()) {
+                    end_with_fault(&error, &pending_answers, &progress);
                 }
             }
-            () = drain(&read_half), if slots_tx.is_none() => {
-                return progress.tell_end(peer, "the caller closed it after its last request");
+            () = drain(&read_half), if pending_tx.is_none() => {
+                return progress.log_end(peer, "the caller closed it after its last request");
             }
             () = answering.as_mut() => break,
-            () = must_end(&stops, &progress), if !told_to_end => {
-                told_to_end = true;
+            () = shutdown_due(&stops, &progress), if !shutdown_begun => {
+                shutdown_begun = true;
                 progress.state().ending = true;
                 reading.as_mut().graceful_shutdown();
             }
-            () = nothing_came(&stops, &progress), if slots_tx.is_some() => {
-                return progress.tell_end(peer, "the process is stopping and no request arrived");
+            () = stopped_unused(&stops, &progress), if pending_tx.is_some() => {
+                return progress.log_end(peer, "the process is stopping and no request arrived");
             }
-            () = overdue(&progress, limits) => {
-                return progress.tell_end(peer, "the caller was idle or slow to send a head");
+            () = timed_out_waiting(&progress, limits) => {
+                return progress.log_end(peer, "the caller was idle or slow to send a head");
             }
-            () = left(&read_half, &progress) => {
-                return progress.tell_end(peer, "the caller closed it with bytes unread");
+            () = caller_closed(&read_half, &progress) => {
+                return progress.log_end(peer, "the caller closed it with bytes unread");
             }
         }
     }
@@ -173,7 +173,11 @@
 }
 
 /// Answers bytes that are not a valid request with an error status, after the pending answers.
-fn end_with_fault(error: &hyper::Error, slots: &mpsc::UnboundedSender<Slot>, progress: &Progress) {
+fn end_with_fault(
+    error: &hyper::Error,
+    pending_answers: &mpsc::UnboundedSender<PendingAnswer>,
+    progress: &Progress,
+) {
     log::debug!(event = "connection_broken", error:% = error; "a caller sent an invalid request");
     let is_refused = error.source().is_some_and(<dyn Error>::is::<RequestFault>);
     if !error.is_parse() && !is_refused {
@@ -186,48 +190,48 @@
     };
     let number = progress.next_number();
     let handling = tokio::spawn(async move { reply::status(status) });
-    let slot = Slot {
+    let pending = PendingAnswer {
         number,
         shape: AnswerShape::last(),
         handling: AbortOnDropHandle::new(handling),
         _ahead: None,
     };
     // Fails only after the answering half has ended, and the connection with it.
-    let _ = slots.send(slot);
+    let _ = pending_answers.send(pending);
 }
 
 /// Holds what is recorded about a request when its head was read.
-struct NotedHead {
+struct AcceptedHead {
     at: Instant,
     /// Whether an earlier request is still unanswered.
     is_behind: bool,
 }
 
 /// Reads requests and starts their handling.
-struct Intake<H> {
+struct RequestReader<H> {
     setup: PipelineSetup<H>,
     /// Index of the request whose answer is due.
     turn: watch::Receiver<u64>,
     /// Weak, so that the answering half ends when reading ends.
-    slots: mpsc::WeakUnboundedSender<Slot>,
+    pending_answers: mpsc::WeakUnboundedSender<PendingAnswer>,
     ahead: Arc<Semaphore>,
     /// Index of the latest action.
     last_action: Mutex<Option<u64>>,
 }
 
-impl<H: Handler> Intake<H> {
+impl<H: Handler> RequestReader<H> {
     /// Starts the handling of a request, and waits until its body was read or abandoned. The
     /// returned placeholder answer is discarded; it makes `hyper` read the next request.
-    async fn take(&self, head: NotedHead, req: Request<Incoming>) -> Response<Empty<Bytes>> {
+    async fn take(&self, head: AcceptedHead, req: Request<Incoming>) -> Response<Empty<Bytes>> {
         let shape = AnswerShape::of(&req);
         let (req, body_done) = RequestBody::hold(req);
         let ahead = if head.is_behind {
-            self.permission().await
+            self.read_ahead_permits().await
         } else {
             None
         };
         let number = self.setup.progress.next_number();
-        let begins_at = self.begins_at(number, &req);
+        let start_turn = self.start_turn(number, &req);
         let arrival = Arrival {
             peer: self.setup.peer,
             at: head.at,
@@ -236,18 +240,18 @@
         let mut turn = self.turn.clone();
         let handling = tokio::spawn(async move {
             // The sender ends together with the connection, which aborts this task as well.
-            let _ = turn.wait_for(|turn| *turn >= begins_at).await;
+            let _ = turn.wait_for(|turn| *turn >= start_turn).await;
             handler.handle(arrival, req).await
         });
-        let slot = Slot {
+        let pending = PendingAnswer {
             number,
             shape,
             handling: AbortOnDropHandle::new(handling),
             _ahead: ahead,
         };
-        if let Some(slots) = self.slots.upgrade() {
+        if let Some(pending_answers) = self.pending_answers.upgrade() {
             // Fails only after the answering half has ended, and the connection with it.
-            let _ = slots.send(slot);
+            let _ = pending_answers.send(pending);
         }
         // The sender is dropped together with the body.
         let _ = body_done.await;
@@ -259,7 +263,7 @@
     }
 
     /// Records that a head was read, and makes the checks that the HTTP library does not.
-    fn note_head(&self, req: &Request<Incoming>) -> Result<NotedHead, RequestFault> {
+    fn accept_head(&self, req: &Request<Incoming>) -> Result<AcceptedHead, RequestFault> {
         let progress = &self.setup.progress;
         let framing = progress.finish_head(req.body().size_hint().exact());
         request_fault::check_framing(framing)?;
@@ -267,29 +271,29 @@
         let mut state = progress.state();
         state.head_since = None;
         state.reading = Reading::Body;
-        Ok(NotedHead {
+        Ok(AcceptedHead {
             at: state.read_at,
             is_behind: state.unanswered() > 0,
         })
     }
 
     /// Waits until one more request may be read ahead; `None` only if the process is stopping.
-    async fn permission(&self) -> Option<Ahead> {
+    async fn read_ahead_permits(&self) -> Option<ReadAheadPermits> {
         metric::read_ahead();
         let connection = Arc::clone(&self.ahead).acquire_owned().await.ok()?;
-        let listener = Arc::clone(&self.setup.ahead_of_listener);
+        let listener = Arc::clone(&self.setup.listener_read_ahead);
         let listener = listener.acquire_owned().await.ok()?;
-        Some(Ahead {
+        Some(ReadAheadPermits {
             _connection: connection,
             _listener: listener,
         })
     }
 
     /// Returns the index of the request whose answer must be due before this request may start.
-    fn begins_at(&self, number: u64, req: &Request<RequestBody>) -> u64 {
+    fn start_turn(&self, number: u64, req: &Request<RequestBody>) -> u64 {
         let is_action = !self.setup.handler.is_idempotent(req);
         let body = req.body().size_hint().upper();
-        let is_large = body.is_none_or(|bytes| bytes > MOST_BODY_AHEAD);
+        let is_large = body.is_none_or(|bytes| bytes > MAX_BODY_READ_AHEAD);
         let last_action = self.last_action.lock();
         let mut last_action = last_action.unwrap_or_else(PoisonError::into_inner);
         if is_action {
@@ -310,28 +314,28 @@
 /// 420 open sockets peaked at 13.0 to 15.0 MB with one kept per connection, and at 11.7 to
 /// 12.8 MB without.
 async fn answer(
-    mut slots: mpsc::UnboundedReceiver<Slot>,
+    mut pending_answers: mpsc::UnboundedReceiver<PendingAnswer>,
     stream: OwnedWriteHalf,
     turn: watch::Sender<u64>,
     progress: &Progress,
 ) {
-    let mut goes_on = true;
-    while goes_on && let Some(first) = slots.recv().await {
+    let mut keep_open = true;
+    while keep_open && let Some(first) = pending_answers.recv().await {
         progress.state().written = false;
         let turns = Mutex::new(VecDeque::new());
-        let bytes = AnswerBytes::new(first, &mut slots, &turns, &stream, progress);
-        let may_go_on = AtomicBool::new(true);
+        let bytes = AnswerBytes::new(first, &mut pending_answers, &turns, &stream, progress);
+        let keep_alive = AtomicBool::new(true);
         let service = service_fn(|_head: Request<Incoming>| {
             let mut turns = turns.lock().unwrap_or_else(PoisonError::into_inner);
             let next = turns.pop_front();
-            let (turn, may_go_on) = (&turn, &may_go_on);
+            let (turn, keep_alive) = (&turn, &keep_alive);
             async move {
-                let slot = next.ok_or(NoAnswer::NoRequest)?;
-                turn.send_replace(slot.number);
-                let response = answer_to(slot, progress).await?;
+                let pending = next.ok_or(AnswerError::NoRequest)?;
+                turn.send_replace(pending.number);
+                let response = await_answer(pending, progress).await?;
                 let ends = response.headers().contains_key(CONNECTION);
-                may_go_on.store(!ends, Ordering::Relaxed);
-                Ok::<_, NoAnswer>(response)
+                keep_alive.store(!ends, Ordering::Relaxed);
+                Ok::<_, AnswerError>(response)
             }
         });
         // There may be no further head while an answer is still due.
@@ -343,16 +347,19 @@
             return;
         }
         progress.state().written = true;
-        goes_on = may_go_on.into_inner();
+        keep_open = keep_alive.into_inner();
     }
 }
 
 /// Waits for the answer to a request; on the last one, sets `connection: close`.
-async fn answer_to(slot: Slot, progress: &Progress) -> Result<Response<AnswerBody>, NoAnswer> {
-    let handled = slot.handling.await;
-    let mut response = handled.map_err(|source| NoAnswer::Ended { source })?;
+async fn await_answer(
+    pending: PendingAnswer,
+    progress: &Progress,
+) -> Result<Response<AnswerBody>, AnswerError> {
+    let handled = pending.handling.await;
+    let mut response = handled.map_err(|source| AnswerError::Ended { source })?;
     let mut state = progress.state();
-    state.answered = slot.number + 1;
+    state.answered = pending.number + 1;
     if state.is_over() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
@@ -364,7 +371,7 @@
 /// request per connection and announces the close with its answer; after the stop signal it
 /// accepts none. The stop signal is awaited even after the leaving signal: a connection that was
 /// idle then could otherwise accept a request until the process ends and cuts it off.
-async fn must_end(stops: &Stops, progress: &Progress) {
+async fn shutdown_due(stops: &Stops, progress: &Progress) {
     let last_request = async {
         stops.leaving.cancelled().await;
         until(progress, |state| state.unanswered() > 0).await;
@@ -391,7 +398,7 @@
 /// Completes a moment after the stop signal if the connection has carried no request. The HTTP
 /// library closes connections on which nothing was received, or nothing since an answer, but
 /// keeps waiting for the rest of a first head that has begun.
-async fn nothing_came(stops: &Stops, progress: &Progress) {
+async fn stopped_unused(stops: &Stops, progress: &Progress) {
     stops.stop.cancelled().await;
     // A request that is on its way is still read, and refused with an answer.
     tokio::time::sleep(LINGER).await;
@@ -401,7 +408,7 @@
 }
 
 /// Completes when a caller has exceeded the timeout of a request's head, or was idle too long.
-async fn overdue(progress: &Progress, limits: ConnectionLimits) {
+async fn timed_out_waiting(progress: &Progress, limits: ConnectionLimits) {
     loop {
         let now = progress.now();
         let state = *progress.state();
@@ -422,15 +429,15 @@
 
 /// Completes when a caller has closed the connection while bytes from it are unread; a read
 /// would report the close only after these bytes.
-async fn left(stream: &OwnedReadHalf, progress: &Progress) {
+async fn caller_closed(stream: &OwnedReadHalf, progress: &Progress) {
     loop {
         until(progress, |state| state.reading == Reading::Body).await;
-        tokio::time::sleep(LOOK_INTERVAL).await;
-        let looked = poll_fn(|cx| {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        let readiness = poll_fn(|cx| {
             let ready = std::pin::pin!(stream.ready(tokio::io::Interest::READABLE));
             Poll::Ready(ready.poll(cx))
         });
-        if let Poll::Ready(Ok(ready)) = looked.await
+        if let Poll::Ready(Ok(ready)) = readiness.await
             && ready.is_read_closed()
         {
             return;
--- a/server/src/quarantine_monitor.rs
+++ b/server/src/quarantine_monitor.rs
@@ -17,7 +17,7 @@
 use crate::node_request::NodeHandle;
 
 /// Time between two checks for suspects that are due for release.
-const LOOK_INTERVAL: Duration = Duration::from_secs(5);
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Tracks the suspected requests that one replica has applied.
 #[derive(Debug)]
@@ -44,12 +44,12 @@
 
     /// Runs until the process ends.
     pub async fn run(mut self) {
-        let mut look = tokio::time::interval(LOOK_INTERVAL);
-        look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut check = tokio::time::interval(CHECK_INTERVAL);
+        check.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 () = self.picture.changed() => self.follow(),
-                _ = look.tick() => self.release().await,
+                _ = check.tick() => self.release().await,
             }
         }
     }
@@ -61,7 +61,7 @@
             return;
         }
         if picture.leads {
-            tell_changes(&self.known, &quarantine);
+            log_changes(&self.known, &quarantine);
         }
         metric::suspects(quarantine.suspects().count(), quarantined(&quarantine));
         self.times.follow(self.clock.now(), &quarantine);
@@ -87,11 +87,11 @@
 }
 
 /// Logs each request whose treatment has changed.
-fn tell_changes(before: &Quarantine, after: &Quarantine) {
+fn log_changes(before: &Quarantine, after: &Quarantine) {
     for (request, noted) in after.suspects() {
         let (verdict, earlier) = (noted.suspect.verdict(), before.verdict(request));
         if verdict != earlier {
-            tell(request, noted, earlier.as_ref());
+            log_verdict(request, noted, earlier.as_ref());
         }
     }
     for (request, noted) in before.suspects() {
@@ -102,7 +102,7 @@
     }
 }
 
-fn tell(request: &Fingerprint, noted: &SuspectRecord, earlier: Option<&Verdict>) {
+fn log_verdict(request: &Fingerprint, noted: &SuspectRecord, earlier: Option<&Verdict>) {
     let ended = noted.suspect.ended().into_iter();
     let ended: Vec<&str> = ended.map(|life| life.backend.as_str()).collect();
     let ended = ended.join(", ");
--- a/server/tests/test_entry_metrics.rs
+++ b/server/tests/test_entry_metrics.rs
@@ -76,7 +76,7 @@
                 let refused = $refused;
                 let lines = sent(|metrics| {
                     let elapsed = Duration::from_millis(12);
-                    entry_metrics::asked(metrics, $asked, refused.as_ref(), elapsed);
+                    entry_metrics::record_call(metrics, $asked, refused.as_ref(), elapsed);
                 });
                 assert_eq!(lines, $expected);
             }
@@ -131,7 +131,7 @@
         let unknown = Unknown::new(UnknownReason::OwnerLost).into();
         for outcome in [None, Some(&refused), Some(&unknown)] {
             lines.extend(sent(|metrics| {
-                entry_metrics::asked(metrics, asked, outcome, Duration::ZERO);
+                entry_metrics::record_call(metrics, asked, outcome, Duration::ZERO);
             }));
         }
     }
