--- a/server/src/action_answer.rs
+++ b/server/src/action_answer.rs
@@ -30,7 +30,7 @@
 
 use crate::answer_body;
 use crate::answer_body::AnswerBody;
-use crate::answer_body::AnswerBroken;
+use crate::answer_body::AnswerBodyError;
 use crate::header;
 use crate::refusal;
 use crate::refusal::Refused;
@@ -79,12 +79,12 @@
 
 impl Body for Preceded {
     type Data = Bytes;
-    type Error = AnswerBroken;
+    type Error = AnswerBodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBodyError>>> {
         let this = self.get_mut();
         if this.read.is_empty() {
             return Pin::new(&mut this.rest).poll_frame(cx);
--- a/server/src/answer_body.rs
+++ b/server/src/answer_body.rs
@@ -24,12 +24,12 @@
 use tokio::time::Sleep;
 
 /// The body of an answer, whatever it comes from.
-pub type AnswerBody = UnsyncBoxBody<Bytes, AnswerBroken>;
+pub type AnswerBody = UnsyncBoxBody<Bytes, AnswerBodyError>;
 
 /// Tells why an answer could not be carried to its end.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum AnswerBroken {
+pub enum AnswerBodyError {
     /// The sender broke off.
     #[snafu(display("the sender of the answer broke off"))]
     Source {
@@ -106,12 +106,12 @@
 
 impl Body for RelayBody {
     type Data = Bytes;
-    type Error = AnswerBroken;
+    type Error = AnswerBodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBroken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBodyError>>> {
         let this = self.get_mut();
         match Pin::new(&mut this.inner).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
@@ -122,7 +122,7 @@
             }
             Poll::Ready(Some(Err(source))) => {
                 this.note_broken();
-                Poll::Ready(Some(Err(AnswerBroken::Source { source })))
+                Poll::Ready(Some(Err(AnswerBodyError::Source { source })))
             }
             Poll::Ready(None) => {
                 this.note_whole();
@@ -131,7 +131,7 @@
             Poll::Pending => match this.deadline.as_mut().poll(cx) {
                 Poll::Ready(()) => {
                     this.note_broken();
-                    Poll::Ready(Some(Err(AnswerBroken::Deadline)))
+                    Poll::Ready(Some(Err(AnswerBodyError::Deadline)))
                 }
                 Poll::Pending => Poll::Pending,
             },
--- a/server/src/caller_listener.rs
+++ b/server/src/caller_listener.rs
@@ -31,7 +31,7 @@
 use crate::action_path;
 use crate::answer_body;
 use crate::answer_body::AnswerBody;
-use crate::decision_note;
+use crate::decision_recorder;
 use crate::dispatcher::OutgoingRequest;
 use crate::entry_context::EntryContext;
 use crate::entry_metrics;
@@ -83,7 +83,7 @@
             Ok(response) => response,
             Err(refused) => {
                 log::debug!(event = "refused", request_id = request_id.as_str(), outcome = refused.outcome(), reason = refused.reason(); "refused a caller's request");
-                decision_note::refusal(&self.cx, &request_id, &method, service, &refused);
+                decision_recorder::refusal(&self.cx, &request_id, &method, service, &refused);
                 let entries = self.cx.state.other_entries(&self.cx.info);
                 refusal::to_caller(&refused, &request_id, entries)
             }
@@ -230,7 +230,7 @@
             .admission
             .look_up(service.clone(), origin.clone(), caller)
             .await?;
-        decision_note::look_up(&self.cx, request_id, manifest, &service, &origin, &answer);
+        decision_recorder::look_up(&self.cx, request_id, manifest, &service, &origin, &answer);
         let ticket = action_path::ticket(&self.cx, &state, &service, &answer.entry);
         let ticket_ms = manifest.look_ups.ticket_ms;
         let body = LookUpBody {
--- a/server/src/cold_querier.rs
+++ b/server/src/cold_querier.rs
@@ -98,7 +98,7 @@
         let answering = connection.sender().send_request(req);
         let (head, body) = answering.await.context(ExchangeSnafu)?.into_parts();
         let reply = self.interface.read_health(&head, &query.name);
-        if refusal_body::read_out(body).await {
+        if refusal_body::read_to_end(body).await {
             self.pool.give_back_for(connection, MAX_IDLE);
         }
         reply
--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -59,7 +59,7 @@
 use crate::replication_service::ReplicationService;
 use crate::session_service::SessionService;
 use crate::shutdown::Shutdown;
-use crate::token_desk::TokenDesk;
+use crate::token_issuer::TokenIssuer;
 
 /// Largest submission that is taken, in bytes: a manifest and who submits it.
 const MAX_SUBMISSION_BYTES: usize = MAX_MANIFEST_BYTES + (64 << 10);
@@ -214,7 +214,7 @@
     let builder = security.grpc_server().context(SecuritySnafu)?;
     let direct = settings.direct.as_ref();
     let tolerance = direct.map(|direct| direct.team_limits);
-    let tokens = TokenDesk::new(
+    let tokens = TokenIssuer::new(
         Arc::clone(&clock),
         settings.advertised(),
         tolerance.unwrap_or_default(),
--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -38,11 +38,11 @@
 use crate::direct_send::DirectRequest;
 use crate::header::remove_hop_by_hop;
 use crate::http_server::Arrival;
-use crate::known_asker::KnownAsker;
 use crate::metric;
 use crate::request_body;
 use crate::request_body::RequestBody;
 use crate::request_trace::RequestTrace;
+use crate::verified_caller::VerifiedCaller;
 
 /// Time beyond a route's timeout that a backend server is given, as far as the caller waits.
 /// Requests without their data at hand take about as long as some timeouts; one that is ended
@@ -98,7 +98,7 @@
         let marks = self.interface.read_request(&head.headers);
         let marks = marks.map_err(|_| refuse(NotRunReason::MalformedRequest))?;
         trace.request_id.clone_from(&marks.request_id);
-        let view = self.first_view(arrived, marks.patience).await?;
+        let view = self.first_view(arrived, marks.caller_timeout).await?;
         trace.version = view.version.0;
         trace.proof_age = self.proof_age();
         let host = host_of(&head.uri, &head.headers)
@@ -109,12 +109,14 @@
         trace.route = Some(name.clone());
         let mut headers = head.headers;
         let key = credential::read(&headers);
-        let (asker, teams) = self.asker(arrived, marks.patience, name, key).await?;
+        let (caller, teams) = self
+            .caller(arrived, marks.caller_timeout, name, key)
+            .await?;
         if teams.requires_keys() {
             credential::remove(&mut headers);
         }
-        trace.team.clone_from(&asker.team);
-        let team = asker.team_in(&teams);
+        trace.team.clone_from(&caller.team);
+        let team = caller.team_in(&teams);
         let own_homes = team.map_or(&[][..], |team| &team.home_regions);
         let homes = home_regions::intersection(own_homes, &route.home_regions)
             .ok_or_else(|| refuse(NotRunReason::NoCommonHome))?;
@@ -122,12 +124,14 @@
             team: team.and_then(|team| team.priority),
             route: route.priority,
         };
-        let patience = marks.patience.unwrap_or(route.timeout);
-        let patience = patience.saturating_sub(WAY_BACK).max(patience / 2);
-        trace.patience = patience.min(route.timeout);
-        let deadline = arrived + trace.patience;
-        let work_until = (deadline + WORK_GRACE).min(arrived + patience);
-        let give_up = (deadline + ANSWER_GRACE).min(arrived + patience);
+        let caller_timeout = marks.caller_timeout.unwrap_or(route.timeout);
+        let caller_timeout = caller_timeout
+            .saturating_sub(WAY_BACK)
+            .max(caller_timeout / 2);
+        trace.caller_timeout = caller_timeout.min(route.timeout);
+        let deadline = arrived + trace.caller_timeout;
+        let work_until = (deadline + WORK_GRACE).min(arrived + caller_timeout);
+        let give_up = (deadline + ANSWER_GRACE).min(arrived + caller_timeout);
         let max_bytes = u32::try_from(view.limits.max_body_bytes).unwrap_or(u32::MAX);
         let body = request_body::read(body, max_bytes, deadline)
             .await
@@ -154,7 +158,7 @@
             headers,
             body,
             request_id: marks.request_id,
-            asker,
+            caller,
             tag,
             deadline,
             work_until,
@@ -181,9 +185,9 @@
     async fn first_view(
         &self,
         arrived: Instant,
-        patience: Option<Duration>,
+        caller_timeout: Option<Duration>,
     ) -> Result<Arc<FleetView>, NotRun> {
-        let until = start_wait::wait_until(arrived, self.first_view_wait, patience);
+        let until = start_wait::wait_until(arrived, self.first_view_wait, caller_timeout);
         let mut view = self.view.clone();
         let waiting = view.wait_for(|view| view.has_manifest());
         match tokio::time::timeout_at(until.into(), waiting).await {
@@ -196,23 +200,23 @@
     ///
     /// A key that no team has may have been added a moment ago. It is unknown for certain once
     /// control was heard of after the request came; without that word nothing is certain.
-    async fn asker(
+    async fn caller(
         &self,
         arrived: Instant,
-        patience: Option<Duration>,
+        caller_timeout: Option<Duration>,
         route: &RouteName,
         key: Option<KeyDigest>,
-    ) -> Result<(KnownAsker, Arc<TeamDirectory>), NotRun> {
+    ) -> Result<(VerifiedCaller, Arc<TeamDirectory>), NotRun> {
         let known = || {
             let teams = Arc::clone(&self.view.borrow().teams);
-            KnownAsker::find(&teams, route, key).map(|asker| (asker, teams))
+            VerifiedCaller::find(&teams, route, key).map(|caller| (caller, teams))
         };
         if let Ok(known) = known() {
             return Ok(known);
         }
-        let until = start_wait::wait_until(arrived, CONFIRM_WITHIN, patience);
-        let mut heard = self.heard.clone();
-        let confirmed = heard.wait_for(|heard| *heard > arrived);
+        let until = start_wait::wait_until(arrived, CONFIRM_WITHIN, caller_timeout);
+        let mut last_contact = self.last_contact.clone();
+        let confirmed = last_contact.wait_for(|last_contact| *last_contact > arrived);
         let confirmed = tokio::time::timeout_at(until.into(), confirmed).await;
         known().map_err(|reason| {
             if matches!(confirmed, Ok(Ok(_))) {
@@ -245,7 +249,7 @@
         admitted: &Admitted,
         attempt: Attempt<Unsent>,
     ) -> Result<Attempt<Unsent>, NotRun> {
-        let (Some(team), Some(limit)) = (&admitted.req.asker.team, admitted.limit) else {
+        let (Some(team), Some(limit)) = (&admitted.req.caller.team, admitted.limit) else {
             return Ok(attempt);
         };
         let ruling = self.tokens.take(team, limit).await;
--- a/server/src/direct_context.rs
+++ b/server/src/direct_context.rs
@@ -32,7 +32,7 @@
     /// The view of the fleet.
     pub view: watch::Receiver<Arc<FleetView>>,
     /// When control was last in reach.
-    pub heard: watch::Receiver<Instant>,
+    pub last_contact: watch::Receiver<Instant>,
     /// When the view was last proved to be all that is confirmed.
     pub proved: watch::Receiver<Instant>,
     /// Picks backend servers.
--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -180,7 +180,7 @@
             };
             let ask = OwnedDispatchRequest {
                 service: admitted.service.clone(),
-                route_name: admitted.req.asker.route.clone(),
+                route_name: admitted.req.caller.route.clone(),
                 route: Arc::clone(&admitted.route),
                 object: admitted.object,
                 rank: admitted.rank,
@@ -220,7 +220,7 @@
         Decided {
             vm: &self.vm,
             held: now.saturating_duration_since(arrived),
-            control_age: now.saturating_duration_since(*self.heard.borrow()),
+            control_age: now.saturating_duration_since(*self.last_contact.borrow()),
         }
     }
 }
--- a/server/src/direct_process.rs
+++ b/server/src/direct_process.rs
@@ -171,7 +171,7 @@
     );
     let cx = Arc::new(DirectContext {
         vm: settings.vm.clone(),
-        heard: followed.heard,
+        last_contact: followed.last_contact,
         proved: followed.proved,
         clock: Arc::clone(&clock),
         interface: Arc::clone(&interface),
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -46,10 +46,10 @@
 use crate::header::remove_hop_by_hop;
 use crate::interface::AnswerMeaning;
 use crate::interface::EntryInterface;
-use crate::interface::OutgoingMarks;
-use crate::known_asker::KnownAsker;
+use crate::interface::OutgoingMetadata;
 use crate::refusal_body;
 use crate::stop_observer::StopObserver;
+use crate::verified_caller::VerifiedCaller;
 
 /// Bytes of an answer up to which it is read whole before its head is passed on. An answer
 /// that breaks off can then be asked for again elsewhere, if that does no harm.
@@ -82,7 +82,7 @@
     /// Identifies the caller's attempt.
     pub request_id: Option<String>,
     /// Who sent it.
-    pub asker: KnownAsker,
+    pub caller: VerifiedCaller,
     /// Names the request, whichever attempt it is.
     pub tag: RequestTag,
     /// When an answer should have come at the latest.
@@ -260,7 +260,7 @@
     /// Returns why a request isn't sent after all that no byte of was sent yet.
     fn withdrawn(&self, choice: &Choice, req: &DirectRequest) -> Option<NotRunReason> {
         let view = self.view.borrow();
-        if let Err(reason) = req.asker.check(&view.teams) {
+        if let Err(reason) = req.caller.check(&view.teams) {
             return Some(reason);
         }
         if !view.may_send(&choice.name, choice.born) {
@@ -302,12 +302,13 @@
         *message.method_mut() = req.method.clone();
         *message.uri_mut() = req.uri.clone();
         *message.headers_mut() = req.headers.clone();
-        let marks = OutgoingMarks {
+        let marks = OutgoingMetadata {
             left: req.work_until.saturating_duration_since(Instant::now()),
             backend: &choice.name,
-            team: req.asker.team.as_ref(),
+            team: req.caller.team.as_ref(),
         };
-        self.interface.mark_request(message.headers_mut(), &marks);
+        self.interface
+            .write_request_metadata(message.headers_mut(), &marks);
         message
     }
 
@@ -332,7 +333,7 @@
             }
         };
         at.followed.not_run();
-        if refusal_body::read_out(body).await {
+        if refusal_body::read_to_end(body).await {
             let keep = keep_time(&head.headers);
             self.pool.give_back_for(at.connection, keep);
         }
--- a/server/src/dispatcher.rs
+++ b/server/src/dispatcher.rs
@@ -152,7 +152,7 @@
     let status = response.status().as_u16();
     let outcome = header::text(response.headers(), header::OUTCOME);
     if let Some(refusal) = Refusal::of_backend_server(status, outcome) {
-        if refusal_body::read_out(response.into_body()).await {
+        if refusal_body::read_to_end(response.into_body()).await {
             pool.give_back(connection);
         }
         return sent.refused(refusal).into();
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -76,7 +76,7 @@
     record_encoded: Vec<u8>,
     view: watch::Sender<Arc<FleetView>>,
     out_of_service: watch::Sender<Arc<BTreeSet<VmName>>>,
-    heard: watch::Sender<Instant>,
+    last_contact: watch::Sender<Instant>,
     proved: watch::Sender<Instant>,
     /// Who isn't to be used for now, and the number of that at the replica that is followed.
     absent: BTreeSet<Absent>,
@@ -104,7 +104,7 @@
     /// The entry VMs of the view that take no requests.
     pub out_of_service: watch::Receiver<Arc<BTreeSet<VmName>>>,
     /// When control was last in reach.
-    pub heard: watch::Receiver<Instant>,
+    pub last_contact: watch::Receiver<Instant>,
     /// When the view was last proved to be all that is confirmed; the start, until it was.
     pub proved: watch::Receiver<Instant>,
     /// The replica that is followed.
@@ -118,7 +118,7 @@
 pub fn spawn(setup: FollowerSetup) -> Followed {
     let (view, view_rx) = watch::channel(Arc::new(FleetView::default()));
     let (out_of_service, out_of_service_rx) = watch::channel(Arc::default());
-    let (heard, heard_rx) = watch::channel(setup.clock.now());
+    let (last_contact, last_contact_rx) = watch::channel(setup.clock.now());
     let (proved, proved_rx) = watch::channel(setup.clock.now());
     let (replica, replica_rx) = watch::channel(None);
     let (sites, sites_rx) = watch::channel(Vec::new());
@@ -137,7 +137,7 @@
         record_encoded,
         view,
         out_of_service,
-        heard,
+        last_contact,
         proved,
         absent: BTreeSet::new(),
         known_presence: 0,
@@ -155,7 +155,7 @@
     Followed {
         view: view_rx,
         out_of_service: out_of_service_rx,
-        heard: heard_rx,
+        last_contact: last_contact_rx,
         proved: proved_rx,
         replica: replica_rx,
         sites: sites_rx,
@@ -272,7 +272,7 @@
         let ready = *self.setup.ready.borrow_and_update();
         let now = self.setup.clock.now();
         let age = |at: &watch::Sender<Instant>| now.saturating_duration_since(*at.borrow());
-        metric::control_silent(age(&self.heard), age(&self.proved));
+        metric::control_silent(age(&self.last_contact), age(&self.proved));
         let view = self.view.borrow();
         FollowRequest {
             vm: self.setup.vm.as_str().to_owned(),
@@ -309,7 +309,7 @@
             has_changes = true;
         }
         self.setup.dispatch.note_control_contact();
-        self.heard.send_replace(self.setup.clock.now());
+        self.last_contact.send_replace(self.setup.clock.now());
         self.proved
             .send_replace(moved(asked, reply.proved_after_ms));
         Ok(has_changes)
@@ -391,8 +391,13 @@
         self.known_presence = 0;
         self.replica.send_replace(self.asking.client(replica));
         let left = std::mem::take(&mut self.left).join("; ");
-        let heard = *self.heard.borrow();
-        let silent_ms = whole_ms(self.setup.clock.now().saturating_duration_since(heard));
+        let last_contact = *self.last_contact.borrow();
+        let silent_ms = whole_ms(
+            self.setup
+                .clock
+                .now()
+                .saturating_duration_since(last_contact),
+        );
         log::info!(event = "replica_followed", replica:% = replica, silent_ms, left = left.as_str(); "following this control replica from now on");
     }
 
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -47,7 +47,7 @@
 use crate::proto::ReportReply;
 use crate::proto::ReportRequest;
 use crate::proto::fleet_server::Fleet;
-use crate::token_desk::TokenDesk;
+use crate::token_issuer::TokenIssuer;
 use crate::update_cache::UpdateCache;
 
 /// Longest time for which an answer is held back.
@@ -63,7 +63,7 @@
     clock: Arc<dyn Clock>,
     control: FleetControl,
     node: NodeHandle,
-    tokens: TokenDesk,
+    tokens: TokenIssuer,
     updates: Arc<UpdateCache>,
     lag: Arc<Mutex<FollowLag>>,
 }
@@ -76,7 +76,7 @@
         clock: Arc<dyn Clock>,
         control: FleetControl,
         node: NodeHandle,
-        tokens: TokenDesk,
+        tokens: TokenIssuer,
     ) -> Self {
         Self {
             cluster,
--- a/server/src/interface.rs
+++ b/server/src/interface.rs
@@ -23,18 +23,18 @@
 
 /// Holds what a caller says with a request, besides what HTTP has a place for.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct CallerMarks {
+pub struct CallerMetadata {
     /// Identifies this attempt of the caller.
     pub request_id: Option<String>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The object that the request concerns.
     pub object: Option<String>,
 }
 
 /// Holds what a backend server is told with a request.
 #[derive(Clone, Copy, Debug)]
-pub struct OutgoingMarks<'a> {
+pub struct OutgoingMetadata<'a> {
     /// The time that is left for the answer.
     pub left: Duration,
     /// The backend server that is meant; any other one must turn the request away.
@@ -58,7 +58,7 @@
 
 /// Holds what a backend server says with an answer.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct AnswerMarks {
+pub struct AnswerMetadata {
     /// What the answer means.
     pub meaning: AnswerMeaning,
     /// The load that it reports.
@@ -67,7 +67,7 @@
 
 /// Holds what a backend server says of itself in a health check.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HealthMarks {
+pub struct HealthMetadata {
     /// How much longer it stays cold; zero if it isn't.
     pub cold_for: Duration,
 }
@@ -105,20 +105,21 @@
     /// # Errors
     ///
     /// Returns what can't be read, for the refusal.
-    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMarks, UnreadableMark>;
+    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableHeader>;
 
     /// Writes what a backend server is told into the caller's headers.
-    fn mark_request(&self, headers: &mut HeaderMap, marks: &OutgoingMarks<'_>);
+    fn write_request_metadata(&self, headers: &mut HeaderMap, marks: &OutgoingMetadata<'_>);
 
     /// Reads an answer of a backend server to the request `request_id`.
-    fn read_answer(&self, head: &http::response::Parts, request_id: Option<&str>) -> AnswerMarks;
+    fn read_answer(&self, head: &http::response::Parts, request_id: Option<&str>)
+    -> AnswerMetadata;
 
     /// Reads the answer to a health check; nothing if it isn't `backend` that answers.
     fn read_health(
         &self,
         head: &http::response::Parts,
         backend: &BackendName,
-    ) -> Option<HealthMarks>;
+    ) -> Option<HealthMetadata>;
 
     /// Answers the question whether this entry VM takes requests.
     fn answer_ready(&self, ready: bool, req: &Request<RequestBody>) -> Response<AnswerBody>;
@@ -127,7 +128,7 @@
 /// Tells which header of a request can't be read.
 #[derive(Clone, Debug, Eq, PartialEq, snafu::Snafu)]
 #[snafu(display("the header {name} can't be read"))]
-pub struct UnreadableMark {
+pub struct UnreadableHeader {
     /// The header.
     pub name: &'static str,
 }
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -4,8 +4,8 @@
 //! makes the decisions without I/O; this crate carries them out.
 
 pub mod credential;
-pub mod known_asker;
 pub mod peer_security;
+pub mod verified_caller;
 
 /// Code generated from `server/proto/heatherring.proto` by `tools/proto-gen`.
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
@@ -33,7 +33,7 @@
 pub mod control_session;
 pub mod crash_tracker;
 pub mod data_folder;
-pub mod decision_note;
+pub mod decision_recorder;
 pub mod decision_task;
 pub mod demo;
 pub mod demo_backend_server;
@@ -111,6 +111,6 @@
 pub mod stop_observer;
 pub mod submit_reply;
 pub mod sync_target;
-pub mod token_desk;
+pub mod token_issuer;
 pub mod token_task;
 pub mod update_cache;
--- a/server/src/link_task.rs
+++ b/server/src/link_task.rs
@@ -26,7 +26,7 @@
 use tokio::sync::oneshot;
 
 use crate::answer_body::AnswerBody;
-use crate::answer_body::AnswerBroken;
+use crate::answer_body::AnswerBodyError;
 
 /// Estimated framing overhead of a head and of each of its headers, in bytes.
 const HEAD_OVERHEAD: usize = 64;
@@ -157,7 +157,7 @@
     }
 }
 
-type FramePoll = Poll<Option<Result<Frame<Bytes>, AnswerBroken>>>;
+type FramePoll = Poll<Option<Result<Frame<Bytes>, AnswerBodyError>>>;
 
 /// Sends an answer to another region at the rate allowed by this entry VM's budget of the link.
 /// The budget is charged before each piece is sent.
@@ -201,14 +201,14 @@
         Some(Poll::Ready(Some(if permitted {
             Ok(frame)
         } else {
-            Err(AnswerBroken::Deadline)
+            Err(AnswerBodyError::Deadline)
         })))
     }
 }
 
 impl Body for RateLimitedBody {
     type Data = Bytes;
-    type Error = AnswerBroken;
+    type Error = AnswerBodyError;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
         let this = self.get_mut();
--- a/server/src/own_interface.rs
+++ b/server/src/own_interface.rs
@@ -39,16 +39,16 @@
 use crate::fleet_control::FleetControl;
 use crate::fleet_control::FleetError;
 use crate::header;
-use crate::interface::AnswerMarks;
 use crate::interface::AnswerMeaning;
-use crate::interface::CallerMarks;
+use crate::interface::AnswerMetadata;
+use crate::interface::CallerMetadata;
 use crate::interface::ControlInterface;
 use crate::interface::EntryInterface;
-use crate::interface::HealthMarks;
+use crate::interface::HealthMetadata;
 use crate::interface::LookUpInterface;
 use crate::interface::LookUpSource;
-use crate::interface::OutgoingMarks;
-use crate::interface::UnreadableMark;
+use crate::interface::OutgoingMetadata;
+use crate::interface::UnreadableHeader;
 use crate::query_parameter;
 use crate::reply;
 use crate::request_body;
@@ -70,24 +70,24 @@
 pub struct OwnInterface;
 
 impl EntryInterface for OwnInterface {
-    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMarks, UnreadableMark> {
-        let patience = match header::number(headers, &header::DEADLINE_MS) {
+    fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableHeader> {
+        let caller_timeout = match header::number(headers, &header::DEADLINE_MS) {
             Some(Some(millis)) => Some(Duration::from_millis(millis)),
             Some(None) => {
-                return Err(UnreadableMark {
+                return Err(UnreadableHeader {
                     name: "heatherring-deadline-ms",
                 });
             }
             None => None,
         };
-        Ok(CallerMarks {
+        Ok(CallerMetadata {
             request_id: header::text(headers, &header::REQUEST_ID).map(str::to_owned),
-            patience,
+            caller_timeout,
             object: header::text(headers, &OBJECT).map(str::to_owned),
         })
     }
 
-    fn mark_request(&self, headers: &mut HeaderMap, marks: &OutgoingMarks<'_>) {
+    fn write_request_metadata(&self, headers: &mut HeaderMap, marks: &OutgoingMetadata<'_>) {
         headers.insert(header::DEADLINE_MS, whole_ms(marks.left).into());
         if let Ok(backend) = HeaderValue::from_str(marks.backend.as_str()) {
             headers.insert(BACKEND, backend);
@@ -95,7 +95,7 @@
         header::set_or_remove(headers, &TEAM, marks.team.map(TeamName::as_str));
     }
 
-    fn read_answer(&self, head: &Parts, request_id: Option<&str>) -> AnswerMarks {
+    fn read_answer(&self, head: &Parts, request_id: Option<&str>) -> AnswerMetadata {
         let echoed = header::text(&head.headers, &header::REQUEST_ID);
         let outcome = header::text(&head.headers, &header::OUTCOME);
         let meaning = if outcome == Some(OUTCOME_NOT_RUN) {
@@ -107,16 +107,16 @@
         } else {
             AnswerMeaning::Foreign
         };
-        AnswerMarks {
+        AnswerMetadata {
             meaning,
             load: header::text(&head.headers, &LOAD).and_then(load_report),
         }
     }
 
-    fn read_health(&self, head: &Parts, backend: &BackendName) -> Option<HealthMarks> {
+    fn read_health(&self, head: &Parts, backend: &BackendName) -> Option<HealthMetadata> {
         let answers = header::text(&head.headers, &BACKEND)?;
         let millis = header::number(&head.headers, &COLD_MS).flatten();
-        (answers == backend.as_str()).then(|| HealthMarks {
+        (answers == backend.as_str()).then(|| HealthMetadata {
             cold_for: Duration::from_millis(millis.unwrap_or(0)),
         })
     }
@@ -192,7 +192,7 @@
     let path: Vec<&str> = head.uri.path().trim_start_matches('/').split('/').collect();
     let max_bytes = match path.as_slice() {
         ["v1", "announcements"] => request_body::MAX_ANNOUNCEMENT_BYTES,
-        _ => request_body::MAX_ORDER_BYTES,
+        _ => request_body::MAX_OPERATOR_CALL_BYTES,
     };
     let Ok(body) = request_body::read_control_call(body, max_bytes).await else {
         return reply::status(StatusCode::BAD_REQUEST);
--- a/server/src/refusal_body.rs
+++ b/server/src/refusal_body.rs
@@ -14,7 +14,7 @@
 
 /// Reads the rest of a refusal, so that shedding doesn't cost a new connection each.
 /// Returns whether it was read to its end, so that the connection can be used again.
-pub(crate) async fn read_out(body: Incoming) -> bool {
+pub(crate) async fn read_to_end(body: Incoming) -> bool {
     let body = Limited::new(body, MAX_REFUSAL_BODY);
     let reading = tokio::time::timeout(REFUSAL_BODY_TIMEOUT, body.collect());
     matches!(reading.await, Ok(Ok(_)))
--- a/server/src/request_body.rs
+++ b/server/src/request_body.rs
@@ -24,7 +24,7 @@
 use tokio::sync::oneshot;
 
 /// Bytes of an operator's call that are read at most: a manifest of some ten thousand routes.
-pub const MAX_ORDER_BYTES: usize = 8 << 20;
+pub const MAX_OPERATOR_CALL_BYTES: usize = 8 << 20;
 
 /// Bytes of what a backend server says of itself. A few hundred are usual; whoever sends
 /// more is none, and several hundred may do so at once.
--- a/server/src/request_path.rs
+++ b/server/src/request_path.rs
@@ -23,7 +23,7 @@
 
 use crate::admission_handle::CandidateFailure;
 use crate::answer_body::AnswerBody;
-use crate::decision_note;
+use crate::decision_recorder;
 use crate::dispatcher::OutgoingRequest;
 use crate::entry_context::EntryContext;
 use crate::forward_client::ForwardHead;
@@ -130,7 +130,7 @@
         tries_made: Vec::new(),
     };
     let outcome = journey.run(attempt).await;
-    decision_note::steering(cx, req, journey.tries_made);
+    decision_recorder::steering(cx, req, journey.tries_made);
     outcome
 }
 
@@ -171,7 +171,7 @@
                 break;
             }
             let outcome = self.run_at(&candidate, attempt).await;
-            let ended = decision_note::ended_try(self.cx, self.req, &candidate, &outcome);
+            let ended = decision_recorder::ended_try(self.cx, self.req, &candidate, &outcome);
             self.tries_made.push(ended);
             let not_run = match outcome {
                 Outcome::Answer(answer) => return Round::Over(Outcome::Answer(answer)),
--- a/server/src/request_trace.rs
+++ b/server/src/request_trace.rs
@@ -37,7 +37,7 @@
     /// Time since that version was last proved to be the newest that is confirmed.
     pub proof_age: Duration,
     /// Time that the caller had left when the request came, at most the route's timeout.
-    pub patience: Duration,
+    pub caller_timeout: Duration,
     sends: Vec<SendNote>,
     /// Where the request is at the moment.
     under_way: Option<BackendName>,
@@ -110,7 +110,7 @@
             version = $trace.version,
             proof_age_ms = whole_ms($trace.proof_age),
             control_age_ms = whole_ms($decided.control_age),
-            patience_ms = whole_ms($trace.patience),
+            patience_ms = whole_ms($trace.caller_timeout),
             sends:% = Sends(&$trace.sends),
             $($field,)*
             held_ms = whole_ms($decided.held);
--- a/server/src/token_desk.rs
+++ b/server/src/token_issuer.rs
@@ -21,7 +21,7 @@
 
 /// Hands out tokens.
 #[derive(Clone, Debug)]
-pub struct TokenDesk {
+pub struct TokenIssuer {
     clock: Arc<dyn Clock>,
     /// Where this replica takes messages.
     own: SocketAddr,
@@ -30,7 +30,7 @@
     tokens: Arc<Mutex<TokenShard>>,
 }
 
-impl TokenDesk {
+impl TokenIssuer {
     /// Creates the desk of the replica at `own`.
     #[must_use]
     pub fn new(
--- a/server/src/known_asker.rs
+++ b/server/src/verified_caller.rs
@@ -10,7 +10,7 @@
 
 /// Holds who sent a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct KnownAsker {
+pub struct VerifiedCaller {
     /// The route that the request came by.
     pub route: RouteName,
     /// The caller's team, if it has to be known.
@@ -18,7 +18,7 @@
     key: Option<KeyDigest>,
 }
 
-impl KnownAsker {
+impl VerifiedCaller {
     /// Finds who sends a request on `route` with `key`.
     ///
     /// # Errors
