--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -192,7 +192,7 @@
         settings.advertised(),
         channels.clone(),
     );
-    let (publisher, published) = published_state::channel();
+    let (state_publisher, published) = published_state::channel();
     let node = ControlNode::new(
         node_config(&settings),
         Arc::clone(&clock),
@@ -265,7 +265,7 @@
     tokio::select! {
         result = finished => result?,
         () = shutdown.requested_again() => {}
-        () = tokio::time::sleep(FINISH_WITHIN) => log::warn!(event = "control_stop_late"; "some connections did not end in time"),
+        () = tokio::time::sleep(FINISH_TIMEOUT) => log::warn!(event = "control_stop_late"; "some connections did not end in time; closing them"),
     }
     log::info!(event = "control_ended"; "control replica stopped");
     Ok(())
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -66,7 +66,7 @@
     pub clock: Arc<dyn Clock>,
     /// Receives each new view and the set of silent backend servers.
     pub dispatch: DispatchHandle,
-    /// Follows the view and the verdicts on requests.
+    /// Receives each new view and the verdicts on suspected requests.
     pub crashes: CrashTracker,
 }
 
