--- a/server/src/crash_tracker.rs
+++ b/server/src/crash_tracker.rs
@@ -1,7 +1,8 @@
-//! Finds out under which requests backend servers end, and tells control.
+//! Detects which requests were in flight when a backend server crashed, and reports them to
+//! control.
 //!
-//! The decisions are those of [`CrashEvidence`]. A request that breaks is followed by one new
-//! connection to its backend server: that it is refused is proof within a round trip.
+//! [`CrashEvidence`] makes the decisions. After a request breaks off, one new connection to its
+//! backend server is attempted: a refused connection proves within a round trip that it ended.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -41,42 +42,44 @@
 use tokio::sync::watch;
 use tonic::transport::Channel;
 
-use crate::announcement_batch::gathered;
+use crate::announcement_batch::collect_batch;
 use crate::backend_pool::BackendPool;
 use crate::metric;
 use crate::proto::NoteSuspectsRequest;
 use crate::proto::fleet_client::FleetClient;
 
-/// Time for which a connection is waited for: a way to another region and back, and a busy
-/// moment.
-const CONNECT_WITHIN: Duration = Duration::from_millis(400);
+/// Timeout of the connection attempt after a broken request: a round trip to another region,
+/// with room for a moment of high load.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// When the caller of a quarantined request is told to come back. Nothing changes sooner than
-/// minutes; a refusal for good would be wrong where the request is innocent after all.
+/// Retry delay returned to the caller of a quarantined request. Nothing changes within less
+/// than minutes; a permanent refusal would be wrong, since the request may be innocent.
 const QUARANTINE_RETRY: Duration = Duration::from_secs(30);
 
-/// Notes that wait for control at most.
-const MOST_NOTES: usize = 1_024;
+/// Largest number of notes that may wait to be sent to control.
+const MAX_QUEUED_NOTES: usize = 1_024;
 
-/// Notes that are told together at most.
-const MOST_TOGETHER: usize = 128;
+/// Largest number of notes sent to control in one call.
+const MAX_BATCH: usize = 128;
 
-/// Time for which notes are gathered: what stood on one backend server breaks together.
-const GATHER_FOR: Duration = Duration::from_millis(50);
+/// Time for which notes are collected into one batch: the requests in flight on one backend
+/// server break off together.
+const BATCH_WINDOW: Duration = Duration::from_millis(50);
 
-/// Time for which the answer of a replica is awaited; it may have to ask the leader.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of a replica's answer; the replica may have to ask the leader.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause before notes are told again that weren't confirmed.
-const AGAIN_PAUSE: Duration = Duration::from_millis(100);
+/// Pause before unconfirmed notes are sent again.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Tries to tell notes; together with the time of an answer longer than an election.
-const MOST_TRIES: usize = 20;
+/// Largest number of attempts to send a batch; with [`ANSWER_TIMEOUT`] they last longer than an
+/// election.
+const MAX_TRIES: usize = 20;
 
-/// Fingerprints that a log line names at most.
-const MOST_NAMED: usize = 8;
+/// Largest number of fingerprints in one log line.
+const MAX_LOGGED_FINGERPRINTS: usize = 8;
 
-/// Reaches what an entry VM knows of requests that may end backend servers.
+/// Tracks the evidence of an entry VM on requests that may crash backend servers.
 #[derive(Clone, Debug)]
 pub struct CrashTracker {
     inner: Arc<Inner>,
@@ -87,35 +90,35 @@
     clock: Arc<dyn Clock>,
     pool: BackendPool,
     state: Mutex<State>,
-    /// Nothing where there is nobody to tell.
+    /// `None` on an entry VM that owns its backend servers and reports to nobody.
     notes: Option<mpsc::Sender<SuspectNote>>,
 }
 
 #[derive(Debug)]
 struct State {
     key: FingerprintKey,
-    lives: Arc<dyn BackendIncarnations>,
+    incarnations: Arc<dyn BackendIncarnations>,
     evidence: CrashEvidence,
-    /// Backend servers that are being connected to.
-    asked: BTreeSet<BackendIncarnation>,
+    /// Backend servers to which a connection attempt is under way.
+    probing: BTreeSet<BackendIncarnation>,
 }
 
 impl State {
-    fn new(key: FingerprintKey, lives: Arc<dyn BackendIncarnations>) -> Self {
+    fn new(key: FingerprintKey, incarnations: Arc<dyn BackendIncarnations>) -> Self {
         Self {
             key,
-            lives,
+            incarnations,
             evidence: CrashEvidence::default(),
-            asked: BTreeSet::new(),
+            probing: BTreeSet::new(),
         }
     }
 }
 
-/// Backend servers whose lives are known by what is seen of them alone.
+/// Incarnations of owned backend servers, known only from the requests sent to them.
 #[derive(Debug)]
-struct OwnedLives;
+struct OwnedIncarnations;
 
-impl BackendIncarnations for OwnedLives {
+impl BackendIncarnations for OwnedIncarnations {
     fn was_replaced(&self, _life: &BackendIncarnation) -> bool {
         false
     }
@@ -125,14 +128,14 @@
     }
 }
 
-/// Names a backend server and how it is reached.
+/// Identifies a backend server and how to reach it.
 #[derive(Clone, Debug)]
 pub struct TrackedBackend {
     /// The backend server.
     pub life: BackendIncarnation,
     /// Its address.
     pub address: SocketAddr,
-    /// The bound on connections to it.
+    /// The limit on open connections to it.
     pub max_connections: u32,
 }
 
@@ -153,18 +156,23 @@
     /// Creates the watch, and the task's part that tells control.
     #[must_use]
     pub fn new(vm: VmName, clock: Arc<dyn Clock>, pool: BackendPool) -> (Self, SuspectReporter) {
-        let (notes, rx) = mpsc::channel(MOST_NOTES);
+        let (notes, rx) = mpsc::channel(MAX_QUEUED_NOTES);
         let state = State::new(FingerprintKey::default(), Arc::new(FleetView::default()));
-        let watch = Self::with(clock, pool, state, Some(notes));
-        (watch, SuspectReporter { vm, rx })
+        let tracker = Self::with(clock, pool, state, Some(notes));
+        (tracker, SuspectReporter { vm, rx })
     }
 
-    /// Creates the watch of an entry VM that owns its backend servers: it alone sends to them,
-    /// so that what it sees is all there is.
+    /// Creates the tracker of an entry VM that owns its backend servers. No other entry VM sends
+    /// to them, so that there are no other observations to combine with.
     #[must_use]
     pub fn of_owner(clock: Arc<dyn Clock>, pool: BackendPool) -> Self {
         let key = FingerprintKey::of_cluster(ClusterId(rand::random()));
-        Self::with(clock, pool, State::new(key, Arc::new(OwnedLives)), None)
+        Self::with(
+            clock,
+            pool,
+            State::new(key, Arc::new(OwnedIncarnations)),
+            None,
+        )
     }
 
     fn with(
@@ -184,24 +192,24 @@
         }
     }
 
-    /// Takes the key that all entry VMs of the cluster use.
+    /// Sets the fingerprint key, which all entry VMs of the cluster share.
     pub fn set_key(&self, key: FingerprintKey) {
         self.state().key = key;
     }
 
-    /// Takes control's verdicts in.
+    /// Applies control's verdicts; they replace the previous ones.
     pub fn apply_verdicts(&self, verdicts: BTreeMap<Fingerprint, Verdict>) {
-        log::info!(event = "verdicts_applied", count = verdicts.len(); "control says which requests are suspected");
+        log::info!(event = "verdicts_applied", count = verdicts.len(); "applied control's verdicts on suspected requests");
         self.state().evidence.apply_verdicts(verdicts);
     }
 
-    /// Follows a view of the fleet, by which backend servers may have ended.
+    /// Applies a view of the fleet, which may show that backend servers have ended.
     pub fn apply_view(&self, view: &Arc<FleetView>) {
-        self.state().lives = Arc::clone(view) as Arc<_>;
-        self.learn(|evidence, now, lives| evidence.apply_incarnations(now, lives));
+        self.state().incarnations = Arc::clone(view) as Arc<_>;
+        self.record(|evidence, now, incarnations| evidence.apply_incarnations(now, incarnations));
     }
 
-    /// Names a request that comes from `caller`.
+    /// Computes the fingerprints of a request from `caller`.
     #[must_use]
     pub fn tag(&self, content: &RequestContent<'_>, caller: IpAddr) -> RequestTag {
         let key = self.state().key;
@@ -211,17 +219,17 @@
         }
     }
 
-    /// Returns how a request is to be treated.
+    /// Returns how the request must be treated; `None` if it is not suspected.
     #[must_use]
     pub fn treatment(&self, tag: &RequestTag) -> Option<Treatment> {
         self.state().evidence.treatment(tag)
     }
 
-    /// Lets a request go on, unless it is in quarantine.
+    /// Admits a request unless it is quarantined.
     ///
     /// # Errors
     ///
-    /// Returns the proof that it isn't run.
+    /// Returns the proof that the request has not run.
     pub fn admit(
         &self,
         tag: &RequestTag,
@@ -232,23 +240,24 @@
         }
         let now = self.inner.clock.now();
         let note = self.state().evidence.note_refused(now, tag.content);
-        self.tell(note);
+        self.send_note(note);
         let not_run = attempt.refuse(NotRunReason::Quarantined);
         Err(not_run.with_retry_after(QUARANTINE_RETRY))
     }
 
-    /// Follows a request that is being handed to a backend server.
+    /// Starts to track a request that is being sent to a backend server.
     #[must_use]
     pub fn follow(&self, backend: TrackedBackend, tag: RequestTag) -> TrackedRequest {
         let watched = self.treatment(&tag).is_some();
         TrackedRequest {
             watch: Some(self.clone()),
             backend,
-            stood: InFlightRequest { tag, watched },
+            in_flight: InFlightRequest { tag, watched },
         }
     }
 
-    /// Returns the present life of a backend server that doesn't tell its lives apart itself.
+    /// Returns the current incarnation of a backend server that does not identify its incarnations
+    /// itself.
     #[must_use]
     pub fn incarnation_of(&self, backend: &BackendName) -> BackendIncarnation {
         self.state().evidence.incarnation_of(backend)
@@ -259,24 +268,29 @@
         state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_unanswered(&self, life: &BackendIncarnation, stood: InFlightRequest) {
-        self.learn(|evidence, now, lives| evidence.note_unanswered(now, lives, life, stood));
+    fn note_unanswered(&self, life: &BackendIncarnation, in_flight: InFlightRequest) {
+        self.record(|evidence, now, incarnations| {
+            evidence.note_unanswered(now, incarnations, life, in_flight)
+        });
     }
 
-    /// Tells of the backend servers that are found to have ended by what `note` notes.
-    fn learn<E: IntoIterator<Item = Ended>>(
+    /// Records an observation with `note`, and reports the backend servers that it shows to have
+    /// ended.
+    fn record<E: IntoIterator<Item = Ended>>(
         &self,
         note: impl FnOnce(&mut CrashEvidence, Instant, &dyn BackendIncarnations) -> E,
     ) {
         let now = self.inner.clock.now();
         let mut state = self.state();
         let State {
-            lives, evidence, ..
+            incarnations,
+            evidence,
+            ..
         } = &mut *state;
-        let ended = note(evidence, now, &**lives);
+        let ended = note(evidence, now, &**incarnations);
         drop(state);
         for ended in ended {
-            self.tell_ended(ended);
+            self.report_ended(ended);
         }
     }
 
@@ -292,46 +306,50 @@
             max_connections: limit,
         } = backend.clone();
         tokio::spawn(async move {
-            let pool = &watch.inner.pool;
-            let connected = pool.connect_anew(address, limit, CONNECT_WITHIN).await;
-            watch.state().asked.remove(&life);
+            let pool = &tracker.inner.pool;
+            let connected = pool.connect_anew(address, limit, CONNECT_TIMEOUT).await;
+            tracker.state().probing.remove(&life);
             match connected {
                 Ok(connection) => {
                     pool.give_back(connection);
-                    let now = watch.inner.clock.now();
-                    watch.state().evidence.note_reachable(now, &life);
+                    let now = tracker.inner.clock.now();
+                    tracker.state().evidence.note_reachable(now, &life);
                 }
                 Err(error) if error.is_refused() => {
-                    watch.learn(|evidence, now, lives| evidence.note_ended(now, lives, &life));
+                    tracker.record(|evidence, now, incarnations| {
+                        evidence.note_ended(now, incarnations, &life)
+                    });
                 }
-                // The view tells it, if it has ended.
+                // If the backend server has ended, a later view of the fleet shows it.
                 Err(_) => {}
             }
         });
     }
 
-    fn tell_ended(&self, ended: Ended) {
-        let named = ended.requests.iter().take(MOST_NAMED);
-        let named: Vec<String> = named.map(|stood| stood.tag.content.to_string()).collect();
+    fn report_ended(&self, ended: Ended) {
+        let named = ended.requests.iter().take(MAX_LOGGED_FINGERPRINTS);
+        let named: Vec<String> = named
+            .map(|in_flight| in_flight.tag.content.to_string())
+            .collect();
         let named = named.join(", ");
-        log::warn!(event = "backend_ended", backend = ended.life.backend.as_str(), standing = ended.requests.len(), fingerprints = named.as_str(); "a backend server ended with requests on it");
+        log::warn!(event = "backend_ended", backend = ended.life.backend.as_str(), standing = ended.requests.len(), fingerprints = named.as_str(); "a backend server ended with requests in flight");
         metric::backend_ended(ended.requests.len());
-        self.tell(Some(SuspectNote::Ended(ended)));
+        self.send_note(Some(SuspectNote::Ended(ended)));
     }
 
-    fn tell(&self, note: Option<SuspectNote>) {
+    fn send_note(&self, note: Option<SuspectNote>) {
         let Some(note) = note else {
             return;
         };
         let notes = self.inner.notes.as_ref();
         if notes.is_some_and(|notes| notes.try_send(note).is_err()) {
-            log::warn!(event = "suspect_note_lost"; "too much waits to be told to control");
+            log::warn!(event = "suspect_note_lost"; "too many notes on suspected requests wait for control; dropped one");
         }
     }
 }
 
-/// Follows one request at one backend server. Dropped without a word, it got no answer: its
-/// caller left, or its time was over.
+/// Tracks one request at one backend server. If dropped without an outcome, the request counts
+/// as unanswered: its caller disconnected, or its deadline passed.
 #[derive(Debug)]
 pub struct TrackedRequest {
     watch: Option<CrashTracker>,
@@ -342,36 +360,39 @@
 impl TrackedRequest {
     /// Notes that the backend server didn't get it, or said that it didn't run it.
     pub fn not_run(mut self) {
-        self.watch = None;
+        self.tracker = None;
     }
 
-    /// Notes that it was answered whole.
+    /// Records that the request was answered completely.
     pub fn answered(mut self) {
-        if let Some(watch) = self.watch.take() {
-            let now = watch.inner.clock.now();
-            let note = watch.state().evidence.note_answered(now, &self.stood.tag);
-            watch.tell(note);
+        if let Some(tracker) = self.tracker.take() {
+            let now = tracker.inner.clock.now();
+            let note = tracker
+                .state()
+                .evidence
+                .note_answered(now, &self.in_flight.tag);
+            tracker.send_note(note);
         }
     }
 
-    /// Notes that its connection broke.
+    /// Records that the connection broke.
     pub fn broken(mut self) {
-        if let Some(watch) = self.watch.take() {
-            watch.note_unanswered(&self.backend.life, self.stood);
-            watch.ask(&self.backend);
+        if let Some(tracker) = self.tracker.take() {
+            tracker.note_unanswered(&self.backend.life, self.in_flight);
+            tracker.probe(&self.backend);
         }
     }
 }
 
 impl Drop for TrackedRequest {
     fn drop(&mut self) {
-        if let Some(watch) = self.watch.take() {
-            watch.note_unanswered(&self.backend.life, self.stood);
+        if let Some(tracker) = self.tracker.take() {
+            tracker.note_unanswered(&self.backend.life, self.in_flight);
         }
     }
 }
 
-/// Tells control what was noted.
+/// Sends the collected notes to control.
 #[derive(Debug)]
 pub struct SuspectReporter {
     vm: VmName,
@@ -379,17 +400,17 @@
 }
 
 impl SuspectReporter {
-    /// Tells the replica that is followed, until the process ends.
+    /// Sends notes to the followed control replica until the process ends.
     pub async fn run(mut self, mut replica: watch::Receiver<Option<FleetClient<Channel>>>) {
         while let Some(first) = self.rx.recv().await {
-            tokio::time::sleep(GATHER_FOR).await;
-            let notes = gathered(first, MOST_TOGETHER, || self.rx.try_recv().ok());
-            self.tell(&mut replica, &notes).await;
+            tokio::time::sleep(BATCH_WINDOW).await;
+            let notes = collect_batch(first, MAX_BATCH, || self.rx.try_recv().ok());
+            self.send(&mut replica, &notes).await;
         }
     }
 
-    /// Tells notes until they are confirmed. Told twice they count once.
-    async fn tell(
+    /// Sends a batch until it is confirmed. Notes that arrive twice count once.
+    async fn send(
         &self,
         replica: &mut watch::Receiver<Option<FleetClient<Channel>>>,
         notes: &[SuspectNote],
@@ -397,7 +418,7 @@
         let notes_encoded = match postcard::to_stdvec(notes) {
             Ok(encoded) => encoded,
             Err(error) => {
-                log::error!(event = "suspect_notes_unencodable", error:% = error; "control can't learn of ended backend servers");
+                log::error!(event = "suspect_notes_unencodable", error:% = error; "cannot encode the notes on ended backend servers for control");
                 return;
             }
         };
@@ -405,7 +426,7 @@
             vm: self.vm.as_str().to_owned(),
             notes_encoded,
         };
-        for _ in 0..MOST_TRIES {
+        for _ in 0..MAX_TRIES {
             let Ok(client) = replica
                 .wait_for(Option::is_some)
                 .await
@@ -417,11 +438,11 @@
                 continue;
             };
             let call = client.note_suspects(request.clone());
-            if let Ok(Ok(_)) = tokio::time::timeout(ANSWER_WITHIN, call).await {
+            if let Ok(Ok(_)) = tokio::time::timeout(ANSWER_TIMEOUT, call).await {
                 return;
             }
-            tokio::time::sleep(AGAIN_PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
-        log::warn!(event = "suspect_notes_lost", count = notes.len(); "no replica confirmed what was noted of ended backend servers");
+        log::warn!(event = "suspect_notes_lost", count = notes.len(); "no control replica confirmed the notes on ended backend servers; dropped them");
     }
 }
