--- a/server/src/control_node.rs
+++ b/server/src/control_node.rs
@@ -225,7 +225,7 @@
 
     /// Makes the replica publish its state to the tasks that serve direct dispatch.
     #[must_use]
-    pub fn publishing(mut self, publisher: StatePublisher) -> Self {
+    pub fn with_publisher(mut self, publisher: StatePublisher) -> Self {
         self.publisher = Some(publisher);
         self
     }
--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -192,7 +192,7 @@
         settings.advertised(),
         channels.clone(),
     );
-    let (publisher, published) = published_state::channel();
+    let (state_publisher, published) = published_state::channel();
     let node = ControlNode::new(
         node_config(&settings),
         Arc::clone(&clock),
--- a/server/src/direct_context.rs
+++ b/server/src/direct_context.rs
@@ -39,14 +39,14 @@
     pub dispatch: DispatchHandle,
     /// Grants tokens for the limits of teams.
     pub tokens: TokenHandle,
-    /// Knows which requests end backend servers.
+    /// Tracks which requests crash backend servers.
     pub crashes: CrashTracker,
-    /// Sends to them.
+    /// Sends requests to backend servers.
     pub sender: DirectSender,
-    /// Whose turn it is in each split.
-    pub turns: Mutex<HashMap<RouteName, WeightedRoundRobin>>,
-    /// Whether the entry VM stops.
+    /// Round-robin state of each route's traffic split.
+    pub split_rotations: Mutex<HashMap<RouteName, WeightedRoundRobin>>,
+    /// State of a planned stop.
     pub stopping: StopObserver,
-    /// Time for which a request waits for the first view at most.
+    /// Maximum time that a request waits for the first view.
     pub first_view_wait: Duration,
 }
--- a/server/src/direct_process.rs
+++ b/server/src/direct_process.rs
@@ -161,7 +161,7 @@
         pool: pool.clone(),
         interface: Arc::clone(&interface),
     };
-    tokio::spawn(questioner.run());
+    tokio::spawn(querier.run());
     let (stop_tx, stopping) = StopObserver::new();
     let sender = DirectSender::new(
         pool,
@@ -298,8 +298,8 @@
         self.stopping.send_replace(StopState::Stopping(stop));
         self.stops.leaving.cancel();
         tokio::select! {
-            () = serve_out(stop, &self.stops.stop, self.serving) => {}
-            () = shutdown.requested_again() => log::warn!(event = "entry_stop_forced"; "asked to stop twice: what is under way is cut off"),
+            () = drain_connections(stop, &self.stops.stop, self.serving) => {}
+            () = shutdown.requested_again() => log::warn!(event = "entry_stop_forced"; "stop requested a second time; requests in progress are cut off"),
         }
         self.stopping.send_replace(StopState::Ended(stop));
     }
--- a/server/src/entry_process.rs
+++ b/server/src/entry_process.rs
@@ -217,7 +217,7 @@
         tokio::select! {
             () = self.finish() => {}
             () = shutdown.requested_again() => {
-                log::warn!(event = "entry_stop_forced", vm = self.cx.info.vm.as_str(); "asked to stop twice: what is in flight is cut off");
+                log::warn!(event = "entry_stop_forced", vm = self.cx.info.vm.as_str(); "second stop request: cutting off requests in flight");
             }
         }
         self.wish.send_replace(SessionWish::Close);
--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -220,8 +220,9 @@
         result
     }
 
-    /// Tells of teams that can't be served on some routes, since no region is home to both.
-    fn warn_of_teams_without_home(&self) {
+    /// Logs teams whose requests are refused on some routes because team and route have no home
+    /// region in common.
+    fn warn_about_missing_common_home(&self) {
         let fleet = self.inner.published.read().fleet;
         let Some(teams) = fleet.teams() else {
             return;
@@ -422,8 +423,8 @@
         born: Option<u64>,
     ) -> Result<(), FleetError> {
         let fleet = self.inner.published.read().fleet;
-        // Without a record whoever was born until now is meant: an announcement of it may still
-        // be on its way to being committed.
+        // Without a record, every incarnation up to now is withdrawn: an announcement of it may
+        // not be committed yet.
         let born = born
             .or_else(|| fleet.backend(&backend).map(|known| known.born))
             .unwrap_or_else(|| unix_ms(self.inner.clock.wall()));
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -118,7 +118,7 @@
     fn proved_after_ms(&self, received_at: Instant) -> i64 {
         let now = self.clock.now();
         let age = self.control.published().proof_age(now).unwrap_or_default();
-        let held = now.saturating_duration_since(asked);
+        let held = now.saturating_duration_since(received_at);
         let ms = |time| i64::try_from(whole_ms(time)).unwrap_or(i64::MAX);
         ms(held).saturating_sub(ms(age))
     }
@@ -131,13 +131,13 @@
         let applied = Revision(request.applied_revision);
         let mut published = self.control.published().clone();
         let mut presence = self.control.presence().clone();
-        let wait = Duration::from_millis(request.wait_ms.into()).min(MAX_WAIT);
-        let lapsed = published.clone();
-        let news = async {
+        let wait = Duration::from_millis(request.wait_ms.into()).min(MAX_HOLD);
+        let proof = published.clone();
+        let changes = async {
             loop {
                 let verdicts = presence.view().number();
                 let fleet = published.read().fleet;
-                let is_new = fleet.revision() > applied
+                let has_changes = fleet.revision() > applied
                     || fleet.quarantine().revision().0 > request.known_quarantine
                     || (verdicts != 0 && verdicts != request.known_presence);
                 if has_changes {
--- a/server/src/published_state.rs
+++ b/server/src/published_state.rs
@@ -23,7 +23,7 @@
 /// Applied state of a replica.
 #[derive(Clone, Debug)]
 pub struct PublishedState {
-    /// What direct dispatch goes by.
+    /// State on which direct dispatch relies.
     pub fleet: Arc<FleetState>,
     /// All replicas, learners included.
     pub replicas: Arc<Vec<ReplicaInfo>>,
@@ -48,18 +48,18 @@
 /// Creates a publisher and a reader; the published state is empty at first.
 #[must_use]
 pub fn channel() -> (StatePublisher, StateReader) {
-    let (picture_tx, published) = watch::channel(PublishedState {
+    let (published_tx, published) = watch::channel(PublishedState {
         fleet: Arc::default(),
         replicas: Arc::default(),
         leads: false,
     });
     let (proved_tx, proved_at) = watch::channel(None);
-    let publisher = StatePublisher {
-        published: picture_tx,
+    let state_publisher = StatePublisher {
+        published: published_tx,
         proved_at: proved_tx,
     };
     (
-        publisher,
+        state_publisher,
         StateReader {
             published,
             proved_at,
@@ -68,7 +68,7 @@
 }
 
 impl StatePublisher {
-    /// Shows the present state; wakes readers only if something changed.
+    /// Publishes the present state; wakes readers only if it changed.
     pub fn publish(&self, raft: &Raft, state: &ControlState) {
         self.proved_at.send_replace(raft.proven_current_at());
         let leads = raft.role() == Role::Leader;
@@ -92,7 +92,7 @@
 }
 
 impl StateReader {
-    /// Returns what the replica has applied.
+    /// Returns the state as last published.
     #[must_use]
     pub fn read(&self) -> PublishedState {
         self.published.borrow().clone()
--- a/server/src/token_task.rs
+++ b/server/src/token_task.rs
@@ -142,8 +142,8 @@
                 },
                 Some((token_request, answer)) = answered.recv() => {
                     let now = self.setup.clock.now();
-                    let ruled = self.cache.answered(now, &token_request, answer.as_deref());
-                    tell(ruled);
+                    let decisions = self.cache.answered(now, &token_request, answer.as_deref());
+                    notify_waiters(decisions);
                 }
                 Ok(()) = self.setup.sites.changed() => self.follow_sites(),
                 () = until(next_poll_at) => {}
@@ -163,14 +163,14 @@
         let TokenDemand { team, limit, reply } = demand;
         let now = self.setup.clock.now();
         let find_sharing_replicas = || self.setup.sharing_replicas(&team, &limit);
-        tell(
+        notify_waiters(
             self.cache
                 .take(now, &team, &limit, find_sharing_replicas, reply),
         );
     }
 
-    /// Asks replicas what is to be asked.
-    fn ask(&mut self) {
+    /// Sends the token requests that are due.
+    fn send_token_requests(&mut self) {
         for token_request in self.cache.token_requests(self.setup.clock.now()) {
             let answers = self.answers.clone();
             let holder = self.setup.holder.clone();
