--- a/server/src/control_format.rs
+++ b/server/src/control_format.rs
@@ -1,4 +1,4 @@
-//! Formats the data folder of a control replica: `init`, `join` and `repair`.
+//! Formatting of a control replica's data folder, for `init`, `join` and `repair`.
 
 use std::fs::DirBuilder;
 use std::fs::File;
@@ -37,73 +37,75 @@
 use crate::proto::change_membership_request::Change;
 use crate::proto::operator_client::OperatorClient;
 
-/// Identities fit the numbers that readers of JSON keep exactly.
+/// Number of bits of a replica's identity: JSON parsers represent integers up to this size
+/// exactly.
 const REPLICA_ID_BITS: u32 = 53;
 
-/// Time for which an answer of the cluster is awaited.
-const ANSWER_WITHIN: Duration = Duration::from_secs(10);
+/// Timeout of a call to the cluster.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Access to a data folder that `init` or `join` makes: the owner's alone.
+/// File mode of a data folder that `init` or `join` creates: access for the owner only.
 const FOLDER_MODE: u32 = 0o700;
 
-/// Tells why a data folder couldn't be formatted.
+/// Reason for which a data folder could not be formatted.
 #[derive(Debug, Snafu)]
 pub enum FormatError {
-    /// The folder can't be used.
+    /// The data folder cannot be used.
     #[snafu(display("data folder {}: {source}", folder.display()))]
     Folder {
-        /// The folder.
+        /// Path of the data folder.
         folder: std::path::PathBuf,
-        /// Why.
+        /// Cause of the failure.
         source: DiskError,
     },
-    /// No address was given.
+    /// The list of addresses of control replicas is empty.
     #[snafu(display("no address of a replica was given"))]
     NoAddress,
-    /// The address makes no connection.
-    #[snafu(display("can't reach {address}: {source}"))]
+    /// A connection to the address cannot be set up.
+    #[snafu(display("cannot connect to {address}: {source}"))]
     Connect {
-        /// The address.
+        /// Address of a control replica.
         address: SocketAddr,
-        /// Why.
+        /// Cause of the failure.
         source: PeerSecurityError,
     },
-    /// The certificates of the settings can't be used.
+    /// The certificates of the settings cannot be used.
     #[snafu(display("{source}"))]
     Security {
-        /// Why.
+        /// Cause of the failure.
         source: PeerSecurityError,
     },
-    /// The cluster gave no answer.
+    /// The call failed or timed out, so the replica may have been added.
     #[snafu(display(
-        "the cluster gave no answer: {}\nhint: the folder was not formatted, and asking \
-         again is safe; a replica that shows up in `heatherring status` without ever \
-         catching up can be removed",
+        "the cluster did not answer: {}\nhint: the folder was not formatted, and trying \
+        again is safe; a replica that shows up in `heatherring status` without ever \
+        catching up can be removed",
         source.message()
     ))]
     NoAnswer {
-        /// What the call ended with.
+        /// Status with which the call ended.
         source: Box<Status>,
     },
     /// The cluster refused the replica.
     #[snafu(display("the cluster refused this replica: {reason}"))]
     Refused {
-        /// Why.
+        /// Reason that the cluster gave.
         reason: String,
     },
-    /// The cluster's answer names no cluster.
+    /// The cluster's answer has no valid cluster identity.
     #[snafu(display("the cluster's answer has no cluster identity"))]
     ClusterIdentity,
 }
 
-/// Makes a new cluster with this replica alone, and returns the replica's identity.
+/// Creates a new cluster with this replica as its only member, and returns the replica's
+/// identity.
 ///
-/// This is the only way in which a cluster comes into being. A second `init` makes a
+/// Without self-formation, this is the only way to create a cluster. A second `init` creates a
 /// second cluster, with another identity, whose replicas refuse those of the first.
 ///
 /// # Errors
 ///
-/// Returns [`FormatError::Folder`] if the folder isn't empty or can't be written.
+/// Returns [`FormatError::Folder`] if the folder is not empty or cannot be written.
 pub fn init(settings: &ControlSettings) -> Result<Identity, FormatError> {
     let identity = Identity {
         format: FORMAT_VERSION,
@@ -115,11 +117,11 @@
     Ok(identity)
 }
 
-/// Formats the data folder with an identity and the records that it begins with.
+/// Formats the data folder with an identity and its first records.
 ///
 /// # Errors
 ///
-/// Returns [`FormatError::Folder`] if the folder isn't empty or can't be written.
+/// Returns [`FormatError::Folder`] if the folder is not empty or cannot be written.
 pub fn format_folder(
     settings: &ControlSettings,
     identity: Identity,
@@ -132,14 +134,14 @@
         .context(FolderSnafu { folder })
 }
 
-/// Adds this replica to the cluster whose replicas are reached at `control`, as a learner with a fresh
-/// identity, and formats the folder with it. With `replaces`, the replica of that
+/// Adds this replica as a learner with a fresh identity to the cluster whose replicas listen at
+/// `control`, and formats the data folder with that identity. With `replaces`, the replica of that
 /// identity is removed once the new one votes.
 ///
 /// # Errors
 ///
-/// Returns a [`FormatError`] if the folder isn't empty, or the cluster can't be reached
-/// or refuses; the folder isn't formatted then.
+/// Returns a [`FormatError`] if the folder is not empty, or the cluster cannot be reached or
+/// refuses. In the latter two cases the folder is not formatted.
 pub async fn join(
     settings: &ControlSettings,
     control: &[SocketAddr],
@@ -149,7 +151,7 @@
     let folder = &settings.data_folder;
     let disk = open_empty(folder).context(FolderSnafu { folder })?;
     let replica = random_replica();
-    let reply = ask_any(settings, control, replica, replaces, operator).await?;
+    let reply = add_via_any(settings, control, replica, replaces, operator).await?;
     ensure!(
         reply.accepted,
         RefusedSnafu {
@@ -166,9 +168,9 @@
     Ok(identity)
 }
 
-/// Asks one replica after the other until one answers. All are asked to add the same
-/// identity, so an answer that was lost adds nobody twice.
-async fn ask_any(
+/// Calls one replica after another until one answers. All are asked to add the same identity, so
+/// a call whose answer was lost does not add the replica twice.
+async fn add_via_any(
     settings: &ControlSettings,
     control: &[SocketAddr],
     replica: ReplicaId,
@@ -177,7 +179,7 @@
 ) -> Result<ChangeMembershipReply, FormatError> {
     let mut outcome = NoAddressSnafu.fail();
     for via in control {
-        outcome = ask_to_add(settings, *via, replica, replaces, operator).await;
+        outcome = add_via(settings, *via, replica, replaces, operator).await;
         if outcome.is_ok() {
             break;
         }
@@ -185,7 +187,7 @@
     outcome
 }
 
-async fn ask_to_add(
+async fn add_via(
     settings: &ControlSettings,
     via: SocketAddr,
     replica: ReplicaId,
@@ -207,7 +209,7 @@
         change: Some(Change::Add(add)),
         operator: operator.to_owned(),
     });
-    request.set_timeout(ANSWER_WITHIN);
+    request.set_timeout(ANSWER_TIMEOUT);
     let mut client = OperatorClient::new(channel);
     let reply = client.change_membership(request).await;
     let reply = reply.map_err(Box::new).context(NoAnswerSnafu)?;
@@ -221,20 +223,21 @@
     }
 }
 
-/// Draws a fresh identity.
+/// Returns a random identity for a new replica.
 #[must_use]
 pub fn random_replica() -> ReplicaId {
     replica_id(rand::random())
 }
 
-/// Makes an identity out of random bits.
+/// Returns the identity for random or hashed bits: their lowest 53 bits, and never 0.
 #[must_use]
 pub fn replica_id(bits: u64) -> ReplicaId {
     let mask = (1 << REPLICA_ID_BITS) - 1;
     ReplicaId((bits & mask).max(1))
 }
 
-/// Opens a folder that may be formatted; makes it if only its last component is missing.
+/// Opens an empty folder for formatting; creates it if only the last component of its path is
+/// missing.
 fn open_empty(folder: &Path) -> Result<FolderDisk, DiskError> {
     match DirBuilder::new().mode(FOLDER_MODE).create(folder) {
         Err(source) if source.kind() != io::ErrorKind::AlreadyExists => {
@@ -248,8 +251,8 @@
     Ok(disk)
 }
 
-/// Makes the creation of the folder itself durable. Otherwise a crash of the VM may
-/// take the whole folder away, after its replica has voted.
+/// Makes the creation of the folder itself durable. Otherwise a crash of the VM could lose the
+/// whole folder after its replica has voted.
 fn sync_parent(folder: &Path) -> io::Result<()> {
     let parent = folder.parent().filter(|p| !p.as_os_str().is_empty());
     File::open(parent.unwrap_or(Path::new(".")))?.sync_all()
--- a/server/src/control_listeners.rs
+++ b/server/src/control_listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of a control replica for those who aren't part of the system.
+//! Listeners of a control replica for backend servers, operators and callers of direct dispatch.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,10 +27,11 @@
 use crate::look_up_handler::LookUpHandler;
 use crate::request_body::RequestBody;
 
-/// Connections open at one listener; several hundred backend servers keep one each.
+/// Largest number of open connections at one listener; several hundred backend servers keep one
+/// each.
 const MAX_CONNECTIONS: usize = 1_500;
 
-/// Bounds on one connection: it may be idle for many heartbeats.
+/// Limits of one connection, which may be idle for many heartbeat intervals.
 const LIMITS: ConnectionLimits = ConnectionLimits {
     max_header_bytes: 16 << 10,
     header_timeout: Duration::from_secs(30),
@@ -50,10 +51,10 @@
     }
 }
 
-/// Holds the bound listeners.
+/// Bound listeners that are not served yet.
 #[derive(Debug)]
 pub struct ControlListeners {
-    orders: TcpListener,
+    control_listener: TcpListener,
     look_ups: Option<TcpListener>,
 }
 
@@ -62,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the address that can't be listened on, and what the system said.
+    /// Returns the address that cannot be bound, and the error of the operating system.
     pub async fn bind(
         settings: &DirectControlSettings,
     ) -> Result<Self, (SocketAddr, std::io::Error)> {
@@ -72,7 +73,7 @@
                 .map_err(|source| (address, source))
         };
         Ok(Self {
-            orders: bind(settings.listen).await?,
+            control_listener: bind(settings.listen).await?,
             look_ups: match settings.look_ups {
                 Some(address) => Some(bind(address).await?),
                 None => None,
@@ -80,8 +81,8 @@
         })
     }
 
-    /// Serves until `stop` is cancelled, and then until all that was read is answered. The
-    /// returned task ends after that.
+    /// Serves until `stop` is cancelled and all requests read by then are answered; the returned
+    /// task then ends. It does not wait for the listener of look-ups.
     pub fn serve(
         self,
         interface: &Arc<dyn ControlInterface>,
@@ -89,7 +90,7 @@
         clock: &Arc<dyn Clock>,
         stop: &CancellationToken,
     ) -> JoinHandle<()> {
-        let orders = ControlHandler {
+        let control_handler = ControlHandler {
             interface: Arc::clone(interface),
             control: control.clone(),
         };
@@ -100,7 +101,12 @@
         if let Some(listener) = self.look_ups {
             tokio::spawn(serve(listener, look_ups, Arc::clone(clock), stop));
         }
-        tokio::spawn(serve(self.orders, orders, Arc::clone(clock), stop))
+        tokio::spawn(serve(
+            self.control_listener,
+            control_handler,
+            Arc::clone(clock),
+            stop,
+        ))
     }
 }
 
--- a/server/src/control_session.rs
+++ b/server/src/control_session.rs
@@ -1,8 +1,8 @@
 //! An entry VM's session with control.
 //!
-//! One task calls `Session.Sync` in a loop and applies what comes back in log order. It
-//! asks one replica at a time and moves to the next when that one can't prove that it
-//! is current or doesn't answer.
+//! One task calls `Session.Sync` in a loop and applies the replies in log order. It calls one
+//! replica at a time, and moves on to the next when that one cannot prove that it is current or
+//! does not answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,103 +38,106 @@
 use crate::proto::session_client::SessionClient;
 use crate::sync_target::SyncTargets;
 
-/// Time for which control may hold a call back while nothing is new. A silent replica
-/// costs this and [`CALL_MARGIN`] before another is asked, which must leave a good part
-/// of the lease for finding a new leader; the other one isn't let hold it back.
+/// Time for which control may hold a call while there are no changes. A silent replica costs this
+/// time and [`CALL_MARGIN`] before another one is called, which must leave a good part of the lease
+/// for finding a new leader; the call to the other one must not be held.
 const SYNC_WAIT: Duration = Duration::from_millis(500);
 
-/// Time beyond the wait after which a call counts as lost.
+/// Time in addition to [`SYNC_WAIT`] after which a call times out.
 const CALL_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time for which a call may take to connect.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause before another replica is asked. Without it, an entry VM would ask the
-/// replicas in a tight loop during an election.
+/// Pause before another replica is called. Without it, an entry VM would call the replicas in a
+/// tight loop during an election.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time for which the end of the session is reported at most.
-const CLOSE_BOUND: Duration = Duration::from_secs(2);
+/// Longest time spent on reporting the end of the session.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Tells what the process wants of its session.
+/// State of the session that the process requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum SessionWish {
-    /// To serve.
+    /// The entry VM serves requests.
     #[default]
     Serve,
-    /// To own nothing any more and to be named in no look-up.
+    /// The entry VM gives up its ownerships and is no longer listed in look-ups.
     Leave,
-    /// To end: everything is finished.
+    /// The session ends: the entry VM has finished all requests.
     Close,
 }
 
-/// Tells the tasks that own decisions what control said, in order.
+/// Update from control for the tasks that own decisions; sent in log order.
 #[derive(Clone, Debug)]
 pub enum ControlEvent {
-    /// A session was opened with this view.
+    /// A session was opened.
     Opened {
-        /// The session.
+        /// Identity of the new session.
         session: SessionId,
-        /// The whole view.
+        /// Whole view with which it begins.
         view: Arc<ControlView>,
     },
-    /// The view changed by one position of the log.
+    /// The view changed by one log entry.
     Changed(Arc<ControlView>),
-    /// The view came whole; changes between may have gone unseen.
+    /// The view was replaced as a whole; changes in between may have been skipped.
     Replaced(Arc<ControlView>),
-    /// A revision is settled.
+    /// All revisions up to this one are settled.
     Settled(Revision),
-    /// The lease runs until this moment.
+    /// The lease was extended to this time.
     Extended(Instant),
-    /// The session is lost, and with it everything owned.
+    /// The session is lost, and with it all ownerships.
     Lost,
 }
 
-/// Tells why a reply of control wasn't taken.
+/// Reason for which a call to control failed or its reply was refused.
 #[derive(Debug, Snafu)]
 enum SyncError {
-    /// The replica can't be reached or doesn't answer in time.
-    #[snafu(display("{replica} doesn't answer: {status}"))]
+    /// The call failed.
+    #[snafu(display("call to {replica} failed: {status}"))]
     Call {
         replica: SocketAddr,
         status: tonic::Status,
     },
-    /// The replica's address isn't allowed.
+    /// The security settings do not allow the replica's address, or cannot be used.
     #[snafu(display("{source}"))]
     Security { source: PeerSecurityError },
-    /// No answer came in time.
-    #[snafu(display("{replica} doesn't answer in time"))]
+    /// The call timed out.
+    #[snafu(display("{replica} did not answer in time"))]
     Timeout { replica: SocketAddr },
-    /// The replica can't prove that it is current.
+    /// The replica cannot prove that it is current.
     #[snafu(display("{replica} has no quorum"))]
     NoQuorum { replica: SocketAddr },
     /// The replica belongs to another set of control replicas.
     #[snafu(display("{replica} belongs to another cluster"))]
     OtherCluster { replica: SocketAddr },
-    /// A part of the reply can't be read.
-    #[snafu(display("a reply of control can't be read: {source}"))]
+    /// A part of the reply cannot be decoded.
+    #[snafu(display("cannot decode a reply from control: {source}"))]
     Decode { source: postcard::Error },
-    /// The view is older than the one held.
-    #[snafu(display("control sent revision {found}, and {held} is known already"))]
+    /// The received view is older than the present one.
+    #[snafu(display(
+        "control sent a view of revision {found}, older than the present revision {held}"
+    ))]
     OlderView { found: Revision, held: Revision },
-    /// A change doesn't fit the view.
-    #[snafu(display("a change of control doesn't fit the view: {source}"))]
+    /// A received change does not apply to the present view.
+    #[snafu(display("a change from control does not apply to the view: {source}"))]
     Apply { source: ViewError },
 }
 
-/// Runs the session until it is closed.
+/// Task that keeps the session until it is closed.
 #[derive(Debug)]
 pub struct ControlSession {
     info: EntryInfo,
     security: PeerSecurity,
     targets: SyncTargets,
-    /// Whom the last call went to.
-    asked: SocketAddr,
+    /// Target of the last call.
+    target: SocketAddr,
     client: Option<(SocketAddr, SessionClient<Channel>)>,
     clock: Arc<dyn Clock>,
     state: EntryState,
-    need_whole: bool,
-    /// Set while no replica gives an answer that can be used.
+    /// Whether the next call must ask for the whole view.
+    needs_whole_view: bool,
+    /// Whether no usable answer has arrived since the last failed call.
     silent: bool,
     publish: watch::Sender<EntryState>,
     events: mpsc::UnboundedSender<ControlEvent>,
@@ -142,7 +145,7 @@
 }
 
 impl ControlSession {
-    /// Prepares a session of the entry VM `info` with the control replicas.
+    /// Creates the session of the entry VM `info`; [`Self::run`] opens it.
     #[must_use]
     pub fn new(
         info: EntryInfo,
@@ -156,12 +159,12 @@
         Self {
             info,
             security,
-            asked: targets.control(),
+            target: targets.control(),
             targets,
             client: None,
             clock,
             state: EntryState::default(),
-            need_whole: true,
+            needs_whole_view: true,
             silent: false,
             publish,
             events,
@@ -169,32 +172,33 @@
         }
     }
 
-    /// Keeps the session until [`SessionWish::Close`] has been reported.
+    /// Keeps the session until control has confirmed [`SessionWish::Close`], or the time for that is
+    /// up.
     pub async fn run(mut self) {
         let mut close_by = None;
         loop {
             let wish = *self.wish.borrow_and_update();
             if wish == SessionWish::Close {
-                let by = *close_by.get_or_insert_with(|| self.clock.now() + CLOSE_BOUND);
+                let by = *close_by.get_or_insert_with(|| self.clock.now() + CLOSE_TIMEOUT);
                 if self.state.lease.session().is_none() || self.clock.now() >= by {
                     return;
                 }
             }
             let request = self.request(wish);
             let sent_at = self.clock.now();
-            self.asked = self.targets.pick(sent_at, &self.state, &request);
+            self.target = self.targets.pick(sent_at, &self.state, &request);
             let mut wish_changes = self.wish.clone();
             let result = tokio::select! {
                 result = self.call(request) => result,
-                // The call may be held back for long; what is wished for is told at
-                // once. A reply that is lost thereby is asked for again.
+                // Control may hold the call for long, and must learn of a changed request at
+                // once. The next call asks again for what the cancelled one would have returned.
                 Ok(()) = wish_changes.changed() => continue,
             };
-            let taken = match result {
-                Ok(reply) => self.take(wish, &reply, sent_at),
+            let applied = match result {
+                Ok(reply) => self.apply_reply(wish, &reply, sent_at),
                 Err(error) => Err(error),
             };
-            if let Err(error) = taken {
+            if let Err(error) = applied {
                 self.fail(&error).await;
             }
         }
@@ -202,11 +206,11 @@
 
     fn request(&self, wish: SessionWish) -> SyncRequest {
         let session = self.state.lease.session();
-        let fresh = session.is_none() || self.need_whole;
-        let leaving_told = self.is_leaving_in_view();
-        // What is left of the lease after a call that failed is for finding who answers.
-        let hurry = fresh || self.silent || (wish == SessionWish::Leave && !leaving_told);
-        let wait = if hurry { Duration::ZERO } else { SYNC_WAIT };
+        let fresh = session.is_none() || self.needs_whole_view;
+        let leaving_known = self.is_leaving_in_view();
+        // After a failed call, the rest of the lease is needed to find a replica that answers.
+        let immediate = fresh || self.silent || (wish == SessionWish::Leave && !leaving_known);
+        let wait = if immediate { Duration::ZERO } else { SYNC_WAIT };
         let applied = if fresh {
             Revision::default()
         } else {
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Tells control where this VM is when it opens a session, and not again.
+    /// Returns the location of this VM for a request that opens a session; empty for renewals.
     fn entry_encoded(&self, session: Option<SessionId>) -> Vec<u8> {
         if session.is_some() {
             return Vec::new();
@@ -244,7 +248,7 @@
     }
 
     async fn call(&mut self, request: SyncRequest) -> Result<SyncReply, SyncError> {
-        let replica = self.asked;
+        let replica = self.target;
         let mut client = self.client(replica)?;
         let bound = SYNC_WAIT + CALL_MARGIN;
         match tokio::time::timeout(bound, client.sync(request)).await {
@@ -270,26 +274,26 @@
     }
 
     async fn fail(&mut self, error: &SyncError) {
-        // One line for each silence: a long one would otherwise fill the log.
+        // Logged once per outage: a long one would otherwise fill the log.
         if !std::mem::replace(&mut self.silent, true) {
-            log::warn!(event = "control_silent", vm = self.info.vm.as_str(), error = error.to_string().as_str(); "asking other control replicas");
+            log::warn!(event = "control_silent", vm = self.info.vm.as_str(), error = error.to_string().as_str(); "control replica gave no usable answer; trying others");
         }
         self.client = None;
-        self.targets.failed(self.clock.now(), self.asked);
+        self.targets.failed(self.clock.now(), self.target);
         tokio::time::sleep(RETRY_PAUSE).await;
     }
 
-    fn take(
+    fn apply_reply(
         &mut self,
         wish: SessionWish,
         reply: &SyncReply,
         sent_at: Instant,
     ) -> Result<(), SyncError> {
-        let replica = self.asked;
+        let replica = self.target;
         match reply.outcome() {
             SyncOutcome::Granted => {}
             SyncOutcome::SessionLost => {
-                self.lose();
+                self.end_session();
                 return Ok(());
             }
             SyncOutcome::NoQuorum | SyncOutcome::Unspecified => {
@@ -298,13 +302,13 @@
         }
         self.check_cluster(replica, &reply.cluster_id)?;
         if std::mem::replace(&mut self.silent, false) {
-            log::info!(event = "control_answers", vm = self.info.vm.as_str(), replica = replica.to_string().as_str(); "a control replica answers again");
+            log::info!(event = "control_answers", vm = self.info.vm.as_str(), replica = replica.to_string().as_str(); "control replica answers again");
         }
         if wish == SessionWish::Close {
-            self.lose();
+            self.end_session();
             return Ok(());
         }
-        self.take_grant(reply, sent_at)
+        self.apply_grant(reply, sent_at)
     }
 
     fn check_cluster(&mut self, replica: SocketAddr, cluster: &[u8]) -> Result<(), SyncError> {
@@ -319,48 +323,48 @@
         }
     }
 
-    /// Drops everything that the session stood for, before another one is opened.
-    fn lose(&mut self) {
+    /// Ends the session and drops what depends on it; the next call opens another one.
+    fn end_session(&mut self) {
         let Some(session) = self.state.lease.session() else {
             return;
         };
-        log::warn!(event = "session_ended", vm = self.info.vm.as_str(), session = session.0; "the session is over");
+        log::warn!(event = "session_ended", vm = self.info.vm.as_str(), session = session.0; "session ended");
         self.state.lease.lost(session);
-        self.need_whole = true;
+        self.needs_whole_view = true;
         self.state.settled = Revision::default();
         self.publish.send_replace(self.state.clone());
-        self.tell(ControlEvent::Lost);
+        self.send_event(ControlEvent::Lost);
     }
 
-    fn take_grant(&mut self, reply: &SyncReply, sent_at: Instant) -> Result<(), SyncError> {
+    fn apply_grant(&mut self, reply: &SyncReply, sent_at: Instant) -> Result<(), SyncError> {
         let session = SessionId(reply.session);
         let lease = Duration::from_millis(reply.lease_ms.into());
         let opening = self.state.lease == EntryLease::NoSession;
-        // A grant without a view that belongs to it must not let anything be served.
+        // A granted session without its view must not serve anything.
         if opening && reply.view_encoded.is_empty() {
-            self.need_whole = true;
+            self.needs_whole_view = true;
             return Ok(());
         }
-        self.take_view(reply, session, opening)?;
+        self.apply_view(reply, session, opening)?;
         if opening {
             self.state.lease.opened(session, sent_at, lease);
-            log::info!(event = "session_opened", vm = self.info.vm.as_str(), session = session.0, revision = self.state.view.revision.0; "control opened a session");
+            log::info!(event = "session_opened", vm = self.info.vm.as_str(), session = session.0, revision = self.state.view.revision.0; "session opened");
         }
         let now = self.clock.now();
         self.state.lease.renewed(session, sent_at, lease, now);
         if let Some(until) = self.state.lease.expires_at() {
-            self.tell(ControlEvent::Extended(until));
+            self.send_event(ControlEvent::Extended(until));
         }
         let settled = Revision(reply.settled_revision);
         if settled > self.state.settled {
             self.state.settled = settled;
-            self.tell(ControlEvent::Settled(settled));
+            self.send_event(ControlEvent::Settled(settled));
         }
         self.publish.send_replace(self.state.clone());
         Ok(())
     }
 
-    fn take_view(
+    fn apply_view(
         &mut self,
         reply: &SyncReply,
         session: SessionId,
@@ -384,15 +388,15 @@
         session: SessionId,
         opening: bool,
     ) -> Result<(), SyncError> {
-        // A view older than the one held would bring back an older manifest.
+        // An older view would bring back an older manifest.
         let held = self.state.view.revision;
         let found = view.revision;
         ensure!(found >= held, OlderViewSnafu { found, held });
-        self.need_whole = false;
+        self.needs_whole_view = false;
         self.state.recent = Arc::new(ViewLog::starting_at(found));
-        self.hold(view);
+        self.set_view(view);
         let view = Arc::clone(&self.state.view);
-        self.tell(if opening {
+        self.send_event(if opening {
             ControlEvent::Opened { session, view }
         } else {
             ControlEvent::Replaced(view)
@@ -401,23 +405,23 @@
     }
 
     fn apply(&mut self, change: &ViewChange) -> Result<(), SyncError> {
-        // Resent after a reply that was lost on its way.
+        // Control sends a change again if the reply with it was lost.
         if change.revision <= self.state.view.revision {
             return Ok(());
         }
         let mut view = ControlView::clone(&self.state.view);
         if let Err(source) = view.apply(change) {
-            self.need_whole = true;
+            self.needs_whole_view = true;
             return Err(SyncError::Apply { source });
         }
         Arc::make_mut(&mut self.state.recent).push(change.clone());
-        self.hold(view);
-        self.tell(ControlEvent::Changed(Arc::clone(&self.state.view)));
+        self.set_view(view);
+        self.send_event(ControlEvent::Changed(Arc::clone(&self.state.view)));
         Ok(())
     }
 
-    /// Holds a view, and the table of callers' places that goes with its manifest.
-    fn hold(&mut self, view: ControlView) {
+    /// Replaces the view, and rebuilds the table of client blocks if its manifest has changed.
+    fn set_view(&mut self, view: ControlView) {
         let revision = |view: &ControlView| view.manifest.as_ref().map(|found| found.revision);
         if revision(&view) != revision(&self.state.view) {
             let table = view
@@ -429,8 +433,8 @@
         self.state.view = Arc::new(view);
     }
 
-    fn tell(&self, event: ControlEvent) {
-        // Nobody listens any more only when the process ends.
+    fn send_event(&self, event: ControlEvent) {
+        // Sending fails only while the process is ending.
         let _ = self.events.send(event);
     }
 }
--- a/server/src/formation.rs
+++ b/server/src/formation.rs
@@ -1,11 +1,11 @@
-//! How control replicas find each other without an operator.
+//! Formation of a cluster of control replicas without an operator.
 //!
-//! At the first start of a deployment all replicas name the same founders. Each founder
-//! formats its own empty folder with the same cluster identity and the same first log
-//! entry, which makes all founders voters; none of them can act without a majority of
-//! them, in whatever order they start and whichever is lost meanwhile. Everybody else
-//! asks to be admitted, and so does a founder that has lost its disk: the first start is
-//! over then, and its former identity has votes that it no longer knows of.
+//! At the first start of a deployment, the settings of all replicas name the same founders. Each
+//! founder formats its own empty folder with the same cluster identity and the same first log
+//! entry, which makes all founders voters. No founder can act without a majority of them, in
+//! whatever order they start and whichever of them are lost meanwhile. All other replicas request
+//! admission, and so does a founder that has lost its disk: the first start is over by then, and
+//! its former identity has cast votes that it no longer knows of.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -40,24 +40,24 @@
 use crate::proto::fleet_client::FleetClient;
 use crate::published_state::StateReader;
 
-/// Time between two requests to be admitted. An admission takes one commit.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
+/// Pause between two rounds of requests for admission. An admission takes one commit.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for which one replica's answer is awaited.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1_500);
+/// Timeout of a call to one replica.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time without a leader after which a replica asks whether it still is a member. It is
-/// no member any more if it was away for so long that another took its place.
-const ASK_MEMBERSHIP_AFTER: Duration = Duration::from_secs(5);
+/// Time without proof of being current after which a replica asks whether it is still a member.
+/// If it was away for too long, another one has replaced it.
+const CHECK_MEMBERSHIP_AFTER: Duration = Duration::from_secs(5);
 
-/// Time between two looks at whether there is a leader.
+/// Interval at which the age of the last proof of being current is checked.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Formats the data folder if it isn't formatted: as a founder, or by joining.
+/// Formats the data folder if it is not formatted yet, as a founder or by joining.
 ///
 /// # Errors
 ///
-/// Returns a [`FormatError`] if the folder can't be used or written.
+/// Returns a [`FormatError`] if the folder cannot be used or written.
 pub async fn prepare(
     settings: &ControlSettings,
     formation: &FormationSettings,
@@ -69,19 +69,19 @@
     let own = settings.advertised();
     let founders = formation.peers();
     if formation.first_start && founders.contains(&own) {
-        let identity = found(settings, &founders)?;
-        log::info!(event = "founded", replica = identity.replica.0, cluster:% = identity.cluster; "formatted as one of the founders");
+        let identity = format_as_founder(settings, &founders)?;
+        log::info!(event = "founded", replica = identity.replica.0, cluster:% = identity.cluster; "formatted the data folder as one of the founders");
         return Ok(());
     }
     let replica = control_format::random_replica();
-    let cluster = ask_to_join(settings, &founders, replica, channels).await;
+    let cluster = request_admission(settings, &founders, replica, channels).await;
     let identity = Identity {
         format: FORMAT_VERSION,
         cluster,
         replica,
     };
     control_format::format_folder(settings, identity, &[])?;
-    log::info!(event = "joined", replica = replica.0, cluster:% = cluster; "formatted as a replica that joins");
+    log::info!(event = "joined", replica = replica.0, cluster:% = cluster; "formatted the data folder as a joining replica");
     Ok(())
 }
 
@@ -89,7 +89,10 @@
     settings.data_folder.join(IDENTITY_FILE).exists()
 }
 
-fn found(settings: &ControlSettings, founders: &[SocketAddr]) -> Result<Identity, FormatError> {
+fn format_as_founder(
+    settings: &ControlSettings,
+    founders: &[SocketAddr],
+) -> Result<Identity, FormatError> {
     let cluster = founding_cluster(founders);
     let identity_of = |address: SocketAddr| founder_id(cluster, address);
     let members: BTreeMap<ReplicaId, ReplicaInfo> = founders
@@ -111,8 +114,7 @@
     Ok(identity)
 }
 
-/// Returns the identity of the cluster that these founders make: the same for each of
-/// them, in whatever order they are named.
+/// Returns the identity of the cluster of these founders, which does not depend on their order.
 fn founding_cluster(founders: &[SocketAddr]) -> ClusterId {
     let mut names: Vec<String> = founders.iter().map(ToString::to_string).collect();
     names.sort();
@@ -127,9 +129,9 @@
     control_format::replica_id(rendezvous::leading_number(&hash))
 }
 
-/// Asks one replica after the other, round after round, until one says that this one is
-/// a member. Without an answer there is nothing else that this process could do.
-async fn ask_to_join(
+/// Requests admission from one replica after another, until one confirms that this replica is a
+/// member. There is no limit on the rounds, since the process can do nothing else meanwhile.
+async fn request_admission(
     settings: &ControlSettings,
     replicas: &[SocketAddr],
     replica: ReplicaId,
@@ -140,25 +142,29 @@
     let mut clients: BTreeMap<SocketAddr, FleetClient<Channel>> = BTreeMap::new();
     loop {
         for address in &others {
-            let request = request(settings, replica, false);
-            match ask(&mut clients, channels, *address, request).await {
+            let request = admit_request(settings, replica, false);
+            match admit(&mut clients, channels, *address, request).await {
                 Ok(reply) if reply.member => {
                     if let Ok(cluster) = reply.cluster_id.try_into() {
                         return ClusterId(cluster);
                     }
-                    log::warn!(event = "join_unreadable", via:% = address; "the answer has no cluster identity");
+                    log::warn!(event = "join_unreadable", via:% = address; "answer to a request for admission has no valid cluster identity");
                 }
                 Ok(_) => break,
                 Err(status) => {
-                    log::debug!(event = "join_unanswered", via:% = address, error = status.message(); "no answer to the request to join");
+                    log::debug!(event = "join_unanswered", via:% = address, error = status.message(); "request for admission failed or timed out");
                 }
             }
         }
-        tokio::time::sleep(ASK_AGAIN).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-fn request(settings: &ControlSettings, replica: ReplicaId, question_only: bool) -> AdmitRequest {
+fn admit_request(
+    settings: &ControlSettings,
+    replica: ReplicaId,
+    question_only: bool,
+) -> AdmitRequest {
     AdmitRequest {
         replica: replica.0,
         vm: settings.vm.as_str().to_owned(),
@@ -167,7 +173,7 @@
     }
 }
 
-async fn ask(
+async fn admit(
     clients: &mut BTreeMap<SocketAddr, FleetClient<Channel>>,
     channels: &PeerChannels,
     address: SocketAddr,
@@ -184,16 +190,16 @@
         client
     };
     let call = client.admit(Request::new(request));
-    match tokio::time::timeout(ANSWER_WITHIN, call).await {
+    match tokio::time::timeout(ANSWER_TIMEOUT, call).await {
         Ok(reply) => reply.map(tonic::Response::into_inner),
         Err(_) => Err(Status::deadline_exceeded("no answer in time")),
     }
 }
 
-/// Watches whether this replica still is a member; returns once it surely isn't.
+/// Watches whether this replica is still a member; returns once it is known not to be.
 ///
-/// A replica that was away for long may have been replaced. It would stay without a
-/// leader for ever, and nothing else would show that.
+/// A replica that was away for long may have been replaced. It would then never find a leader
+/// again, and nothing else would show why.
 pub async fn until_removed(
     settings: ControlSettings,
     formation: FormationSettings,
@@ -202,15 +208,15 @@
     channels: PeerChannels,
     clock: Arc<dyn Clock>,
 ) {
-    let began = clock.now();
+    let started_at = clock.now();
     let mut clients = BTreeMap::new();
     loop {
         tokio::time::sleep(WATCH_INTERVAL).await;
         let now = clock.now();
-        let unproved = published
+        let proof_age = published
             .proof_age(now)
-            .unwrap_or_else(|| now.saturating_duration_since(began));
-        if unproved < ASK_MEMBERSHIP_AFTER {
+            .unwrap_or_else(|| now.saturating_duration_since(started_at));
+        if proof_age < CHECK_MEMBERSHIP_AFTER {
             continue;
         }
         let known = published.read().replicas;
@@ -221,8 +227,8 @@
         others.sort();
         others.dedup();
         for address in others {
-            let request = request(&settings, identity.replica, true);
-            let reply = ask(&mut clients, &channels, address, request).await;
+            let request = admit_request(&settings, identity.replica, true);
+            let reply = admit(&mut clients, &channels, address, request).await;
             let Ok(reply) = reply else { continue };
             if reply.cluster_id == identity.cluster.0 && !reply.member {
                 return;
@@ -234,15 +240,15 @@
     }
 }
 
-/// Empties the data folder of a replica that is no member any more, or whose log is
-/// damaged, so that it joins under a fresh identity at its next start.
+/// Empties the data folder of a replica that is no longer a member, or whose log is damaged, so
+/// that it joins under a fresh identity at its next start.
 ///
-/// The identity goes first: without it the folder counts as unformatted, whatever else a
-/// crash leaves there.
+/// The identity is removed first: without it the folder counts as unformatted, whatever else a
+/// crash leaves in it.
 ///
 /// # Errors
 ///
-/// Returns what the operating system reported.
+/// Returns the error of the operating system.
 pub fn erase(settings: &ControlSettings) -> std::io::Result<()> {
     let folder = &settings.data_folder;
     let identity = folder.join(IDENTITY_FILE);
@@ -256,11 +262,11 @@
     std::fs::File::open(folder)?.sync_all()
 }
 
-/// Opens a formatted data folder and reads it back.
+/// Opens a formatted data folder and recovers its records.
 ///
 /// # Errors
 ///
-/// Returns why it can't.
+/// Returns a [`DiskError`] if the folder cannot be opened or its records are damaged.
 pub fn open(settings: &ControlSettings) -> Result<(LogDisk<FolderDisk>, Recovered), DiskError> {
     FolderDisk::open(&settings.data_folder)
         .map_err(DiskError::from_open)
--- a/server/src/leader_relay.rs
+++ b/server/src/leader_relay.rs
@@ -1,4 +1,4 @@
-//! Passes requests on from a follower to its leader, once.
+//! Relays requests from a follower to its leader, at most once each.
 
 use std::time::Duration;
 
@@ -16,17 +16,17 @@
 use crate::proto::session_client::SessionClient;
 use tonic::transport::Channel;
 
-/// Time for which a follower waits for its leader's answer, beyond what the request
-/// itself asks to wait.
+/// Timeout of a relayed request, in addition to the time for which the request itself may be
+/// held.
 pub const RELAY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Returns whether another replica has passed the request on already.
+/// Returns whether another replica has relayed the request already.
 #[must_use]
 pub fn is_relayed(metadata: &MetadataMap) -> bool {
     metadata.contains_key(PASSED_ON)
 }
 
-/// Wraps a request for the leader and marks it as passed on.
+/// Wraps a message for the leader, and marks it as relayed.
 #[must_use]
 pub fn relayed_request<T>(message: T, timeout: Duration) -> Request<T> {
     let mut request = Request::new(message);
@@ -61,8 +61,8 @@
         .max_encoding_message_size(MAX_MESSAGE_BYTES)
 }
 
-/// Returns whether a failed call surely never reached the leader's process: the
-/// connection couldn't be established.
+/// Returns whether a failed call is proved not to have reached the leader's process, because the
+/// connection was refused.
 #[must_use]
 pub fn never_arrived(status: &Status) -> bool {
     status.code() == Code::Unavailable && has_connect_error(status)
--- a/server/src/membership_request.rs
+++ b/server/src/membership_request.rs
@@ -1,4 +1,4 @@
-//! Changes of the replicas, between the operators' protocol and the agreement.
+//! Conversion of membership changes between the operators' protocol and Raft.
 
 use heatherring_lib::id::ClusterId;
 use heatherring_lib::id::ReplicaId;
@@ -14,11 +14,12 @@
 use crate::proto::ChangeMembershipRequest;
 use crate::proto::change_membership_request::Change;
 
-/// Reads what is asked for.
+/// Decodes the requested change.
 ///
 /// # Errors
 ///
-/// Returns an "invalid argument" status if nothing is, or an address doesn't parse.
+/// Returns an "invalid argument" status if the change is missing, its address does not parse, or
+/// the replica to add has the identity 0.
 pub fn membership_change(request: &ChangeMembershipRequest) -> Result<MembershipChange, Status> {
     match &request.change {
         Some(Change::Add(add)) => add_learner(add),
@@ -31,7 +32,7 @@
     let address = add
         .address
         .parse()
-        .map_err(|_| Status::invalid_argument("address is no IP address with port"))?;
+        .map_err(|_| Status::invalid_argument("address is not an IP address with a port"))?;
     if add.replica == 0 {
         return Err(Status::invalid_argument("replica must not be 0"));
     }
@@ -45,7 +46,7 @@
     })
 }
 
-/// Answers a change.
+/// Returns the reply to a requested change; its revision is 0 if the change was refused.
 #[must_use]
 pub fn membership_reply(
     cluster: ClusterId,
--- a/server/src/operator_client.rs
+++ b/server/src/operator_client.rs
@@ -1,8 +1,8 @@
-//! Asks control replicas on behalf of an operator.
+//! Client of the operators' service.
 //!
-//! Any replica may be asked: those in the list are tried in order, round after round,
-//! until one gives a final answer or the time is up. Submissions are idempotent, so an
-//! answer that was lost is asked for again.
+//! Any replica can answer: the addresses of the list are tried in order, round after round, until
+//! one gives a final answer or the time is up. Submissions are idempotent, so a call whose answer
+//! was lost is repeated.
 
 use std::error::Error;
 use std::fmt;
@@ -40,83 +40,83 @@
 use crate::proto::TeamsRequest;
 use crate::proto::operator_client::OperatorClient as GrpcClient;
 
-/// Bound on one message of the operators' protocol. A manifest with a few million
-/// client blocks fits.
+/// Largest message of the operators' protocol, in bytes. It has room for a manifest with a few
+/// million client blocks.
 pub const MAX_MESSAGE_BYTES: usize = 512 * 1024 * 1024;
 
-/// Bound on opening one connection.
+/// Timeout for opening one connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Least time that is left to one replica to answer.
+/// Shortest timeout of one call, used when little of the total time is left.
 const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time that one replica may hold up the others.
+/// Longest timeout of one call, after which the next replica is tried.
 const MAX_CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause before the list is tried again.
+/// Pause between two rounds through the list.
 const ROUND_PAUSE: Duration = Duration::from_millis(200);
 
-/// Tells why control gave no final answer.
+/// Reason for which control gave no final answer.
 #[derive(Debug, Snafu)]
 pub enum OperatorClientError {
-    /// The security settings can't be used.
+    /// The security settings cannot be used.
     #[snafu(display("{source}"))]
     Security {
-        /// What is wrong with them.
+        /// Cause of the failure.
         source: PeerSecurityError,
     },
     /// No replica gave a final answer in time.
     #[snafu(display("no control replica answered in time: {attempts}"))]
     Unreachable {
-        /// What each replica did last.
+        /// Last failed attempt at each replica.
         attempts: Attempts,
     },
-    /// A replica refused the request itself; others would do the same.
+    /// A replica refused the request as invalid or not permitted; others would do the same.
     #[snafu(display("control replica {address} refused the request: {reason}"))]
     Refused {
-        /// The replica.
+        /// Address of the replica.
         address: SocketAddr,
-        /// What it said.
+        /// Message of its refusal.
         reason: String,
     },
     /// The submission may have been accepted.
     #[snafu(display("unknown whether the manifest was accepted: {attempts}"))]
     SubmissionUnknown {
-        /// What each replica did last.
+        /// Last failed attempt at each replica.
         attempts: Attempts,
     },
 }
 
-/// Tells what one replica did when it was last asked.
+/// Last failed attempt at one replica.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The replica's address.
+    /// Address of the replica.
     pub address: SocketAddr,
-    /// How it ended.
+    /// Reason for which it gave no final answer.
     pub ending: AttemptEnding,
 }
 
-/// Tells how an attempt ended without a final answer.
+/// Way in which an attempt ended without a final answer.
 #[derive(Debug, Snafu)]
 pub enum AttemptEnding {
-    /// No connection came about, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     #[snafu(display("can't connect ({})", innermost(source)))]
     NotConnected {
-        /// What the library said.
+        /// Error of the transport.
         source: tonic::transport::Error,
     },
-    /// The replica can't answer now, and says that it did nothing.
-    #[snafu(display("has no answer now ({reason})"))]
+    /// The replica cannot carry out the request now, and reports that it changed nothing.
+    #[snafu(display("cannot answer now ({reason})"))]
     NotDone {
-        /// What it said.
+        /// Reason that the replica gave.
         reason: String,
     },
-    /// The request was sent, and no answer came back.
+    /// The request was sent, and its outcome is unknown.
     #[snafu(display("the answer was lost ({reason})"))]
     AnswerLost {
-        /// What is known of it.
+        /// Known detail, such as the status or the timeout.
         reason: String,
     },
 }
 
-/// Lists the last attempt at each replica.
+/// The last failed attempt at each replica, ordered by time.
 #[derive(Debug, Default)]
 pub struct Attempts(pub Vec<Attempt>);
 
@@ -137,34 +137,35 @@
     }
 }
 
-/// Asks control replicas.
+/// Client that calls control replicas in turn.
 #[derive(Debug)]
 pub struct OperatorClient {
     control: Vec<SocketAddr>,
     security: PeerSecurity,
-    give_up_after: Duration,
+    total_timeout: Duration,
 }
 
-/// Says what to do with a reply.
-enum Verdict<T> {
-    /// It is final.
+/// Classification of an attempt.
+enum Outcome<T> {
+    /// The reply is final.
     Final(T),
-    /// Another replica, or this one later, may know more.
-    AskOn(AttemptEnding),
+    /// Another replica, or this one later, may give a final answer.
+    TryNext(AttemptEnding),
 }
 
 impl OperatorClient {
-    /// Makes a client that asks `control` in order, and gives up after a time.
+    /// Creates a client that calls the replicas at `control` in order, and gives up after
+    /// `total_timeout`.
     #[must_use]
     pub const fn new(
         control: Vec<SocketAddr>,
         security: PeerSecurity,
-        give_up_after: Duration,
+        total_timeout: Duration,
     ) -> Self {
         Self {
             control,
             security,
-            give_up_after,
+            total_timeout,
         }
     }
 
@@ -174,30 +175,30 @@
     ///
     /// # Errors
     ///
-    /// Fails if no replica gave a final answer. [`OperatorClientError::SubmissionUnknown`]
-    /// means that the manifest may have been accepted; in all other cases it wasn't.
+    /// Fails if no replica gave a final answer. [`OperatorClientError::SubmissionUnknown`] means that
+    /// the manifest may have been accepted; after all other errors it was not.
     pub async fn submit(
         &self,
         request: &SubmitRequest,
     ) -> Result<SubmitReply, OperatorClientError> {
-        let judge = |reply: SubmitReply| match reply.outcome() {
+        let classify = |reply: SubmitReply| match reply.outcome() {
             SubmitOutcome::Unknown | SubmitOutcome::Unspecified => {
                 let reason = reply.reason;
-                Verdict::AskOn(AttemptEnding::AnswerLost { reason })
+                Outcome::TryNext(AttemptEnding::AnswerLost { reason })
             }
             SubmitOutcome::NotAccepted => {
                 let reason = reply.reason;
-                Verdict::AskOn(AttemptEnding::NotDone { reason })
+                Outcome::TryNext(AttemptEnding::NotDone { reason })
             }
-            _ => Verdict::Final(reply),
+            _ => Outcome::Final(reply),
         };
-        // One lost answer outweighs every later "not accepted": that copy may still be
-        // committed, and an operator told "not accepted" would submit something else.
+        // One lost answer outweighs every later "not accepted": the submission that went with it
+        // may still be committed, and an operator told "not accepted" would submit something else.
         let mut lost_any = false;
         let result = self
-            .ask(
+            .call_any(
                 async |mut client| client.submit(request.clone()).await,
-                judge,
+                classify,
                 |ending| lost_any |= matches!(ending, AttemptEnding::AnswerLost { .. }),
             )
             .await;
@@ -243,31 +244,31 @@
 
     /// Fetches the state of the cluster.
     ///
-    /// A reply that a quorum confirmed is preferred. If no replica can give one in time,
-    /// the last reply that came is returned; its `current` is false.
+    /// A reply that a quorum confirmed is preferred. If no replica can give one in time, the last
+    /// reply received is returned; its `current` is false.
     ///
     /// # Errors
     ///
     /// Fails if no replica gave any answer.
     pub async fn status(&self) -> Result<StatusReply, OperatorClientError> {
         let mut unconfirmed = None;
-        let judge = |reply: StatusReply| {
+        let classify = |reply: StatusReply| {
             if reply.current {
-                return Verdict::Final(reply);
+                return Outcome::Final(reply);
             }
             unconfirmed = Some(reply);
-            let reason = "no quorum confirmed it".to_owned();
-            Verdict::AskOn(AttemptEnding::NotDone { reason })
+            let reason = "not confirmed by a quorum".to_owned();
+            Outcome::TryNext(AttemptEnding::NotDone { reason })
         };
         let call = async |mut client: GrpcClient<Channel>| client.status(StatusRequest {}).await;
-        let result = self.ask(call, judge, |_| {}).await;
+        let result = self.call_any(call, classify, |_| {}).await;
         match (result, unconfirmed) {
             (Err(OperatorClientError::Unreachable { .. }), Some(reply)) => Ok(reply),
             (result, _) => result,
         }
     }
 
-    /// Fetches the requests that are suspected of ending backend servers.
+    /// Fetches the requests that are suspected of crashing backend servers.
     ///
     /// # Errors
     ///
@@ -277,7 +278,7 @@
             .await
     }
 
-    /// Has a request forgotten that is suspected of it, by its fingerprint.
+    /// Clears the suspicion or quarantine of a request, which is identified by its fingerprint.
     ///
     /// # Errors
     ///
@@ -300,7 +301,7 @@
             .await
     }
 
-    /// Asks for a change of the control replicas.
+    /// Requests a change of the set of control replicas.
     ///
     /// # Errors
     ///
@@ -313,34 +314,38 @@
             .await
     }
 
-    /// Asks until any answer comes.
+    /// Calls the replicas until one replies; every reply is final.
     async fn read<T>(
         &self,
         call: impl AsyncFn(GrpcClient<Channel>) -> Result<Response<T>, Status>,
     ) -> Result<T, OperatorClientError> {
-        self.ask(call, Verdict::Final, |_| {}).await
+        self.call_any(call, Outcome::Final, |_| {}).await
     }
 
-    async fn ask<T>(
+    /// Calls the replicas in order, round after round, until `classify` accepts a reply as final or
+    /// the time is up. Calls `on_attempt` for each failed attempt.
+    async fn call_any<T>(
         &self,
         call: impl AsyncFn(GrpcClient<Channel>) -> Result<Response<T>, Status>,
-        mut judge: impl FnMut(T) -> Verdict<T>,
+        mut classify: impl FnMut(T) -> Outcome<T>,
         mut on_attempt: impl FnMut(&AttemptEnding),
     ) -> Result<T, OperatorClientError> {
-        let give_up = Instant::now() + self.give_up_after;
+        let deadline = Instant::now() + self.total_timeout;
         let mut attempts = Attempts::default();
         loop {
             for address in &self.control {
-                let verdict = self.attempt(*address, give_up, &call, &mut judge).await?;
+                let verdict = self
+                    .attempt(*address, deadline, &call, &mut classify)
+                    .await?;
                 match verdict {
-                    Verdict::Final(reply) => return Ok(reply),
-                    Verdict::AskOn(ending) => {
+                    Outcome::Final(reply) => return Ok(reply),
+                    Outcome::TryNext(ending) => {
                         on_attempt(&ending);
                         attempts.record(*address, ending);
                     }
                 }
             }
-            if Instant::now() + ROUND_PAUSE >= give_up {
+            if Instant::now() + ROUND_PAUSE >= deadline {
                 return UnreachableSnafu { attempts }.fail();
             }
             tokio::time::sleep(ROUND_PAUSE).await;
@@ -350,32 +355,34 @@
     async fn attempt<T>(
         &self,
         address: SocketAddr,
-        give_up: Instant,
+        deadline: Instant,
         call: &impl AsyncFn(GrpcClient<Channel>) -> Result<Response<T>, Status>,
-        judge: &mut impl FnMut(T) -> Verdict<T>,
-    ) -> Result<Verdict<T>, OperatorClientError> {
+        classify: &mut impl FnMut(T) -> Outcome<T>,
+    ) -> Result<Outcome<T>, OperatorClientError> {
         let endpoint = self.security.endpoint(address).context(SecuritySnafu)?;
         let channel = match endpoint.connect_timeout(CONNECT_TIMEOUT).connect().await {
             Ok(channel) => channel,
-            Err(source) => return Ok(Verdict::AskOn(AttemptEnding::NotConnected { source })),
+            Err(source) => {
+                return Ok(Outcome::TryNext(AttemptEnding::NotConnected { source }));
+            }
         };
         let client = GrpcClient::new(channel)
             .max_decoding_message_size(MAX_MESSAGE_BYTES)
             .max_encoding_message_size(MAX_MESSAGE_BYTES);
-        let left = give_up.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         let timeout = left.clamp(MIN_CALL_TIMEOUT, MAX_CALL_TIMEOUT);
         match tokio::time::timeout(timeout, call(client)).await {
-            Ok(Ok(reply)) => Ok(judge(reply.into_inner())),
-            Ok(Err(status)) => judge_status(address, &status),
+            Ok(Ok(reply)) => Ok(classify(reply.into_inner())),
+            Ok(Err(status)) => classify_status(address, &status),
             Err(_) => {
-                let reason = format!("nothing within {} ms", timeout.as_millis());
-                Ok(Verdict::AskOn(AttemptEnding::AnswerLost { reason }))
+                let reason = format!("no answer within {} ms", timeout.as_millis());
+                Ok(Outcome::TryNext(AttemptEnding::AnswerLost { reason }))
             }
         }
     }
 }
 
-/// Returns the first cause: the library's own text is only "transport error".
+/// Returns the text of the innermost cause: the library's own text is only "transport error".
 fn innermost(error: &tonic::transport::Error) -> String {
     let mut cause: &dyn Error = error;
     while let Some(source) = cause.source() {
@@ -384,12 +391,12 @@
     cause.to_string()
 }
 
-/// Sorts a failed call. Only codes that the server gives before it does anything count
-/// as "not done"; whatever the transport may have produced counts as a lost answer.
-fn judge_status<T>(
+/// Classifies a failed call. Only codes that the server returns before it changes anything count as
+/// "not done"; codes that the transport may have produced count as a lost answer.
+fn classify_status<T>(
     address: SocketAddr,
     status: &Status,
-) -> Result<Verdict<T>, OperatorClientError> {
+) -> Result<Outcome<T>, OperatorClientError> {
     let reason = status.message().to_owned();
     match status.code() {
         Code::InvalidArgument
@@ -400,8 +407,8 @@
         | Code::Unimplemented
         | Code::OutOfRange => RefusedSnafu { address, reason }.fail(),
         Code::FailedPrecondition | Code::ResourceExhausted => {
-            Ok(Verdict::AskOn(AttemptEnding::NotDone { reason }))
+            Ok(Outcome::TryNext(AttemptEnding::NotDone { reason }))
         }
-        _ => Ok(Verdict::AskOn(AttemptEnding::AnswerLost { reason })),
+        _ => Ok(Outcome::TryNext(AttemptEnding::AnswerLost { reason })),
     }
 }
--- a/server/src/operator_service.rs
+++ b/server/src/operator_service.rs
@@ -1,4 +1,4 @@
-//! Requests of operators and their pipelines.
+//! gRPC service for operators and their pipelines.
 
 use heatherring_lib::audit::AuditRecord;
 use heatherring_lib::command::CommandKind;
@@ -56,13 +56,13 @@
 use crate::submit_reply::relay_failed_reply;
 use crate::submit_reply::submission_reply;
 
-/// Records that one reply holds at most.
+/// Largest number of records in one reply.
 const MAX_RECORDS: u32 = 1_000;
 
-/// Names the submitted text in the problems of a manifest.
+/// Name of the submitted text in the reported problems of a manifest.
 const MANIFEST_NAME: &str = "manifest";
 
-/// Answers operators.
+/// The operators' service of one control replica.
 #[derive(Clone, Debug)]
 pub struct OperatorService {
     cluster: ClusterId,
@@ -70,25 +70,25 @@
 }
 
 impl OperatorService {
-    /// Creates the service of a replica.
+    /// Creates the service of a replica of the cluster `cluster`.
     #[must_use]
     pub const fn new(cluster: ClusterId, node: NodeHandle) -> Self {
         Self { cluster, node }
     }
 }
 
-/// Returns the leader to pass a refused request on to, unless it was passed on before.
+/// Returns the leader to which a refused request is relayed; `None` if it was relayed before.
 fn relay_to<'a>(error: &'a NodeError, metadata: &MetadataMap) -> Option<&'a LeaderLink> {
     error.leader().filter(|_| !is_relayed(metadata))
 }
 
 fn unavailable(error: &NodeError) -> Status {
     Status::unavailable(format!(
-        "this replica can't prove that it is current: {error}"
+        "this replica cannot prove that it is current: {error}"
     ))
 }
 
-/// Calls the leader's copy of a method with a request that was refused here, or fails.
+/// Relays a request that was refused here to the leader's method, or fails.
 macro_rules! relay_or_fail {
     ($error:expr, $metadata:expr, $method:ident, $request:expr) => {
         match relay_to(&$error, &$metadata) {
@@ -124,8 +124,8 @@
         };
         let reply = match relay_to(&error, &metadata) {
             Some(leader) if error.is_proved_absent() => {
-                let passed_on = relayed_request(request, RELAY_TIMEOUT);
-                match operator_client(leader).submit(passed_on).await {
+                let relayed = relayed_request(request, RELAY_TIMEOUT);
+                match operator_client(leader).submit(relayed).await {
                     Ok(reply) => reply.into_inner(),
                     Err(status) => relay_failed_reply(version, digest, &status),
                 }
@@ -160,15 +160,16 @@
         &self,
         request: Request<StatusRequest>,
     ) -> Result<Response<StatusReply>, Status> {
-        let passed_on = is_relayed(request.metadata());
+        let relayed = is_relayed(request.metadata());
         let (own, leader) = self
             .node
             .status()
             .await
             .map_err(|error| Status::unavailable(error.to_string()))?;
-        if let Some(leader) = leader.filter(|_| !passed_on) {
+        if let Some(leader) = leader.filter(|_| !relayed) {
             let request = relayed_request(StatusRequest {}, RELAY_TIMEOUT);
-            // A report that isn't current is still of use when the leader is silent.
+            // If the leader does not answer, the report of this replica is returned, although it is
+            // not proved to be current.
             if let Ok(reply) = operator_client(&leader).status(request).await
                 && reply.get_ref().current
             {
@@ -209,7 +210,7 @@
     ) -> Result<Response<LiftQuarantineReply>, Status> {
         let (metadata, _, request) = request.into_parts();
         let fingerprint = Fingerprint::parse(&request.request)
-            .ok_or_else(|| Status::invalid_argument("the fingerprint can't be read"))?;
+            .ok_or_else(|| Status::invalid_argument("invalid fingerprint"))?;
         let known = move |state: &ControlState| {
             let quarantine = state.fleet().quarantine();
             quarantine.suspect(&fingerprint).is_some()
@@ -251,8 +252,12 @@
     }
 }
 
-fn limit(asked: u32) -> usize {
-    let limit = if asked == 0 { MAX_RECORDS } else { asked };
+fn limit(requested: u32) -> usize {
+    let limit = if requested == 0 {
+        MAX_RECORDS
+    } else {
+        requested
+    };
     limit.min(MAX_RECORDS) as usize
 }
 
@@ -285,7 +290,7 @@
 
 fn quarantine(state: &ControlState) -> QuarantineReply {
     let suspects = state.fleet().quarantine().suspects();
-    let suspects = suspects.map(|(request, noted)| suspect_status(request, noted));
+    let suspects = suspects.map(|(request, record)| suspect_status(request, record));
     QuarantineReply {
         suspects: suspects.collect(),
     }
@@ -313,14 +318,16 @@
     }
 }
 
-fn suspect_status(request: &Fingerprint, noted: &SuspectRecord) -> SuspectStatus {
-    let ended = noted.suspect.ended().into_iter();
-    let verdict = noted.suspect.verdict();
+fn suspect_status(request: &Fingerprint, record: &SuspectRecord) -> SuspectStatus {
+    let ended = record.suspect.ended().into_iter();
+    let verdict = record.suspect.verdict();
     SuspectStatus {
         request: request.to_string(),
         verdict: verdict.as_ref().map_or("", Verdict::name).to_owned(),
-        ended: ended.map(|life| life.backend.to_string()).collect(),
-        revision: noted.at.0,
+        ended: ended
+            .map(|incarnation| incarnation.backend.to_string())
+            .collect(),
+        revision: record.at.0,
     }
 }
 
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -1,4 +1,4 @@
-//! The task that knows who was heard of lately, and tells the other control replicas.
+//! The task that tracks heartbeats, and reports them to the other control replicas.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,54 +32,55 @@
 use crate::proto::fleet_client::FleetClient;
 use crate::published_state::StateReader;
 
-/// Time between two looks at who has fallen silent.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the task checks who has become silent.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Silence after which a backend server is removed from the state. Longer than any cut
-/// that it may come back from with the same life.
-const FORGET_BACKEND: Duration = Duration::from_secs(30);
+/// Silence after which a backend server is removed from the state. It exceeds any network
+/// partition after which the same incarnation may return.
+const FORGET_BACKEND_AFTER: Duration = Duration::from_secs(30);
 
-/// Silence after which an entry VM is removed from the state. Until then it counts among
-/// those that share limits.
-const FORGET_ENTRY: Duration = Duration::from_secs(45);
+/// Silence after which an entry VM is removed from the state. Until then it counts among those
+/// that share limits.
+const FORGET_ENTRY_AFTER: Duration = Duration::from_secs(45);
 
-/// Age at which marks of heartbeats are dropped.
-const DROP_MARKS: Duration = Duration::from_mins(2);
+/// Age at which recorded heartbeats are dropped.
+const HEARTBEAT_RETENTION: Duration = Duration::from_mins(2);
 
-/// Time for which the answer to a report is awaited.
+/// Timeout of a report to another replica.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Holds the verdicts on everybody.
+/// Who is absent, and which replicas are known.
 #[derive(Clone, Debug)]
 pub struct PresenceView {
-    /// Who isn't to be used for now; nothing until there has been a verdict.
+    /// Backend servers and entry VMs that must not be used for now; `None` until a majority of
+    /// replicas has reported for the first time.
     pub absent: Option<Arc<NumberedSet<Absent>>>,
-    /// This replica, and the others that were heard of.
+    /// This replica, and the others from which reports have arrived.
     pub replicas: Arc<Vec<KnownReplica>>,
 }
 
-/// Tells where a replica is.
+/// Location of a replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KnownReplica {
-    /// Where.
+    /// Its place and addresses.
     pub endpoints: ReplicaEndpoints,
-    /// Whether it has reported lately.
+    /// Whether it has reported recently; always true of this replica.
     pub reports: bool,
 }
 
 impl PresenceView {
-    /// Returns the number of the verdicts, which changes with them; 0 without any.
+    /// Returns the number of the set `absent`, which changes with the set; 0 if there is none yet.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.absent.as_ref().map_or(0, |absent| absent.number())
     }
 
-    /// Returns whether an entry VM takes requests, as far as is known.
+    /// Returns whether an entry VM is known to accept requests.
     #[must_use]
     pub fn is_live(&self, vm: &VmName) -> bool {
         let absent = Absent::Entry(vm.clone());
-        let verdicts = self.absent.as_ref();
-        verdicts.is_some_and(|verdicts| !verdicts.members().contains(&absent))
+        let absent_now = self.absent.as_ref();
+        absent_now.is_some_and(|absent_now| !absent_now.members().contains(&absent))
     }
 }
 
@@ -106,7 +107,7 @@
     },
 }
 
-/// Reaches the task.
+/// Handle to the task.
 #[derive(Clone, Debug)]
 pub struct PresenceHandle {
     tx: mpsc::UnboundedSender<Message>,
@@ -114,19 +115,19 @@
 }
 
 impl PresenceHandle {
-    /// Notes a heartbeat of a backend server.
+    /// Records a heartbeat of a backend server.
     pub fn record_backend_heartbeat(&self, backend: BackendName) {
         // The task ends only with the process.
         let _ = self.tx.send(Message::Backend(backend));
     }
 
-    /// Notes a heartbeat of an entry VM.
+    /// Records a heartbeat of an entry VM.
     pub fn record_entry_heartbeat(&self, vm: VmName, life: u64, ready: bool) {
         let _ = self.tx.send(Message::Entry { vm, life, ready });
     }
 
-    /// Takes the report of another replica in. Returns the number of its changes up to which
-    /// all is known.
+    /// Applies a report of another replica. Returns the number of its changes up to which this
+    /// replica knows all.
     pub async fn apply_report(&self, from: VmName, report: PresenceReport) -> u64 {
         let (reply, answer) = oneshot::channel();
         let _ = self.tx.send(Message::Report {
@@ -137,20 +138,20 @@
         answer.await.unwrap_or_default()
     }
 
-    /// Returns for how long a backend server hasn't been heard of.
+    /// Returns the time since the last heartbeat of a backend server.
     pub async fn silence(&self, backend: BackendName) -> Duration {
         let (reply, answer) = oneshot::channel();
         let _ = self.tx.send(Message::Silence { backend, reply });
         answer.await.unwrap_or_default()
     }
 
-    /// Returns the present verdicts.
+    /// Returns the view as last published.
     #[must_use]
     pub fn view(&self) -> PresenceView {
         self.view.borrow().clone()
     }
 
-    /// Waits until the verdicts change.
+    /// Waits until the view changes; forever if the task has ended.
     pub async fn changed(&mut self) {
         if self.view.changed().await.is_err() {
             std::future::pending::<()>().await;
@@ -158,22 +159,22 @@
     }
 }
 
-/// Holds what the task is set up with.
+/// Configuration and dependencies of the task.
 #[derive(Debug)]
 pub struct PresenceSetup {
-    /// The cluster.
+    /// Identity of the cluster, by which the others accept reports.
     pub cluster: ClusterId,
-    /// This replica's VM.
+    /// VM of this replica, as the sender of its reports.
     pub vm: VmName,
-    /// Where this replica is.
+    /// Place and addresses of this replica.
     pub endpoints: ReplicaEndpoints,
-    /// The clock.
+    /// Source of time.
     pub clock: Arc<dyn Clock>,
-    /// What the replica has applied.
+    /// Reads the replica's applied state.
     pub published: StateReader,
-    /// The replica.
+    /// Proposes removals of silent backend servers and entry VMs.
     pub node: NodeHandle,
-    /// Opens connections to the others.
+    /// Opens connections to the other replicas.
     pub channels: PeerChannels,
 }
 
@@ -182,19 +183,19 @@
     presence: Presence,
     view: watch::Sender<PresenceView>,
     peers: BTreeMap<SocketAddr, Peer>,
-    report_at: Instant,
-    /// Reaches this task itself.
+    next_report_at: Instant,
+    /// Sends messages to this task; weak, so that the task ends with its last handle.
     tx: mpsc::WeakUnboundedSender<Message>,
 }
 
-/// Holds another replica that is told whom this one hears.
+/// Another replica to which this one reports.
 struct Peer {
     client: FleetClient<Channel>,
-    /// Number of the changes up to which it knows all.
+    /// Number of this replica's changes up to which the other one knows all.
     known: u64,
 }
 
-/// Starts the task.
+/// Starts the task that tracks heartbeats.
 #[must_use]
 pub fn spawn(setup: PresenceSetup) -> PresenceHandle {
     let (tx, rx) = mpsc::unbounded_channel();
@@ -212,7 +213,7 @@
         presence: Presence::new(now, rand::random()),
         view: view_tx,
         peers: BTreeMap::new(),
-        report_at: now,
+        next_report_at: now,
         tx: tx.downgrade(),
     };
     tokio::spawn(task.run(rx));
@@ -221,20 +222,20 @@
 
 impl PresenceTask {
     async fn run(mut self, mut rx: mpsc::UnboundedReceiver<Message>) {
-        let mut look = tokio::time::interval(LOOK_INTERVAL);
-        look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut check = tokio::time::interval(CHECK_INTERVAL);
+        check.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 message = rx.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle(message),
                     None => return,
                 },
-                _ = look.tick() => self.look(),
+                _ = check.tick() => self.check(),
             }
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let now = self.setup.clock.now();
         match message {
             Message::Backend(backend) => {
@@ -254,7 +255,7 @@
                 reply,
             } => {
                 let known = self.presence.apply_report(now, &from, &report);
-                // The replica's call may have been given up meanwhile.
+                // The replica's call may have timed out meanwhile.
                 let _ = reply.send(known);
                 if !report.sources.added.is_empty() || !report.sources.removed.is_empty() {
                     self.publish(now);
@@ -266,52 +267,50 @@
                 }
             }
             Message::Silence { backend, reply } => {
-                // Whoever asked may have gone away meanwhile.
+                // The requester may have stopped waiting.
                 let _ = reply.send(self.presence.silence(now, &backend));
             }
         }
     }
 
-    fn look(&mut self) {
+    fn check(&mut self) {
         let now = self.setup.clock.now();
         self.presence.expire(now);
         self.publish(now);
-        if now >= self.report_at {
+        if now >= self.next_report_at {
             self.report(now);
             self.forget(now);
-            self.presence.forget(now, DROP_MARKS);
+            self.presence.forget(now, HEARTBEAT_RETENTION);
         }
     }
 
-    /// Gives verdicts, unless too few replicas report for any.
+    /// Publishes the known replicas and, if a majority of replicas reports, who is absent.
     fn publish(&self, now: Instant) {
         let published = self.setup.published.read();
-        let verdicts = self
+        let absent_now = self
             .presence
             .has_majority(now, published.replicas.len())
-            .then(|| self.verdicts(now, &published.fleet));
+            .then(|| self.absent_now(now, &published.fleet));
         let replicas = self.replicas(now);
         self.view.send_if_modified(|view| {
-            let are_elsewhere = *view.replicas != replicas;
-            if are_elsewhere {
+            let replicas_changed = *view.replicas != replicas;
+            if replicas_changed {
                 view.replicas = Arc::new(replicas);
             }
-            let Some(verdicts) = verdicts else {
-                return are_elsewhere;
+            let Some(absent_now) = absent_now else {
+                return replicas_changed;
             };
             let is_first = view.absent.is_none();
-            let absent = view
-                .absent
-                .get_or_insert_with(|| Arc::new(first_verdicts()));
-            if !is_first && *absent.members() == verdicts {
-                return are_elsewhere;
+            let absent = view.absent.get_or_insert_with(|| Arc::new(first_absent()));
+            if !is_first && *absent.members() == absent_now {
+                return replicas_changed;
             }
-            Arc::make_mut(absent).replace(&verdicts);
+            Arc::make_mut(absent).replace(&absent_now);
             true
         });
     }
 
-    fn verdicts(&self, now: Instant, fleet: &FleetState) -> BTreeSet<Absent> {
+    fn absent_now(&self, now: Instant, fleet: &FleetState) -> BTreeSet<Absent> {
         let silent = fleet
             .backends()
             .filter(|(name, _)| self.presence.is_silent(now, name))
@@ -333,9 +332,9 @@
         .collect()
     }
 
-    /// Tells the other replicas whom this one hears itself.
+    /// Reports the heartbeats that this replica received itself to the other replicas.
     fn report(&mut self, now: Instant) {
-        self.report_at = now + REPORT_INTERVAL;
+        self.next_report_at = now + REPORT_INTERVAL;
         let replicas = self.setup.published.read().replicas;
         let own = self.setup.endpoints.address;
         self.peers
@@ -353,7 +352,7 @@
         let known = peer.known;
         let report = self.presence.report(now, known, &self.setup.endpoints);
         let Ok(report_encoded) = postcard::to_stdvec(&report) else {
-            log::error!(event = "report_unencodable"; "a report on heartbeats can't be encoded");
+            log::error!(event = "report_unencodable"; "cannot encode a report on heartbeats");
             return;
         };
         let request = ReportRequest {
@@ -364,7 +363,7 @@
         let tx = self.tx.clone();
         tokio::spawn(async move {
             let call = tokio::time::timeout(REPORT_TIMEOUT, client.report(request)).await;
-            // After a lost answer the next report tells the same changes once more.
+            // After a lost answer, the next report repeats the same changes.
             if let (Ok(Ok(reply)), Some(tx)) = (call, tx.upgrade()) {
                 let number = reply.into_inner().known;
                 let _ = tx.send(Message::Known { replica, number });
@@ -384,14 +383,14 @@
         match self.setup.channels.lazy(address) {
             Ok(channel) => Some(FleetClient::new(channel)),
             Err(error) => {
-                log::error!(event = "peer_address_refused", address:% = address, error:% = error; "can't open a connection to a replica");
+                log::error!(event = "peer_address_refused", address:% = address, error:% = error; "cannot open a connection to a control replica");
                 None
             }
         }
     }
 
-    /// Has those removed from the state who have been silent for long, if this replica
-    /// leads.
+    /// Proposes the removal of backend servers and entry VMs that have been silent for long, if this
+    /// replica leads and a majority of replicas reports.
     fn forget(&self, now: Instant) {
         let published = self.setup.published.read();
         if !published.leads || !self.presence.has_majority(now, published.replicas.len()) {
@@ -400,22 +399,22 @@
         let backends: Vec<BackendIncarnation> = published
             .fleet
             .backends()
-            .filter(|(name, _)| self.presence.silence(now, name) >= FORGET_BACKEND)
+            .filter(|(name, _)| self.presence.silence(now, name) >= FORGET_BACKEND_AFTER)
             .map(|(name, record)| BackendIncarnation {
                 backend: name.clone(),
                 born: record.born,
             })
             .collect();
         if !backends.is_empty() {
-            log::info!(event = "backends_forgotten", count = backends.len(); "silent backend servers are removed");
+            log::info!(event = "backends_forgotten", count = backends.len(); "removing silent backend servers");
             self.propose(FleetCommand::ForgetBackends(backends));
         }
         let silent = published
             .fleet
             .entries()
-            .filter(|(vm, _)| self.presence.entry_silence(now, vm) >= FORGET_ENTRY);
+            .filter(|(vm, _)| self.presence.entry_silence(now, vm) >= FORGET_ENTRY_AFTER);
         for (vm, entry) in silent {
-            log::info!(event = "entry_forgotten", vm = vm.as_str(); "a silent entry VM is removed");
+            log::info!(event = "entry_forgotten", vm = vm.as_str(); "removing a silent entry VM");
             self.propose(FleetCommand::ForgetEntry {
                 vm: vm.clone(),
                 life: entry.life,
@@ -427,15 +426,15 @@
         let node = self.setup.node.clone();
         tokio::spawn(async move {
             if let Err(error) = node.propose_fleet(command).await {
-                log::debug!(event = "forgetting_failed", error:% = error; "tried again at the next look");
+                log::debug!(event = "forgetting_failed", error:% = error; "removal from the state not committed; it is proposed again while the silence lasts");
             }
         });
     }
 }
 
-/// Returns an empty set of verdicts. Its numbers mean nothing to whoever followed this replica
-/// before it started again.
-fn first_verdicts() -> NumberedSet<Absent> {
+/// Returns an empty set with a random first number, so that the numbers known to followers from
+/// before a restart of this replica do not match it.
+fn first_absent() -> NumberedSet<Absent> {
     let start = u64::from(rand::random::<u32>()) << u32::BITS;
     NumberedSet::starting_at(NonZeroU64::MIN.saturating_add(start))
 }
--- a/server/src/status_report.rs
+++ b/server/src/status_report.rs
@@ -1,4 +1,4 @@
-//! Reports on a control replica, its peers and the entry VMs.
+//! Status report of a control replica, its peers and the entry VMs.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -18,7 +18,8 @@
 use crate::proto::ReplicaStatus;
 use crate::proto::StatusReply;
 
-/// Composes the report; `tracker` is there at the leader only.
+/// Returns the status report; only the leader has a `tracker`. `current` says whether the state
+/// was proved to be current.
 #[must_use]
 pub fn status_reply(
     cluster: ClusterId,
@@ -73,14 +74,14 @@
     now: Instant,
 ) -> ReplicaStatus {
     let matched = own.or(progress.map(|progress| progress.matched));
-    let heard = progress.and_then(|progress| progress.last_heard);
+    let last_heard = progress.and_then(|progress| progress.last_heard);
     ReplicaStatus {
         replica: id.0,
         vm: info.vm.to_string(),
         address: info.address.to_string(),
         voter,
         matched_revision: matched.unwrap_or_default().0,
-        last_heard_ms: heard.map_or(0, |at| whole_ms(now.saturating_duration_since(at))),
+        last_heard_ms: last_heard.map_or(0, |at| whole_ms(now.saturating_duration_since(at))),
     }
 }
 
--- a/server/src/submit_reply.rs
+++ b/server/src/submit_reply.rs
@@ -1,4 +1,4 @@
-//! Answers to submitted manifests.
+//! Replies to submitted manifests.
 
 use heatherring_lib::config_fault::ConfigFaults;
 use heatherring_lib::control_state::Response;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Answers a text that is no manifest.
+/// Returns the reply to a text that is not a valid manifest.
 #[must_use]
 pub fn invalid_reply(text: &str, faults: &ConfigFaults) -> SubmitReply {
     let digest = ContentDigest::of(text.as_bytes());
@@ -31,7 +31,7 @@
     reply
 }
 
-/// Answers a submission that was committed, with what the state made of it.
+/// Returns the reply to a committed submission, according to the result of applying it.
 #[must_use]
 pub fn submission_reply(
     version: ManifestVersion,
@@ -40,7 +40,7 @@
 ) -> SubmitReply {
     let Response::Submission(answer) = &committed.response else {
         let mut unknown = reply(SubmitOutcome::Unknown, version, digest);
-        "the outcome was not recorded; ask again".clone_into(&mut unknown.reason);
+        "the outcome was not recorded; submit again".clone_into(&mut unknown.reason);
         return unknown;
     };
     match answer {
@@ -62,11 +62,11 @@
     }
 }
 
-/// Answers a submission that this replica couldn't get committed.
+/// Returns the reply to a submission that this replica failed to commit.
 ///
-/// "Not accepted" is said only of a copy that is proved never to enter the log. A copy
-/// that may still be committed is answered "unknown": an operator who takes that for a
-/// refusal and edits the manifest under the same version would race with himself.
+/// The outcome is "not accepted" only if the submission is proved never to enter the log. One that
+/// may still be committed gets "unknown": if operators took it for refused and edited the manifest
+/// under the same version, their second submission would race with the first.
 #[must_use]
 pub fn refused_reply(
     version: ManifestVersion,
@@ -83,7 +83,7 @@
     refused
 }
 
-/// Answers a submission that was passed on and not answered.
+/// Returns the reply to a submission that was relayed to the leader and not answered.
 #[must_use]
 pub fn relay_failed_reply(
     version: ManifestVersion,
--- a/server/src/sync_target.rs
+++ b/server/src/sync_target.rs
@@ -1,4 +1,5 @@
-//! Whom an entry VM asks to renew its session: a relay of its region, or control.
+//! Choice of the peer from which an entry VM renews its session: a relay of its region, or a
+//! control replica.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,11 +11,11 @@
 use crate::entry_state::EntryState;
 use crate::proto::SyncRequest;
 
-/// Time for which control is asked itself after a relay failed. Asking the next relay at
-/// once could use up the lease if a whole place has gone.
+/// Time for which requests go to control directly after a relay failed. Trying the next relay at
+/// once could use up the lease if a whole place has failed.
 const AVOID_RELAYS_FOR: Duration = Duration::from_secs(5);
 
-/// Picks whom to ask.
+/// Picks the target of each request, and avoids targets that failed.
 #[derive(Clone, Debug)]
 pub struct SyncTargets {
     replicas: Vec<SocketAddr>,
@@ -25,12 +26,12 @@
 }
 
 impl SyncTargets {
-    /// Picks among `replicas` of control, and relays in regions of `relay_min_entries`
-    /// entry VMs or more.
+    /// Creates a picker among the control replicas `replicas`, and relays in regions with at least
+    /// `relay_min_entries` entry VMs.
     ///
     /// # Panics
     ///
-    /// Panics if `replicas` is empty, which checked settings rule out.
+    /// Panics if `replicas` is empty, which validated settings rule out.
     #[must_use]
     pub fn new(replicas: Vec<SocketAddr>, relay_min_entries: usize) -> Self {
         assert!(!replicas.is_empty(), "settings name a control replica");
@@ -43,14 +44,14 @@
         }
     }
 
-    /// Returns the control replica to ask.
+    /// Returns the control replica that is tried next.
     #[must_use]
     pub fn control(&self) -> SocketAddr {
         self.replicas[self.current]
     }
 
-    /// Returns whom `request` goes to. Only plain renewals go to relays: whatever changes
-    /// the replicated state is control's own business.
+    /// Returns the target of `request`. Only plain renewals go to relays; requests that change the
+    /// replicated state need control.
     #[must_use]
     pub fn pick(&self, now: Instant, state: &EntryState, request: &SyncRequest) -> SocketAddr {
         self.relay(now, state, request)
@@ -72,9 +73,9 @@
         Some(relay.info.peers)
     }
 
-    /// Notes that `asked` didn't answer or gave no grant.
-    pub fn failed(&mut self, now: Instant, asked: SocketAddr) {
-        if asked == self.control() {
+    /// Records that `target` did not answer or did not grant the request.
+    pub fn failed(&mut self, now: Instant, target: SocketAddr) {
+        if target == self.control() {
             self.current = (self.current + 1) % self.replicas.len();
         } else {
             self.failed_relays += 1;
@@ -86,6 +87,6 @@
 fn is_plain_renewal(state: &EntryState, request: &SyncRequest) -> bool {
     let has_view = request.session != 0 && request.applied_revision != 0;
     let own = state.view.sessions.get(&SessionId(request.session));
-    let told = own.is_some_and(|own| own.leaving == request.leaving);
-    has_view && told && !request.closing
+    let leaving_known = own.is_some_and(|own| own.leaving == request.leaving);
+    has_view && leaving_known && !request.closing
 }
--- a/server/src/update_cache.rs
+++ b/server/src/update_cache.rs
@@ -1,8 +1,8 @@
-//! Updates that were encoded lately.
+//! Cache of recently encoded updates.
 //!
-//! Many entry VMs ask a replica for the same update in the same moment: whoever follows is told
-//! of a change at once, and all that start after a loss of power lack everything. To make an
-//! update takes a look at every backend server.
+//! Many entry VMs request the same update from a replica at the same moment: all followers get
+//! each change at once, and all entry VMs that start after a power failure need the whole state.
+//! Computing an update visits every backend server.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -12,9 +12,9 @@
 use heatherring_lib::fleet_state::FleetState;
 use heatherring_lib::id::Revision;
 
-/// Updates that are kept: those from nothing, and from the last revisions that were told. A
-/// whole one takes 45 KB with 900 backend servers.
-const KEPT: usize = 4;
+/// Number of cached updates: the whole state, and the changes since the last few revisions. A
+/// whole update takes 45 KB with 900 backend servers.
+const CAPACITY: usize = 4;
 
 #[derive(Debug)]
 struct Cached {
@@ -23,18 +23,19 @@
     encoded: Vec<u8>,
 }
 
-/// Keeps the updates that were encoded last.
+/// Caches the most recently encoded updates; the oldest is evicted first.
 #[derive(Debug, Default)]
 pub struct UpdateCache {
     cached: Mutex<VecDeque<Cached>>,
 }
 
 impl UpdateCache {
-    /// Returns what an entry VM at revision `from` lacks of `fleet`; nothing if it is ahead.
+    /// Returns the encoded update from revision `from` to that of `fleet`; `None` if `from` is the
+    /// later one.
     ///
     /// # Errors
     ///
-    /// Returns an error if the update can't be encoded.
+    /// Returns an error if the update cannot be encoded.
     pub fn encoded(
         &self,
         fleet: &FleetState,
@@ -49,7 +50,7 @@
             return Ok(None);
         };
         let encoded = update.encode()?;
-        if cached.len() == KEPT {
+        if cached.len() == CAPACITY {
             cached.pop_front();
         }
         cached.push_back(Cached {
