--- a/server/src/control_session.rs
+++ b/server/src/control_session.rs
@@ -58,7 +58,7 @@
 
 /// State of the session that the process requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum SessionWish {
+pub enum SessionGoal {
     /// The entry VM serves requests.
     #[default]
     Serve,
@@ -141,7 +141,7 @@
     silent: bool,
     publish: watch::Sender<EntryState>,
     events: mpsc::UnboundedSender<ControlEvent>,
-    wish: watch::Receiver<SessionWish>,
+    wish: watch::Receiver<SessionGoal>,
 }
 
 impl ControlSession {
@@ -154,7 +154,7 @@
         clock: Arc<dyn Clock>,
         publish: watch::Sender<EntryState>,
         events: mpsc::UnboundedSender<ControlEvent>,
-        wish: watch::Receiver<SessionWish>,
+        wish: watch::Receiver<SessionGoal>,
     ) -> Self {
         Self {
             info,
@@ -172,13 +172,13 @@
         }
     }
 
-    /// Keeps the session until control has confirmed [`SessionWish::Close`], or the time for that is
+    /// Keeps the session until control has confirmed [`SessionGoal::Close`], or the time for that is
     /// up.
     pub async fn run(mut self) {
         let mut close_by = None;
         loop {
             let wish = *self.wish.borrow_and_update();
-            if wish == SessionWish::Close {
+            if wish == SessionGoal::Close {
                 let by = *close_by.get_or_insert_with(|| self.clock.now() + CLOSE_TIMEOUT);
                 if self.state.lease.session().is_none() || self.clock.now() >= by {
                     return;
@@ -204,12 +204,12 @@
         }
     }
 
-    fn request(&self, wish: SessionWish) -> SyncRequest {
+    fn request(&self, wish: SessionGoal) -> SyncRequest {
         let session = self.state.lease.session();
         let fresh = session.is_none() || self.needs_whole_view;
         let leaving_known = self.is_leaving_in_view();
         // After a failed call, the rest of the lease is needed to find a replica that answers.
-        let immediate = fresh || self.silent || (wish == SessionWish::Leave && !leaving_known);
+        let immediate = fresh || self.silent || (wish == SessionGoal::Leave && !leaving_known);
         let wait = if immediate { Duration::ZERO } else { SYNC_WAIT };
         let applied = if fresh {
             Revision::default()
@@ -226,8 +226,8 @@
             applied_revision: applied.0,
             known_settled: self.state.settled.0,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
-            leaving: wish != SessionWish::Serve,
-            closing: wish == SessionWish::Close,
+            leaving: wish != SessionGoal::Serve,
+            closing: wish == SessionGoal::Close,
         }
     }
 
@@ -285,7 +285,7 @@
 
     fn apply_reply(
         &mut self,
-        wish: SessionWish,
+        wish: SessionGoal,
         reply: &SyncReply,
         sent_at: Instant,
     ) -> Result<(), SyncError> {
@@ -304,7 +304,7 @@
         if std::mem::replace(&mut self.silent, false) {
             log::info!(event = "control_answers", vm = self.info.vm.as_str(), replica = replica.to_string().as_str(); "control replica answers again");
         }
-        if wish == SessionWish::Close {
+        if wish == SessionGoal::Close {
             self.end_session();
             return Ok(());
         }
