--- a/server/src/control_session.rs
+++ b/server/src/control_session.rs
@@ -141,7 +141,7 @@
     silent: bool,
     publish: watch::Sender<EntryState>,
     events: mpsc::UnboundedSender<ControlEvent>,
-    wish: watch::Receiver<SessionGoal>,
+    goal: watch::Receiver<SessionGoal>,
 }
 
 impl ControlSession {
@@ -154,7 +154,7 @@
         clock: Arc<dyn Clock>,
         publish: watch::Sender<EntryState>,
         events: mpsc::UnboundedSender<ControlEvent>,
-        wish: watch::Receiver<SessionGoal>,
+        goal: watch::Receiver<SessionGoal>,
     ) -> Self {
         Self {
             info,
@@ -168,7 +168,7 @@
             silent: false,
             publish,
             events,
-            wish,
+            goal,
         }
     }
 
@@ -177,17 +177,17 @@
     pub async fn run(mut self) {
         let mut close_by = None;
         loop {
-            let wish = *self.wish.borrow_and_update();
-            if wish == SessionGoal::Close {
+            let goal = *self.goal.borrow_and_update();
+            if goal == SessionGoal::Close {
                 let by = *close_by.get_or_insert_with(|| self.clock.now() + CLOSE_TIMEOUT);
                 if self.state.lease.session().is_none() || self.clock.now() >= by {
                     return;
                 }
             }
-            let request = self.request(wish);
+            let request = self.request(goal);
             let sent_at = self.clock.now();
             self.target = self.targets.pick(sent_at, &self.state, &request);
-            let mut wish_changes = self.wish.clone();
+            let mut wish_changes = self.goal.clone();
             let result = tokio::select! {
                 result = self.call(request) => result,
                 // Control may hold the call for long, and must learn of a changed request at
@@ -195,7 +195,7 @@
                 Ok(()) = wish_changes.changed() => continue,
             };
             let applied = match result {
-                Ok(reply) => self.apply_reply(wish, &reply, sent_at),
+                Ok(reply) => self.apply_reply(goal, &reply, sent_at),
                 Err(error) => Err(error),
             };
             if let Err(error) = applied {
@@ -204,12 +204,12 @@
         }
     }
 
-    fn request(&self, wish: SessionGoal) -> SyncRequest {
+    fn request(&self, goal: SessionGoal) -> SyncRequest {
         let session = self.state.lease.session();
         let fresh = session.is_none() || self.needs_whole_view;
         let leaving_known = self.is_leaving_in_view();
         // After a failed call, the rest of the lease is needed to find a replica that answers.
-        let immediate = fresh || self.silent || (wish == SessionGoal::Leave && !leaving_known);
+        let immediate = fresh || self.silent || (goal == SessionGoal::Leave && !leaving_known);
         let wait = if immediate { Duration::ZERO } else { SYNC_WAIT };
         let applied = if fresh {
             Revision::default()
@@ -226,8 +226,8 @@
             applied_revision: applied.0,
             known_settled: self.state.settled.0,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
-            leaving: wish != SessionGoal::Serve,
-            closing: wish == SessionGoal::Close,
+            leaving: goal != SessionGoal::Serve,
+            closing: goal == SessionGoal::Close,
         }
     }
 
@@ -285,7 +285,7 @@
 
     fn apply_reply(
         &mut self,
-        wish: SessionGoal,
+        goal: SessionGoal,
         reply: &SyncReply,
         sent_at: Instant,
     ) -> Result<(), SyncError> {
@@ -304,7 +304,7 @@
         if std::mem::replace(&mut self.silent, false) {
             log::info!(event = "control_answers", vm = self.info.vm.as_str(), replica = replica.to_string().as_str(); "control replica answers again");
         }
-        if wish == SessionGoal::Close {
+        if goal == SessionGoal::Close {
             self.end_session();
             return Ok(());
         }
--- a/server/src/entry_process.rs
+++ b/server/src/entry_process.rs
@@ -126,7 +126,7 @@
 /// Holds the tasks of a running entry VM.
 struct Running {
     cx: Arc<EntryContext>,
-    wish: watch::Sender<SessionGoal>,
+    goal: watch::Sender<SessionGoal>,
     session: JoinHandle<()>,
     servers: EntryServers,
 }
@@ -143,7 +143,7 @@
         let info = entry_info(settings);
         let (publish, state) = watch::channel(EntryState::default());
         let (events, events_rx) = mpsc::unbounded_channel();
-        let (wish, wish_rx) = watch::channel(SessionGoal::Serve);
+        let (goal, wish_rx) = watch::channel(SessionGoal::Serve);
         let (round_trips, mut round_trips_rx) = mpsc::unbounded_channel();
         let pool = BackendPool::spawn();
         let peers = PeerClients::spawn(info.vm.clone(), security.clone(), round_trips);
@@ -204,7 +204,7 @@
         let servers = EntryServers::start(&cx, listeners, security, grpc_server, relay);
         Self {
             cx,
-            wish,
+            goal,
             session: tokio::spawn(session.run()),
             servers,
         }
@@ -212,7 +212,7 @@
 
     async fn stop(self, mut shutdown: Shutdown) {
         log::info!(event = "entry_leaving", vm = self.cx.info.vm.as_str(); "a planned stop begins");
-        self.wish.send_replace(SessionGoal::Leave);
+        self.goal.send_replace(SessionGoal::Leave);
         self.servers.leave();
         tokio::select! {
             () = self.finish() => {}
@@ -220,7 +220,7 @@
                 log::warn!(event = "entry_stop_forced", vm = self.cx.info.vm.as_str(); "asked to stop twice: what is in flight is cut off");
             }
         }
-        self.wish.send_replace(SessionGoal::Close);
+        self.goal.send_replace(SessionGoal::Close);
         let _ = tokio::time::timeout(CLOSE_BOUND, self.session).await;
         self.servers.end();
     }
