--- a/server/src/control_session.rs
+++ b/server/src/control_session.rs
@@ -187,12 +187,12 @@
             let request = self.request(goal);
             let sent_at = self.clock.now();
             self.target = self.targets.pick(sent_at, &self.state, &request);
-            let mut wish_changes = self.goal.clone();
+            let mut goal_changes = self.goal.clone();
             let result = tokio::select! {
                 result = self.call(request) => result,
                 // Control may hold the call for long, and must learn of a changed request at
                 // once. The next call asks again for what the cancelled one would have returned.
-                Ok(()) = wish_changes.changed() => continue,
+                Ok(()) = goal_changes.changed() => continue,
             };
             let applied = match result {
                 Ok(reply) => self.apply_reply(goal, &reply, sent_at),
