--- a/server/src/entry_process.rs
+++ b/server/src/entry_process.rs
@@ -143,7 +143,7 @@
         let info = entry_info(settings);
         let (publish, state) = watch::channel(EntryState::default());
         let (events, events_rx) = mpsc::unbounded_channel();
-        let (goal, wish_rx) = watch::channel(SessionGoal::Serve);
+        let (goal, goal_rx) = watch::channel(SessionGoal::Serve);
         let (round_trips, mut round_trips_rx) = mpsc::unbounded_channel();
         let pool = BackendPool::spawn();
         let peers = PeerClients::spawn(info.vm.clone(), security.clone(), round_trips);
@@ -172,7 +172,7 @@
             Arc::clone(&clock),
             publish,
             events,
-            wish_rx,
+            goal_rx,
         );
         let relay = SessionRelayService::spawn(
             state.clone(),
