--- a/server/src/leader_relay.rs
+++ b/server/src/leader_relay.rs
@@ -64,7 +64,7 @@
 /// Returns whether a failed call is proved not to have reached the leader's process, because the
 /// connection was refused.
 #[must_use]
-pub fn never_arrived(status: &Status) -> bool {
+pub fn is_proved_unsent(status: &Status) -> bool {
     status.code() == Code::Unavailable && has_connect_error(status)
 }
 
