--- a/server/src/admission_task.rs
+++ b/server/src/admission_task.rs
@@ -375,7 +375,7 @@
     /// nothing to slots that are new, and too much to slots that are gone, until then.
     fn tell_changed_slots(&mut self, now: Instant) {
         let core = self.core.as_mut();
-        if core.is_some_and(|core| core.has_untold_slots(now)) {
+        if core.is_some_and(|core| core.has_unreported_slots(now)) {
             self.send_digest();
         }
     }
--- a/server/src/caller_listener.rs
+++ b/server/src/caller_listener.rs
@@ -35,7 +35,7 @@
 use crate::dispatcher::OutgoingRequest;
 use crate::entry_context::EntryContext;
 use crate::entry_metrics;
-use crate::entry_metrics::Asked;
+use crate::entry_metrics::CallKind;
 use crate::entry_state::EntryState;
 use crate::header;
 use crate::http_server::Arrival;
@@ -267,11 +267,11 @@
     }
 }
 
-fn asked(path: &str) -> Asked {
+fn asked(path: &str) -> CallKind {
     if path.starts_with(LOOK_UP_PREFIX) {
-        Asked::LookUp
+        CallKind::LookUp
     } else {
-        Asked::Request
+        CallKind::Request
     }
 }
 
--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -55,7 +55,7 @@
 use crate::proto::session_server::SessionServer;
 use crate::published_state;
 use crate::published_state::StateReader;
-use crate::quarantine_keeper::QuarantineKeeper;
+use crate::quarantine_monitor::QuarantineMonitor;
 use crate::replication_service::ReplicationService;
 use crate::session_service::SessionService;
 use crate::shutdown::Shutdown;
@@ -251,7 +251,7 @@
     handle.leave().await;
     tokio::select! {
         result = &mut node => node_result(result)?,
-        () = shutdown.insisted() => return Ok(()),
+        () = shutdown.requested_again() => return Ok(()),
     }
     stop_listeners.cancel();
     // Sending fails only if the server has ended by itself.
@@ -264,7 +264,7 @@
     };
     tokio::select! {
         result = finished => result?,
-        () = shutdown.insisted() => {}
+        () = shutdown.requested_again() => {}
         () = tokio::time::sleep(FINISH_TIMEOUT) => log::warn!(event = "control_stop_late"; "some connections did not end in time; closing them"),
     }
     log::info!(event = "control_ended"; "control replica stopped");
@@ -340,7 +340,7 @@
         let places = direct.places.clone();
         tokio::spawn(follow_regions(presence.clone(), node.clone(), places));
     }
-    let keeper = QuarantineKeeper::new(Arc::clone(clock), published.clone(), node.clone());
+    let keeper = QuarantineMonitor::new(Arc::clone(clock), published.clone(), node.clone());
     tokio::spawn(keeper.run());
     FleetControl::new(
         Arc::clone(clock),
--- a/server/src/crash_watch.rs
+++ b/server/src/crash_tracker.rs
@@ -78,7 +78,7 @@
 
 /// Reaches what an entry VM knows of requests that may end backend servers.
 #[derive(Clone, Debug)]
-pub struct CrashWatch {
+pub struct CrashTracker {
     inner: Arc<Inner>,
 }
 
@@ -127,7 +127,7 @@
 
 /// Names a backend server and how it is reached.
 #[derive(Clone, Debug)]
-pub struct BackendAt {
+pub struct TrackedBackend {
     /// The backend server.
     pub life: BackendIncarnation,
     /// Its address.
@@ -136,7 +136,7 @@
     pub max_connections: u32,
 }
 
-impl From<&Choice> for BackendAt {
+impl From<&Choice> for TrackedBackend {
     fn from(choice: &Choice) -> Self {
         Self {
             life: BackendIncarnation {
@@ -149,7 +149,7 @@
     }
 }
 
-impl CrashWatch {
+impl CrashTracker {
     /// Creates the watch, and the task's part that tells control.
     #[must_use]
     pub fn new(vm: VmName, clock: Arc<dyn Clock>, pool: BackendPool) -> (Self, SuspectReporter) {
@@ -239,9 +239,9 @@
 
     /// Follows a request that is being handed to a backend server.
     #[must_use]
-    pub fn follow(&self, backend: BackendAt, tag: RequestTag) -> FollowedRequest {
+    pub fn follow(&self, backend: TrackedBackend, tag: RequestTag) -> TrackedRequest {
         let watched = self.treatment(&tag).is_some();
-        FollowedRequest {
+        TrackedRequest {
             watch: Some(self.clone()),
             backend,
             stood: InFlightRequest { tag, watched },
@@ -281,12 +281,12 @@
     }
 
     /// Connects to a backend server to see whether it has ended.
-    fn ask(&self, backend: &BackendAt) {
+    fn ask(&self, backend: &TrackedBackend) {
         if !self.state().asked.insert(backend.life.clone()) {
             return;
         }
         let watch = self.clone();
-        let BackendAt {
+        let TrackedBackend {
             life,
             address,
             max_connections: limit,
@@ -333,13 +333,13 @@
 /// Follows one request at one backend server. Dropped without a word, it got no answer: its
 /// caller left, or its time was over.
 #[derive(Debug)]
-pub struct FollowedRequest {
-    watch: Option<CrashWatch>,
-    backend: BackendAt,
+pub struct TrackedRequest {
+    watch: Option<CrashTracker>,
+    backend: TrackedBackend,
     stood: InFlightRequest,
 }
 
-impl FollowedRequest {
+impl TrackedRequest {
     /// Notes that the backend server didn't get it, or said that it didn't run it.
     pub fn not_run(mut self) {
         self.watch = None;
@@ -363,7 +363,7 @@
     }
 }
 
-impl Drop for FollowedRequest {
+impl Drop for TrackedRequest {
     fn drop(&mut self) {
         if let Some(watch) = self.watch.take() {
             watch.note_unanswered(&self.backend.life, self.stood);
--- a/server/src/direct_context.rs
+++ b/server/src/direct_context.rs
@@ -13,11 +13,11 @@
 use heatherring_lib::weighted_round_robin::WeightedRoundRobin;
 use tokio::sync::watch;
 
-use crate::crash_watch::CrashWatch;
+use crate::crash_tracker::CrashTracker;
 use crate::direct_send::DirectSender;
 use crate::dispatch_task::DispatchHandle;
 use crate::interface::EntryInterface;
-use crate::stop_watch::StopWatch;
+use crate::stop_observer::StopObserver;
 use crate::token_task::TokenHandle;
 
 /// Holds what the handling of a request needs.
@@ -40,13 +40,13 @@
     /// Has tokens for the limits of teams.
     pub tokens: TokenHandle,
     /// Knows which requests end backend servers.
-    pub crashes: CrashWatch,
+    pub crashes: CrashTracker,
     /// Sends to them.
     pub sender: DirectSender,
     /// Whose turn it is in each split.
     pub turns: Mutex<HashMap<RouteName, WeightedRoundRobin>>,
     /// Whether the entry VM stops.
-    pub stopping: StopWatch,
+    pub stopping: StopObserver,
     /// Time for which a request waits for the first view at most.
     pub first_view_wait: Duration,
 }
--- a/server/src/direct_path.rs
+++ b/server/src/direct_path.rs
@@ -38,7 +38,7 @@
 use crate::request_body::RequestBody;
 use crate::request_trace::Decided;
 use crate::request_trace::RequestTrace;
-use crate::stop_watch::StopState;
+use crate::stop_observer::StopState;
 
 /// When a caller is told to come back after a backend server turned its request away.
 const SHED_RETRY: Duration = Duration::from_millis(300);
@@ -144,7 +144,7 @@
         req: Request<RequestBody>,
         trace: &mut RequestTrace,
     ) -> Result<DirectAnswer, Refused> {
-        if self.stopping.is_over_for(arrival.at) {
+        if self.stopping.is_too_late(arrival.at) {
             return Err(leaving().into());
         }
         let admitted = tokio::select! {
--- a/server/src/direct_process.rs
+++ b/server/src/direct_process.rs
@@ -30,7 +30,7 @@
 use crate::answer_body::AnswerBody;
 use crate::backend_pool::BackendPool;
 use crate::cold_querier::ColdQuerier;
-use crate::crash_watch::CrashWatch;
+use crate::crash_tracker::CrashTracker;
 use crate::direct_admission::FIRST_VIEW_WAIT;
 use crate::direct_context::DirectContext;
 use crate::direct_path::DirectHandler;
@@ -58,8 +58,8 @@
 use crate::peer_security::PeerSecurityError;
 use crate::request_body::RequestBody;
 use crate::shutdown::Shutdown;
-use crate::stop_watch::StopState;
-use crate::stop_watch::StopWatch;
+use crate::stop_observer::StopObserver;
+use crate::stop_observer::StopState;
 use crate::token_task::TokenHandle;
 use crate::token_task::TokenSetup;
 
@@ -160,7 +160,7 @@
         interface: Arc::clone(&interface),
     };
     tokio::spawn(questioner.run());
-    let (stop_tx, stopping) = StopWatch::new();
+    let (stop_tx, stopping) = StopObserver::new();
     let sender = DirectSender::new(
         pool,
         Arc::clone(&interface),
@@ -229,7 +229,7 @@
     dispatch: DispatchHandle,
     tokens: TokenHandle,
     pool: BackendPool,
-    crashes: CrashWatch,
+    crashes: CrashTracker,
     followed: Followed,
 }
 
@@ -249,7 +249,7 @@
         };
         let pool = BackendPool::spawn();
         let vm = settings.vm.clone();
-        let (crashes, reporter) = CrashWatch::new(vm.clone(), Arc::clone(clock), pool.clone());
+        let (crashes, reporter) = CrashTracker::new(vm.clone(), Arc::clone(clock), pool.clone());
         let followed = fleet_follower::spawn(FollowerSetup {
             vm,
             record,
@@ -297,7 +297,7 @@
         self.stops.leaving.cancel();
         tokio::select! {
             () = serve_out(stop, &self.stops.stop, self.serving) => {}
-            () = shutdown.insisted() => log::warn!(event = "entry_stop_forced"; "asked to stop twice: what is under way is cut off"),
+            () = shutdown.requested_again() => log::warn!(event = "entry_stop_forced"; "asked to stop twice: what is under way is cut off"),
         }
         self.stopping.send_replace(StopState::Ended(stop));
     }
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -39,8 +39,8 @@
 use crate::answer_body::AnswerEnd;
 use crate::backend_pool::BackendConnection;
 use crate::backend_pool::BackendPool;
-use crate::crash_watch::CrashWatch;
-use crate::crash_watch::FollowedRequest;
+use crate::crash_tracker::CrashTracker;
+use crate::crash_tracker::TrackedRequest;
 use crate::dispatch_task::DispatchHandle;
 use crate::header;
 use crate::header::remove_hop_by_hop;
@@ -48,7 +48,7 @@
 use crate::interface::EntryInterface;
 use crate::interface::OutgoingMetadata;
 use crate::refusal_body;
-use crate::stop_watch::StopWatch;
+use crate::stop_observer::StopObserver;
 use crate::verified_caller::VerifiedCaller;
 
 /// Bytes of an answer up to which it is read whole before its head is passed on. An answer
@@ -134,8 +134,8 @@
     view: watch::Receiver<Arc<FleetView>>,
     /// Told at once of connections: an answer may come a second later.
     dispatch: DispatchHandle,
-    crashes: CrashWatch,
-    stopping: StopWatch,
+    crashes: CrashTracker,
+    stopping: StopObserver,
 }
 
 impl DirectSender {
@@ -146,8 +146,8 @@
         interface: Arc<dyn EntryInterface>,
         view: watch::Receiver<Arc<FleetView>>,
         dispatch: DispatchHandle,
-        crashes: CrashWatch,
-        stopping: StopWatch,
+        crashes: CrashTracker,
+        stopping: StopObserver,
     ) -> Self {
         Self {
             pool,
@@ -406,7 +406,7 @@
     req: &'a DirectRequest,
     sent: Attempt<MayHaveRun>,
     connection: BackendConnection,
-    followed: FollowedRequest,
+    followed: TrackedRequest,
 }
 
 enum Exchange {
@@ -419,7 +419,7 @@
 struct StreamEnd {
     pool: BackendPool,
     connection: BackendConnection,
-    followed: FollowedRequest,
+    followed: TrackedRequest,
     keep: Duration,
     dispatch: DispatchHandle,
     backend: BackendKey,
--- a/server/src/entry_context.rs
+++ b/server/src/entry_context.rs
@@ -12,7 +12,7 @@
 use crate::action_task::ActionHandle;
 use crate::admission_handle::AdmissionHandle;
 use crate::backend_pool::BackendPool;
-use crate::crash_watch::CrashWatch;
+use crate::crash_tracker::CrashTracker;
 use crate::decision_task::DecisionHandle;
 use crate::entry_state::EntryStateReader;
 use crate::forward_client::ForwardClients;
@@ -38,7 +38,7 @@
     /// Connections to backend servers.
     pub pool: BackendPool,
     /// Knows which requests end backend servers that this entry VM owns.
-    pub crashes: CrashWatch,
+    pub crashes: CrashTracker,
     /// Connections to other entry VMs, for requests.
     pub forward: ForwardClients,
     /// Shares of the links to other regions.
--- a/server/src/entry_metrics.rs
+++ b/server/src/entry_metrics.rs
@@ -18,14 +18,14 @@
 
 /// Tells look-ups and requests to services apart.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Asked {
+pub enum CallKind {
     /// Which entry VM to use.
     LookUp,
     /// Something of a service.
     Request,
 }
 
-impl Asked {
+impl CallKind {
     const fn name(self) -> &'static str {
         match self {
             Self::LookUp => "look_ups",
@@ -35,7 +35,12 @@
 }
 
 /// Counts what a caller was told, and times it.
-pub fn asked(metrics: &StatsdClient, asked: Asked, refused: Option<&Refused>, elapsed: Duration) {
+pub fn asked(
+    metrics: &StatsdClient,
+    asked: CallKind,
+    refused: Option<&Refused>,
+    elapsed: Duration,
+) {
     let name = asked.name();
     let Some(refused) = refused else {
         count(metrics, &format!("{name}.answered"));
--- a/server/src/entry_process.rs
+++ b/server/src/entry_process.rs
@@ -19,7 +19,7 @@
 use crate::backend_pool::BackendPool;
 use crate::control_session::ControlSession;
 use crate::control_session::SessionGoal;
-use crate::crash_watch::CrashWatch;
+use crate::crash_tracker::CrashTracker;
 use crate::decision_task::DecisionHandle;
 use crate::entry_context::EntryContext;
 use crate::entry_context::RequestIds;
@@ -189,7 +189,7 @@
             actions: ActionHandle::spawn(state.clone(), Arc::clone(&clock), action_limits),
             state,
             admission,
-            crashes: CrashWatch::of_owner(clock, pool.clone()),
+            crashes: CrashTracker::of_owner(clock, pool.clone()),
             pool,
             forward: ForwardClients::spawn(security.clone(), links.clone()),
             links,
@@ -216,7 +216,7 @@
         self.servers.leave();
         tokio::select! {
             () = self.finish() => {}
-            () = shutdown.insisted() => {
+            () = shutdown.requested_again() => {
                 log::warn!(event = "entry_stop_forced", vm = self.cx.info.vm.as_str(); "asked to stop twice: what is in flight is cut off");
             }
         }
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -31,7 +31,7 @@
 use tokio::sync::watch;
 use tonic::transport::Channel;
 
-use crate::crash_watch::CrashWatch;
+use crate::crash_tracker::CrashTracker;
 use crate::dispatch_task::DispatchHandle;
 use crate::follow_calls::CallKind;
 use crate::follow_calls::CallResult;
@@ -67,7 +67,7 @@
     /// Receives each new view and the set of silent backend servers.
     pub dispatch: DispatchHandle,
     /// Receives each new view and the verdicts on suspected requests.
-    pub crashes: CrashWatch,
+    pub crashes: CrashTracker,
 }
 
 struct Follower {
--- a/server/src/owner_path.rs
+++ b/server/src/owner_path.rs
@@ -29,8 +29,8 @@
 use crate::answer_body::AnswerEnd;
 use crate::backend_pool::BackendConnection;
 use crate::backend_pool::BackendPool;
-use crate::crash_watch::BackendAt;
-use crate::crash_watch::FollowedRequest;
+use crate::crash_tracker::TrackedBackend;
+use crate::crash_tracker::TrackedRequest;
 use crate::dispatcher;
 use crate::dispatcher::BackendAnswer;
 use crate::dispatcher::BackendTarget;
@@ -106,7 +106,7 @@
     let Some(target) = target(cx, steered, &guard) else {
         return attempt.refuse(NotRunReason::ServiceUnknown).into();
     };
-    let backend = BackendAt {
+    let backend = TrackedBackend {
         life: cx.crashes.incarnation_of(&guard.dispatch().backend),
         address: target.address,
         max_connections: target.max_connections,
@@ -206,7 +206,7 @@
 struct OwnedAnswerEnd {
     guard: DispatchGuard,
     connection: BackendConnection,
-    followed: FollowedRequest,
+    followed: TrackedRequest,
     pool: BackendPool,
 }
 
--- a/server/src/quarantine_keeper.rs
+++ b/server/src/quarantine_monitor.rs
@@ -21,7 +21,7 @@
 
 /// Follows the suspected requests of one replica.
 #[derive(Debug)]
-pub struct QuarantineKeeper {
+pub struct QuarantineMonitor {
     clock: Arc<dyn Clock>,
     published: StateReader,
     node: NodeHandle,
@@ -29,7 +29,7 @@
     times: QuarantineTimes,
 }
 
-impl QuarantineKeeper {
+impl QuarantineMonitor {
     /// Follows what a replica has applied.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, published: StateReader, node: NodeHandle) -> Self {
--- a/server/src/session_core.rs
+++ b/server/src/session_core.rs
@@ -75,7 +75,7 @@
     }
 
     /// Tells whether others know of other slots than there are now.
-    pub(crate) fn has_untold_slots(&mut self, now: Instant) -> bool {
+    pub(crate) fn has_unreported_slots(&mut self, now: Instant) -> bool {
         self.told_slots != total_slots(&self.admission.digest_loads(now))
     }
 
--- a/server/src/shutdown.rs
+++ b/server/src/shutdown.rs
@@ -74,7 +74,7 @@
     }
 
     /// Waits for the second request, which ends the wait for what is in flight.
-    pub async fn insisted(&mut self) {
+    pub async fn requested_again(&mut self) {
         self.wait_for(2).await;
     }
 
--- a/server/src/stop_watch.rs
+++ b/server/src/stop_observer.rs
@@ -18,11 +18,11 @@
 
 /// Follows whether the entry VM was asked to stop.
 #[derive(Clone, Debug)]
-pub struct StopWatch {
+pub struct StopObserver {
     state: watch::Receiver<StopState>,
 }
 
-impl StopWatch {
+impl StopObserver {
     /// Returns a watch of a process that runs, and where its stop is told.
     #[must_use]
     pub fn new() -> (watch::Sender<StopState>, Self) {
@@ -52,7 +52,7 @@
 
     /// Returns whether a request that came at `arrived` came after those that a stop still takes.
     #[must_use]
-    pub fn is_over_for(&self, arrived: Instant) -> bool {
+    pub fn is_too_late(&self, arrived: Instant) -> bool {
         self.stop().is_some_and(|stop| !stop.accepts(arrived))
     }
 
--- a/server/tests/test_entry_metrics.rs
+++ b/server/tests/test_entry_metrics.rs
@@ -16,7 +16,7 @@
 use heatherring_lib::outcome::UnknownReason;
 use heatherring_lib::ownership::Group;
 use heatherring_server::entry_metrics;
-use heatherring_server::entry_metrics::Asked;
+use heatherring_server::entry_metrics::CallKind;
 use heatherring_server::entry_status::DrainStatus;
 use heatherring_server::entry_status::EntryStatus;
 
@@ -85,13 +85,13 @@
 }
 
 sent_cases! {
-    test_entry_metrics_answer: Asked::Request, None
+    test_entry_metrics_answer: CallKind::Request, None
         => ["p.requests.answered:1|c", "p.requests.answer_time:12|ms"];
     test_entry_metrics_look_up_refused:
-        Asked::LookUp, Some(Attempt::new().refuse(NotRunReason::ShiftCap).into())
+        CallKind::LookUp, Some(Attempt::new().refuse(NotRunReason::ShiftCap).into())
         => ["p.look_ups.not_run.shift_cap:1|c", "p.look_ups.refusal_time:12|ms"];
     test_entry_metrics_unknown:
-        Asked::Request, Some(Unknown::new(UnknownReason::OwnerLost).into())
+        CallKind::Request, Some(Unknown::new(UnknownReason::OwnerLost).into())
         => ["p.requests.unknown.owner_lost:1|c", "p.requests.refusal_time:12|ms"];
 }
 
@@ -126,7 +126,7 @@
         entry_metrics::gauges(metrics, &status());
         entry_metrics::decision_dropped(metrics);
     });
-    for asked in [Asked::LookUp, Asked::Request] {
+    for asked in [CallKind::LookUp, CallKind::Request] {
         let refused = Attempt::new().refuse(NotRunReason::Overloaded).into();
         let unknown = Unknown::new(UnknownReason::OwnerLost).into();
         for outcome in [None, Some(&refused), Some(&unknown)] {
--- a/server/tests/test_fleet_follower.rs
+++ b/server/tests/test_fleet_follower.rs
@@ -23,7 +23,7 @@
 use heatherring_lib::replica_choice::ReplicaSite;
 use heatherring_lib::settings::Security;
 use heatherring_server::backend_pool::BackendPool;
-use heatherring_server::crash_watch::CrashWatch;
+use heatherring_server::crash_tracker::CrashTracker;
 use heatherring_server::dispatch_task::DispatchHandle;
 use heatherring_server::fleet_follower;
 use heatherring_server::fleet_follower::Followed;
@@ -199,7 +199,7 @@
     let (ready_tx, ready) = watch::channel(true);
     let (_, seeds) = watch::channel(vec![seed]);
     let security = PeerSecurity::from_settings(&Security::OpenLoopback).unwrap();
-    let (crashes, _) = CrashWatch::new(vm.clone(), Arc::clone(&clock), BackendPool::spawn());
+    let (crashes, _) = CrashTracker::new(vm.clone(), Arc::clone(&clock), BackendPool::spawn());
     let followed = fleet_follower::spawn(FollowerSetup {
         vm,
         record: EntryRecord {
