--- a/server/src/log_writer.rs
+++ b/server/src/log_writer.rs
@@ -1,9 +1,8 @@
-//! Log lines that never hold the process up.
+//! Log writer that never blocks the process.
 //!
-//! A line is written by a thread of its own, from a bounded queue. When whoever reads the
-//! lines stops, the queue fills up; lines are dropped from then on, which a metric and a later
-//! line tell. Were lines written by the thread that serves, a reader that stops would stop
-//! the process.
+//! A dedicated thread writes the lines from a bounded queue. When the reader of the lines stops
+//! reading, the queue fills up; further lines are dropped, which a metric and a later line
+//! report. If serving threads wrote lines themselves, a stalled reader would stall the process.
 
 use std::fmt;
 use std::io;
@@ -34,45 +33,45 @@
 
 use crate::metric;
 
-/// Target of the lines on requests that were answered: the first to go under load.
+/// Target of the lines on answered requests, which are dropped first under load.
 pub const ROUTINE: &str = "heatherring_server::routine";
 
-/// Lines that wait to be written; at 450 bytes a line 115 kB.
-const QUEUE: usize = 256;
+/// Capacity of the queue in lines; at 450 bytes a line 115 kB.
+const QUEUE_LINES: usize = 256;
 
-/// Bytes that are written at once.
+/// Largest number of bytes per write, up to the last line.
 const BATCH_BYTES: usize = 32 << 10;
 
-/// Stack of the thread that writes. It formats nothing: a layout reads the system's time zone,
-/// which takes more than this, and a thread that overflows its stack ends the process.
+/// Stack size of the writing thread. It formats nothing: a layout reads the system's time zone,
+/// which takes more than this, and a stack overflow aborts the process.
 const STACK_BYTES: usize = 128 << 10;
 
-/// Time between two lines on dropped ones.
+/// Shortest interval between two lines that report dropped lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time for which a process that ends waits until its last lines are written.
-const FLUSH_WITHIN: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Message {
     Line(Vec<u8>),
     Flush(SyncSender<()>),
 }
 
-/// Appends JSON lines to a queue.
+/// Appends JSON lines to the queue.
 pub struct LogWriter {
     layout: JsonLayout,
     clock: Arc<dyn Clock>,
-    volume: Mutex<Volume>,
+    volume: Mutex<LogVolume>,
     dropped: AtomicU64,
     tx: SyncSender<Message>,
 }
 
-/// What bounds the lines, and what was told of those that were dropped.
-struct Volume {
+/// Holds the rate limiter, and which dropped lines have been reported.
+struct LogVolume {
     rate: LogRateLimiter,
-    told: u64,
-    /// When that was last tried.
-    told_at: Option<Instant>,
+    reported: u64,
+    /// When the last report was attempted.
+    reported_at: Option<Instant>,
 }
 
 impl fmt::Debug for LogWriter {
@@ -86,19 +85,19 @@
     ///
     /// # Errors
     ///
-    /// Fails if the system gives no thread.
+    /// Fails if the system cannot start a thread.
     pub fn start(out: impl Write + Send + 'static, clock: Arc<dyn Clock>) -> io::Result<Self> {
-        let (tx, rx) = mpsc::sync_channel(QUEUE);
+        let (tx, rx) = mpsc::sync_channel(QUEUE_LINES);
         std::thread::Builder::new()
             .name("log".to_owned())
             .stack_size(STACK_BYTES)
             .spawn(move || write_lines(out, &rx))?;
         Ok(Self {
             layout: JsonLayout::default(),
-            volume: Mutex::new(Volume {
+            volume: Mutex::new(LogVolume {
                 rate: LogRateLimiter::new(clock.now()),
-                told: 0,
-                told_at: None,
+                reported: 0,
+                reported_at: None,
             }),
             clock,
             dropped: AtomicU64::new(0),
@@ -106,7 +105,7 @@
         })
     }
 
-    /// Returns the lines that were dropped so far.
+    /// Returns the number of lines dropped so far.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
@@ -114,7 +113,7 @@
 
     fn may_write(&self, record: &Record<'_>) -> bool {
         let mut volume = self.volume.lock().unwrap_or_else(PoisonError::into_inner);
-        volume.rate.try_take(self.clock.now(), weight(record))
+        volume.rate.try_take(self.clock.now(), priority(record))
     }
 
     fn drop_line(&self) {
@@ -122,22 +121,22 @@
         metric::log_line_dropped();
     }
 
-    /// Tells of dropped lines, before the first line that is written after them.
-    fn tell_dropped(&self) -> Result<(), logforth::Error> {
+    /// Reports dropped lines, before the first line that is written after them.
+    fn report_dropped(&self) -> Result<(), logforth::Error> {
         let mut volume = self.volume.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
         let dropped = self.dropped();
         let due = volume
-            .told_at
+            .reported_at
             .is_none_or(|at| now.saturating_duration_since(at) >= REPORT_INTERVAL);
-        if dropped == volume.told || !due {
+        if dropped == volume.reported || !due {
             return Ok(());
         }
-        volume.told_at = Some(now);
-        let line = self.dropped_line(dropped - volume.told)?;
-        // A queue that is still full leaves it to a later line to tell.
+        volume.reported_at = Some(now);
+        let line = self.dropped_line(dropped - volume.reported)?;
+        // If the queue is still full, a later line triggers the report.
         if self.tx.try_send(Message::Line(line)).is_ok() {
-            volume.told = dropped;
+            volume.reported = dropped;
         }
         Ok(())
     }
@@ -151,7 +150,7 @@
             .level(Level::Warn)
             .target(module_path!())
             .payload(format_args!(
-                "log lines were dropped: too many at once, or nobody reads them"
+                "dropped log lines: too many at once, or their reader has stalled"
             ))
             .key_values(fields.as_slice())
             .build();
@@ -169,7 +168,7 @@
     }
 }
 
-fn weight(record: &Record<'_>) -> LinePriority {
+fn priority(record: &Record<'_>) -> LinePriority {
     if record.level() >= Level::Warn {
         LinePriority::Alarm
     } else if record.target() == ROUTINE {
@@ -189,7 +188,7 @@
             self.drop_line();
             return Ok(());
         }
-        self.tell_dropped()?;
+        self.report_dropped()?;
         let line = self.line_of(record, diags)?;
         if self.tx.try_send(Message::Line(line)).is_err() {
             self.drop_line();
@@ -199,9 +198,9 @@
 
     fn flush(&self) -> Result<(), logforth::Error> {
         let (tx, rx) = mpsc::sync_channel(1);
-        // A full queue belongs to a reader that has stopped: there is nobody to wait for.
+        // A full queue means that the reader has stalled, so waiting is of no use.
         if self.tx.try_send(Message::Flush(tx)).is_ok() {
-            let _ = rx.recv_timeout(FLUSH_WITHIN);
+            let _ = rx.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
@@ -221,7 +220,7 @@
                 .then(|| rx.try_recv().ok())
                 .flatten();
         }
-        // Nobody reads any more: dropping the queue has every later line counted as dropped.
+        // The reader has gone: dropping the queue counts every later line as dropped.
         if out.write_all(&batch).and_then(|()| out.flush()).is_err() {
             return;
         }
