--- a/server/src/caller_listener.rs
+++ b/server/src/caller_listener.rs
@@ -269,7 +269,7 @@
     }
 }
 
-fn asked(path: &str) -> CallKind {
+fn call_kind(path: &str) -> CallKind {
     if path.starts_with(LOOK_UP_PREFIX) {
         CallKind::LookUp
     } else {
--- a/server/src/crash_tracker.rs
+++ b/server/src/crash_tracker.rs
@@ -131,7 +131,7 @@
 /// Identifies a backend server and how to reach it.
 #[derive(Clone, Debug)]
 pub struct TrackedBackend {
-    /// The backend server.
+    /// The backend server's incarnation.
     pub life: BackendIncarnation,
     /// Its address.
     pub address: SocketAddr,
@@ -153,7 +153,7 @@
 }
 
 impl CrashTracker {
-    /// Creates the watch, and the task's part that tells control.
+    /// Creates the tracker, and the reporter that sends its notes to control.
     #[must_use]
     pub fn new(vm: VmName, clock: Arc<dyn Clock>, pool: BackendPool) -> (Self, SuspectReporter) {
         let (notes, rx) = mpsc::channel(MAX_QUEUED_NOTES);
@@ -250,7 +250,7 @@
     pub fn follow(&self, backend: TrackedBackend, tag: RequestTag) -> TrackedRequest {
         let watched = self.treatment(&tag).is_some();
         TrackedRequest {
-            watch: Some(self.clone()),
+            tracker: Some(self.clone()),
             backend,
             in_flight: InFlightRequest { tag, watched },
         }
@@ -294,12 +294,12 @@
         }
     }
 
-    /// Connects to a backend server to see whether it has ended.
-    fn ask(&self, backend: &TrackedBackend) {
-        if !self.state().asked.insert(backend.life.clone()) {
+    /// Connects to a backend server to find out whether it has ended.
+    fn probe(&self, backend: &TrackedBackend) {
+        if !self.state().probing.insert(backend.life.clone()) {
             return;
         }
-        let watch = self.clone();
+        let tracker = self.clone();
         let TrackedBackend {
             life,
             address,
@@ -352,13 +352,14 @@
 /// as unanswered: its caller disconnected, or its deadline passed.
 #[derive(Debug)]
 pub struct TrackedRequest {
-    watch: Option<CrashTracker>,
+    tracker: Option<CrashTracker>,
     backend: TrackedBackend,
-    stood: InFlightRequest,
+    in_flight: InFlightRequest,
 }
 
 impl TrackedRequest {
-    /// Notes that the backend server didn't get it, or said that it didn't run it.
+    /// Records that the backend server did not receive the request, or reported that it did not
+    /// run it.
     pub fn not_run(mut self) {
         self.tracker = None;
     }
--- a/server/src/entry_context.rs
+++ b/server/src/entry_context.rs
@@ -37,9 +37,9 @@
     pub admission: AdmissionHandle,
     /// Connections to backend servers.
     pub pool: BackendPool,
-    /// Knows which requests end backend servers that this entry VM owns.
+    /// Tracks requests that crash backend servers owned by this entry VM.
     pub crashes: CrashTracker,
-    /// Connections to other entry VMs, for requests.
+    /// Connections to other entry VMs, for forwarded requests.
     pub forward: ForwardClients,
     /// Budgets of this entry VM on the links to other regions.
     pub links: LinkHandle,
--- a/server/src/entry_metrics.rs
+++ b/server/src/entry_metrics.rs
@@ -19,7 +19,7 @@
 /// Distinguishes look-ups from requests to services.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallKind {
-    /// Which entry VM to use.
+    /// A look-up of the entry VM to use.
     LookUp,
     /// A request to a service.
     Request,
@@ -34,14 +34,14 @@
     }
 }
 
-/// Counts what a caller was told, and times it.
-pub fn asked(
+/// Counts and times the answer to a caller.
+pub fn record_call(
     metrics: &StatsdClient,
-    asked: CallKind,
+    kind: CallKind,
     refused: Option<&Refused>,
     elapsed: Duration,
 ) {
-    let name = asked.name();
+    let name = kind.name();
     let Some(refused) = refused else {
         count(metrics, &format!("{name}.answered"));
         time(metrics, &format!("{name}.answer_time"), elapsed);
--- a/server/src/entry_process.rs
+++ b/server/src/entry_process.rs
@@ -211,17 +211,17 @@
     }
 
     async fn stop(self, mut shutdown: Shutdown) {
-        log::info!(event = "entry_leaving", vm = self.cx.info.vm.as_str(); "a planned stop begins");
+        log::info!(event = "entry_leaving", vm = self.cx.info.vm.as_str(); "planned stop started");
         self.goal.send_replace(SessionGoal::Leave);
         self.servers.leave();
         tokio::select! {
             () = self.finish() => {}
             () = shutdown.requested_again() => {
-                log::warn!(event = "entry_stop_forced", vm = self.cx.info.vm.as_str(); "asked to stop twice: what is in flight is cut off");
+                log::warn!(event = "entry_stop_forced", vm = self.cx.info.vm.as_str(); "second stop request: cutting off requests in flight");
             }
         }
         self.goal.send_replace(SessionGoal::Close);
-        let _ = tokio::time::timeout(CLOSE_BOUND, self.session).await;
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.session).await;
         self.servers.end();
     }
 
--- a/server/src/quarantine_monitor.rs
+++ b/server/src/quarantine_monitor.rs
@@ -30,7 +30,7 @@
 }
 
 impl QuarantineMonitor {
-    /// Follows what a replica has applied.
+    /// Creates the task; `published` is what the replica has applied.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, published: StateReader, node: NodeHandle) -> Self {
         Self {
--- a/server/src/shutdown.rs
+++ b/server/src/shutdown.rs
@@ -73,7 +73,7 @@
         self.wait_for(1).await;
     }
 
-    /// Waits for the second request, which ends the wait for what is in flight.
+    /// Waits for the second request, which ends the wait for work in flight.
     pub async fn requested_again(&mut self) {
         self.wait_for(2).await;
     }
--- a/server/src/stop_observer.rs
+++ b/server/src/stop_observer.rs
@@ -23,7 +23,7 @@
 }
 
 impl StopObserver {
-    /// Returns a watch of a process that runs, and where its stop is told.
+    /// Returns the sender for a stop's phase and an observer of it, in the phase `Running`.
     #[must_use]
     pub fn new() -> (watch::Sender<StopState>, Self) {
         let (tx, state) = watch::channel(StopState::Running);
