--- a/lib/src/probable_cause.rs
+++ b/lib/src/probable_cause.rs
@@ -84,7 +84,7 @@
             decision.number("retry_after_ms")
         ),
         "no_backend_server" => {
-            format!("no backend server of {service} was usable; refused after {held} ms")
+            format!("no backend server of {service} could be used; refused after {held} ms")
         }
         "no_manifest" => "this entry VM had no manifest yet".to_owned(),
         "route_unknown" => format!(
