--- a/server/src/control_node.rs
+++ b/server/src/control_node.rs
@@ -40,7 +40,6 @@
 
 use crate::data_folder::Disk;
 use crate::data_folder::Identity;
-use crate::fleet_picture::FleetPublisher;
 use crate::log_disk::DiskError;
 use crate::log_disk::LogDisk;
 use crate::log_disk::Recovered;
@@ -55,6 +54,7 @@
 use crate::node_request::NodeError;
 use crate::node_request::NodeRequest;
 use crate::peer_links::PeerLinks;
+use crate::published_state::StatePublisher;
 use crate::session_desk::HeldBatch;
 use crate::session_desk::HeldSync;
 use crate::session_desk::SessionDesk;
@@ -166,7 +166,7 @@
     pub(crate) parked: Vec<(Revision, Vec<Waiter>)>,
     snapshot_index: Revision,
     pub(crate) leaving: Option<Leaving>,
-    publisher: Option<FleetPublisher>,
+    publisher: Option<StatePublisher>,
     pub(crate) repair: Repair,
 }
 
@@ -225,7 +225,7 @@
 
     /// Makes the replica show what it knows to those who serve direct dispatch.
     #[must_use]
-    pub fn publishing(mut self, publisher: FleetPublisher) -> Self {
+    pub fn publishing(mut self, publisher: StatePublisher) -> Self {
         self.publisher = Some(publisher);
         self
     }
--- a/server/src/control_process.rs
+++ b/server/src/control_process.rs
@@ -32,8 +32,6 @@
 use crate::data_folder::FolderDisk;
 use crate::data_folder::Identity;
 use crate::fleet_control::FleetControl;
-use crate::fleet_picture;
-use crate::fleet_picture::FleetPicture;
 use crate::fleet_service::FleetService;
 use crate::formation;
 use crate::interface::ControlInterface;
@@ -55,6 +53,8 @@
 use crate::proto::operator_server::OperatorServer;
 use crate::proto::replication_server::ReplicationServer;
 use crate::proto::session_server::SessionServer;
+use crate::published_state;
+use crate::published_state::StateReader;
 use crate::quarantine_keeper::QuarantineKeeper;
 use crate::replication_service::ReplicationService;
 use crate::session_service::SessionService;
@@ -190,7 +190,7 @@
         settings.advertised(),
         channels.clone(),
     );
-    let (publisher, picture) = fleet_picture::channel();
+    let (publisher, published) = published_state::channel();
     let node = ControlNode::new(
         node_config(&settings),
         Arc::clone(&clock),
@@ -202,7 +202,7 @@
     .publishing(publisher);
     let (handle, rx) = NodeHandle::channel();
     let mut node = tokio::spawn(node.run(rx));
-    let fleet = serve_fleet(&settings, identity, &clock, &picture, &handle, &channels);
+    let fleet = serve_fleet(&settings, identity, &clock, &published, &handle, &channels);
     let stop_listeners = CancellationToken::new();
     if let Some(address) = settings.metrics_listen {
         let serving = metric::serve(address, Arc::clone(&clock), stop_listeners.clone()).await;
@@ -218,7 +218,7 @@
         Arc::clone(&clock),
         settings.advertised(),
         tolerance.unwrap_or_default(),
-        picture.clone(),
+        published.clone(),
     );
     let fleet_service = FleetService::new(
         identity.cluster,
@@ -229,7 +229,7 @@
     );
     let services = Services::new(&settings, identity, &handle, fleet_service);
     let mut server = services.serve(builder, listener, server_stopped);
-    let removed = until_removed(&settings, identity, picture, channels, clock);
+    let removed = until_removed(&settings, identity, published, channels, clock);
     log::info!(
         event = "control_started",
         vm = settings.vm.as_str(),
@@ -316,7 +316,7 @@
     settings: &ControlSettings,
     identity: Identity,
     clock: &Arc<dyn Clock>,
-    picture: &FleetPicture,
+    published: &StateReader,
     node: &NodeHandle,
     channels: &PeerChannels,
 ) -> FleetControl {
@@ -329,7 +329,7 @@
             place: settings.place.clone(),
         },
         clock: Arc::clone(clock),
-        picture: picture.clone(),
+        published: published.clone(),
         node: node.clone(),
         channels: channels.clone(),
     });
@@ -337,12 +337,12 @@
         let places = direct.places.clone();
         tokio::spawn(follow_regions(presence.clone(), node.clone(), places));
     }
-    let keeper = QuarantineKeeper::new(Arc::clone(clock), picture.clone(), node.clone());
+    let keeper = QuarantineKeeper::new(Arc::clone(clock), published.clone(), node.clone());
     tokio::spawn(keeper.run());
     FleetControl::new(
         Arc::clone(clock),
         settings.direct.clone(),
-        picture.clone(),
+        published.clone(),
         node.clone(),
         presence,
     )
@@ -394,14 +394,15 @@
 async fn until_removed(
     settings: &ControlSettings,
     identity: Identity,
-    picture: FleetPicture,
+    published: StateReader,
     channels: PeerChannels,
     clock: Arc<dyn Clock>,
 ) {
     match settings.formation.clone() {
         Some(formation) => {
             let settings = settings.clone();
-            formation::until_removed(settings, formation, identity, picture, channels, clock).await;
+            formation::until_removed(settings, formation, identity, published, channels, clock)
+                .await;
         }
         None => std::future::pending().await,
     }
--- a/server/src/fleet_control.rs
+++ b/server/src/fleet_control.rs
@@ -39,11 +39,10 @@
 use tonic::Status;
 
 use crate::announcement_batch::AnnouncementBatch;
-use crate::fleet_picture::FleetPicture;
 use crate::interface::LookUp;
 use crate::interface::LookUpSource;
 use crate::leader_relay::fleet_client;
-use crate::leader_relay::pass_on;
+use crate::leader_relay::relayed_request;
 use crate::metric;
 use crate::node_request::LeaderLink;
 use crate::node_request::NodeError;
@@ -51,6 +50,7 @@
 use crate::presence_task::PresenceHandle;
 use crate::proto::ProposeRequest;
 use crate::proto::ReadRoutesRequest;
+use crate::published_state::StateReader;
 
 /// Time for which the leader's answer is awaited. Whoever asked turns to another replica
 /// after a second or so.
@@ -124,7 +124,7 @@
 struct Inner {
     clock: Arc<dyn Clock>,
     settings: Option<DirectControlSettings>,
-    picture: FleetPicture,
+    published: StateReader,
     node: NodeHandle,
     presence: PresenceHandle,
     announcements: AnnouncementBatch,
@@ -140,7 +140,7 @@
     pub fn new(
         clock: Arc<dyn Clock>,
         settings: Option<DirectControlSettings>,
-        picture: FleetPicture,
+        published: StateReader,
         node: NodeHandle,
         presence: PresenceHandle,
     ) -> Self {
@@ -151,7 +151,7 @@
         let inner = Inner {
             clock,
             settings,
-            picture,
+            published,
             node,
             presence,
             announcements,
@@ -165,8 +165,8 @@
 
     /// Returns what the replica has applied.
     #[must_use]
-    pub fn picture(&self) -> &FleetPicture {
-        &self.inner.picture
+    pub fn published(&self) -> &StateReader {
+        &self.inner.published
     }
 
     /// Returns who was heard of lately.
@@ -178,7 +178,7 @@
     /// Returns whether the replica knew lately what is committed.
     #[must_use]
     pub fn is_current(&self) -> bool {
-        self.inner.picture.is_current(self.inner.clock.now())
+        self.inner.published.is_current(self.inner.clock.now())
     }
 
     /// Commits a command, here or at the leader.
@@ -221,7 +221,7 @@
 
     /// Tells of teams that can't be served on some routes, since no region is home to both.
     fn warn_of_teams_without_home(&self) {
-        let fleet = self.inner.picture.read().fleet;
+        let fleet = self.inner.published.read().fleet;
         let Some(teams) = fleet.teams() else {
             return;
         };
@@ -294,7 +294,7 @@
             return NotCurrentSnafu.fail();
         }
         self.check(&announcement)?;
-        let fleet = self.inner.picture.read().fleet;
+        let fleet = self.inner.published.read().fleet;
         let Announcement { backend, record } = &announcement;
         let is_past = fleet.has_withdrawn(backend, record.born)
             || fleet
@@ -417,7 +417,7 @@
         backend: BackendName,
         born: Option<u64>,
     ) -> Result<(), FleetError> {
-        let fleet = self.inner.picture.read().fleet;
+        let fleet = self.inner.published.read().fleet;
         // Without a record whoever was born until now is meant: an announcement of it may still
         // be on its way to being committed.
         let born = born
@@ -490,7 +490,7 @@
         self.inner
             .presence
             .record_entry_heartbeat(vm.clone(), record.life, ready);
-        if self.inner.picture.read().fleet.entry(vm) == Some(&record) {
+        if self.inner.published.read().fleet.entry(vm) == Some(&record) {
             return;
         }
         let command = FleetCommand::EnrollEntry {
@@ -508,7 +508,7 @@
 
 impl LookUpSource for FleetControl {
     fn look_up(&self, host: &str, region: &RegionName) -> Option<LookUp> {
-        let fleet = self.inner.picture.read().fleet;
+        let fleet = self.inner.published.read().fleet;
         let presence = self.inner.presence.view();
         let routes = fleet.manifest().routes.values();
         let homes = place_lookup::homes(routes.map(|route| &**route), host);
@@ -563,14 +563,14 @@
     command: &FleetCommand,
 ) -> Result<Response, FleetError> {
     let command_encoded = postcard::to_stdvec(command).context(AnswerSnafu)?;
-    let request = pass_on(ProposeRequest { command_encoded }, LEADER_TIMEOUT);
+    let request = relayed_request(ProposeRequest { command_encoded }, LEADER_TIMEOUT);
     let call = fleet_client(leader).propose(request).await;
     let reply = call.map_err(Box::new).context(LeaderSnafu)?.into_inner();
     postcard::from_bytes(&reply.response_encoded).context(AnswerSnafu)
 }
 
 async fn manifest_at_leader(leader: &LeaderLink) -> Result<FleetManifest, FleetError> {
-    let request = pass_on(ReadRoutesRequest {}, LEADER_TIMEOUT);
+    let request = relayed_request(ReadRoutesRequest {}, LEADER_TIMEOUT);
     let call = fleet_client(leader).read_routes(request).await;
     let reply = call.map_err(Box::new).context(LeaderSnafu)?.into_inner();
     postcard::from_bytes(&reply.manifest_encoded).context(AnswerSnafu)
--- a/server/src/fleet_service.rs
+++ b/server/src/fleet_service.rs
@@ -28,8 +28,8 @@
 
 use crate::fleet_control::FleetControl;
 use crate::leader_relay::fleet_client;
-use crate::leader_relay::is_passed_on;
-use crate::leader_relay::pass_on;
+use crate::leader_relay::is_relayed;
+use crate::leader_relay::relayed_request;
 use crate::metric;
 use crate::node_request::NodeHandle;
 use crate::proto::AdmitReply;
@@ -94,7 +94,7 @@
     }
 
     fn note_manifest(&self) {
-        let fleet = self.control.picture().read().fleet;
+        let fleet = self.control.published().read().fleet;
         let version = fleet.manifest().version;
         let now = self.clock.now();
         self.lag().note_manifest(now, version, fleet.revision());
@@ -115,7 +115,7 @@
     /// Returns when this replica was last proved to be current, in milliseconds after `asked`.
     fn proved_after_ms(&self, asked: Instant) -> i64 {
         let now = self.clock.now();
-        let age = self.control.picture().proof_age(now).unwrap_or_default();
+        let age = self.control.published().proof_age(now).unwrap_or_default();
         let held = now.saturating_duration_since(asked);
         let ms = |time| i64::try_from(whole_ms(time)).unwrap_or(i64::MAX);
         ms(held).saturating_sub(ms(age))
@@ -127,14 +127,14 @@
     /// is confirmed elsewhere meanwhile must reach the entry VM within its bound.
     async fn wait_for_news(&self, request: &FollowRequest) {
         let applied = Revision(request.applied_revision);
-        let mut picture = self.control.picture().clone();
+        let mut published = self.control.published().clone();
         let mut presence = self.control.presence().clone();
         let wait = Duration::from_millis(request.wait_ms.into()).min(MAX_WAIT);
-        let lapsed = picture.clone();
+        let lapsed = published.clone();
         let news = async {
             loop {
                 let verdicts = presence.view().number();
-                let fleet = picture.read().fleet;
+                let fleet = published.read().fleet;
                 let is_new = fleet.revision() > applied
                     || fleet.quarantine().revision().0 > request.known_quarantine
                     || (verdicts != 0 && verdicts != request.known_presence);
@@ -142,7 +142,7 @@
                     return;
                 }
                 tokio::select! {
-                    () = picture.changed() => {}
+                    () = published.changed() => {}
                     () = presence.changed() => {}
                 }
             }
@@ -158,24 +158,24 @@
     }
 
     fn follow_reply(&self, request: &FollowRequest) -> Result<FollowReply, Status> {
-        let picture = self.control.picture().read();
-        if !self.control.picture().is_current(self.clock.now()) {
+        let published = self.control.published().read();
+        if !self.control.published().is_current(self.clock.now()) {
             return Ok(FollowReply::default());
         }
         let applied = Revision(request.applied_revision);
-        let update_encoded = match picture.fleet.revision().cmp(&applied) {
+        let update_encoded = match published.fleet.revision().cmp(&applied) {
             Ordering::Less => return Ok(FollowReply::default()),
             Ordering::Equal => Vec::new(),
             Ordering::Greater => match self
                 .updates
-                .encoded(&picture.fleet, applied)
+                .encoded(&published.fleet, applied)
                 .map_err(internal)?
             {
                 Some(encoded) => encoded,
                 None => return Ok(FollowReply::default()),
             },
         };
-        let quarantine = picture.fleet.quarantine();
+        let quarantine = published.fleet.quarantine();
         let quarantine_revision = quarantine.revision().0;
         let verdicts = match quarantine_revision.cmp(&request.known_quarantine) {
             Ordering::Less => return Ok(FollowReply::default()),
@@ -201,7 +201,7 @@
 
     /// Names the replicas, if the list isn't the one that is known.
     fn list_replicas(&self, request: &FollowRequest) -> Result<FollowReply, Status> {
-        let picture = self.control.picture().read();
+        let published = self.control.published().read();
         let known = self.control.presence().view().replicas;
         let place = |address| {
             let known = known
@@ -209,7 +209,7 @@
                 .find(|known| known.endpoints.address == address);
             known.map(|known| known.endpoints.place.clone())
         };
-        let sites: Vec<ReplicaSite> = picture
+        let sites: Vec<ReplicaSite> = published
             .replicas
             .iter()
             .map(|info| ReplicaSite {
@@ -344,7 +344,7 @@
     }
 
     async fn admit(&self, request: Request<AdmitRequest>) -> Result<Response<AdmitReply>, Status> {
-        let passed_on = is_passed_on(request.metadata());
+        let passed_on = is_relayed(request.metadata());
         let request = request.into_inner();
         let address = request.address.parse();
         let address = address.map_err(|_| Status::invalid_argument("address can't be read"))?;
@@ -361,7 +361,7 @@
             })),
             Err(error) => match error.leader().filter(|_| !passed_on) {
                 Some(leader) => {
-                    let request = pass_on(request, ADMIT_TIMEOUT);
+                    let request = relayed_request(request, ADMIT_TIMEOUT);
                     fleet_client(leader).admit(request).await
                 }
                 None => Err(Status::unavailable(error.to_string())),
--- a/server/src/formation.rs
+++ b/server/src/formation.rs
@@ -31,7 +31,6 @@
 use crate::data_folder::FolderDisk;
 use crate::data_folder::IDENTITY_FILE;
 use crate::data_folder::Identity;
-use crate::fleet_picture::FleetPicture;
 use crate::log_disk::DiskError;
 use crate::log_disk::LogDisk;
 use crate::log_disk::Recovered;
@@ -39,6 +38,7 @@
 use crate::proto::AdmitReply;
 use crate::proto::AdmitRequest;
 use crate::proto::fleet_client::FleetClient;
+use crate::published_state::StateReader;
 
 /// Time between two requests to be admitted. An admission takes one commit.
 const ASK_AGAIN: Duration = Duration::from_millis(250);
@@ -198,7 +198,7 @@
     settings: ControlSettings,
     formation: FormationSettings,
     identity: Identity,
-    picture: FleetPicture,
+    published: StateReader,
     channels: PeerChannels,
     clock: Arc<dyn Clock>,
 ) {
@@ -207,13 +207,13 @@
     loop {
         tokio::time::sleep(WATCH_INTERVAL).await;
         let now = clock.now();
-        let unproved = picture
+        let unproved = published
             .proof_age(now)
             .unwrap_or_else(|| now.saturating_duration_since(began));
         if unproved < ASK_MEMBERSHIP_AFTER {
             continue;
         }
-        let known = picture.read().replicas;
+        let known = published.read().replicas;
         let own = settings.advertised();
         let mut others: Vec<SocketAddr> = known.iter().map(|info| info.address).collect();
         others.extend(formation.peers());
--- a/server/src/leader_relay.rs
+++ b/server/src/leader_relay.rs
@@ -22,13 +22,13 @@
 
 /// Returns whether another replica has passed the request on already.
 #[must_use]
-pub fn is_passed_on(metadata: &MetadataMap) -> bool {
+pub fn is_relayed(metadata: &MetadataMap) -> bool {
     metadata.contains_key(PASSED_ON)
 }
 
 /// Wraps a request for the leader and marks it as passed on.
 #[must_use]
-pub fn pass_on<T>(message: T, timeout: Duration) -> Request<T> {
+pub fn relayed_request<T>(message: T, timeout: Duration) -> Request<T> {
     let mut request = Request::new(message);
     request
         .metadata_mut()
--- a/server/src/operator_service.rs
+++ b/server/src/operator_service.rs
@@ -21,9 +21,9 @@
 use tonic::metadata::MetadataMap;
 
 use crate::leader_relay::RELAY_TIMEOUT;
-use crate::leader_relay::is_passed_on;
+use crate::leader_relay::is_relayed;
 use crate::leader_relay::operator_client;
-use crate::leader_relay::pass_on;
+use crate::leader_relay::relayed_request;
 use crate::membership_request::membership_change;
 use crate::membership_request::membership_reply;
 use crate::node_request::LeaderLink;
@@ -79,7 +79,7 @@
 
 /// Returns the leader to pass a refused request on to, unless it was passed on before.
 fn relay_to<'a>(error: &'a NodeError, metadata: &MetadataMap) -> Option<&'a LeaderLink> {
-    error.leader().filter(|_| !is_passed_on(metadata))
+    error.leader().filter(|_| !is_relayed(metadata))
 }
 
 fn unavailable(error: &NodeError) -> Status {
@@ -93,7 +93,7 @@
     ($error:expr, $metadata:expr, $method:ident, $request:expr) => {
         match relay_to(&$error, &$metadata) {
             Some(leader) => {
-                let request = pass_on($request, RELAY_TIMEOUT);
+                let request = relayed_request($request, RELAY_TIMEOUT);
                 operator_client(leader).$method(request).await
             }
             None => Err(unavailable(&$error)),
@@ -124,7 +124,7 @@
         };
         let reply = match relay_to(&error, &metadata) {
             Some(leader) if error.is_proved_absent() => {
-                let passed_on = pass_on(request, RELAY_TIMEOUT);
+                let passed_on = relayed_request(request, RELAY_TIMEOUT);
                 match operator_client(leader).submit(passed_on).await {
                     Ok(reply) => reply.into_inner(),
                     Err(status) => relay_failed_reply(version, digest, &status),
@@ -160,14 +160,14 @@
         &self,
         request: Request<StatusRequest>,
     ) -> Result<Response<StatusReply>, Status> {
-        let passed_on = is_passed_on(request.metadata());
+        let passed_on = is_relayed(request.metadata());
         let (own, leader) = self
             .node
             .status()
             .await
             .map_err(|error| Status::unavailable(error.to_string()))?;
         if let Some(leader) = leader.filter(|_| !passed_on) {
-            let request = pass_on(StatusRequest {}, RELAY_TIMEOUT);
+            let request = relayed_request(StatusRequest {}, RELAY_TIMEOUT);
             // A report that isn't current is still of use when the leader is silent.
             if let Ok(reply) = operator_client(&leader).status(request).await
                 && reply.get_ref().current
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -26,11 +26,11 @@
 use tokio::sync::watch;
 use tonic::transport::Channel;
 
-use crate::fleet_picture::FleetPicture;
 use crate::node_request::NodeHandle;
 use crate::peer_channel::PeerChannels;
 use crate::proto::ReportRequest;
 use crate::proto::fleet_client::FleetClient;
+use crate::published_state::StateReader;
 
 /// Time between two looks at who has fallen silent.
 const LOOK_INTERVAL: Duration = Duration::from_millis(250);
@@ -170,7 +170,7 @@
     /// The clock.
     pub clock: Arc<dyn Clock>,
     /// What the replica has applied.
-    pub picture: FleetPicture,
+    pub published: StateReader,
     /// The replica.
     pub node: NodeHandle,
     /// Opens connections to the others.
@@ -285,11 +285,11 @@
 
     /// Gives verdicts, unless too few replicas report for any.
     fn publish(&self, now: Instant) {
-        let picture = self.setup.picture.read();
+        let published = self.setup.published.read();
         let verdicts = self
             .presence
-            .has_majority(now, picture.replicas.len())
-            .then(|| self.verdicts(now, &picture.fleet));
+            .has_majority(now, published.replicas.len())
+            .then(|| self.verdicts(now, &published.fleet));
         let replicas = self.replicas(now);
         self.view.send_if_modified(|view| {
             let are_elsewhere = *view.replicas != replicas;
@@ -336,7 +336,7 @@
     /// Tells the other replicas whom this one hears itself.
     fn report(&mut self, now: Instant) {
         self.report_at = now + REPORT_INTERVAL;
-        let replicas = self.setup.picture.read().replicas;
+        let replicas = self.setup.published.read().replicas;
         let own = self.setup.endpoints.address;
         self.peers
             .retain(|address, _| replicas.iter().any(|info| info.address == *address));
@@ -393,11 +393,11 @@
     /// Has those removed from the state who have been silent for long, if this replica
     /// leads.
     fn forget(&self, now: Instant) {
-        let picture = self.setup.picture.read();
-        if !picture.leads || !self.presence.has_majority(now, picture.replicas.len()) {
+        let published = self.setup.published.read();
+        if !published.leads || !self.presence.has_majority(now, published.replicas.len()) {
             return;
         }
-        let backends: Vec<BackendIncarnation> = picture
+        let backends: Vec<BackendIncarnation> = published
             .fleet
             .backends()
             .filter(|(name, _)| self.presence.silence(now, name) >= FORGET_BACKEND)
@@ -410,7 +410,7 @@
             log::info!(event = "backends_forgotten", count = backends.len(); "silent backend servers are removed");
             self.propose(FleetCommand::ForgetBackends(backends));
         }
-        let silent = picture
+        let silent = published
             .fleet
             .entries()
             .filter(|(vm, _)| self.presence.entry_silence(now, vm) >= FORGET_ENTRY);
--- a/server/src/fleet_picture.rs
+++ b/server/src/published_state.rs
@@ -22,7 +22,7 @@
 
 /// Holds what a replica has applied.
 #[derive(Clone, Debug)]
-pub struct ControlPicture {
+pub struct PublishedState {
     /// What direct dispatch goes by.
     pub fleet: Arc<FleetState>,
     /// All replicas, learners included.
@@ -33,63 +33,69 @@
 
 /// Shows a replica's picture.
 #[derive(Debug)]
-pub struct FleetPublisher {
-    picture: watch::Sender<ControlPicture>,
+pub struct StatePublisher {
+    published: watch::Sender<PublishedState>,
     proved_at: watch::Sender<Option<Instant>>,
 }
 
 /// Reads a replica's picture.
 #[derive(Clone, Debug)]
-pub struct FleetPicture {
-    picture: watch::Receiver<ControlPicture>,
+pub struct StateReader {
+    published: watch::Receiver<PublishedState>,
     proved_at: watch::Receiver<Option<Instant>>,
 }
 
 /// Creates both ends.
 #[must_use]
-pub fn channel() -> (FleetPublisher, FleetPicture) {
-    let (picture_tx, picture) = watch::channel(ControlPicture {
+pub fn channel() -> (StatePublisher, StateReader) {
+    let (picture_tx, published) = watch::channel(PublishedState {
         fleet: Arc::default(),
         replicas: Arc::default(),
         leads: false,
     });
     let (proved_tx, proved_at) = watch::channel(None);
-    let publisher = FleetPublisher {
-        picture: picture_tx,
+    let publisher = StatePublisher {
+        published: picture_tx,
         proved_at: proved_tx,
     };
-    (publisher, FleetPicture { picture, proved_at })
+    (
+        publisher,
+        StateReader {
+            published,
+            proved_at,
+        },
+    )
 }
 
-impl FleetPublisher {
+impl StatePublisher {
     /// Shows the present state; wakes readers only if something changed.
     pub fn publish(&self, raft: &Raft, state: &ControlState) {
         self.proved_at.send_replace(raft.proven_current_at());
         let leads = raft.role() == Role::Leader;
-        self.picture.send_if_modified(|picture| {
-            let fleet_changed = !Arc::ptr_eq(&picture.fleet, state.fleet());
+        self.published.send_if_modified(|published| {
+            let fleet_changed = !Arc::ptr_eq(&published.fleet, state.fleet());
             if fleet_changed {
-                picture.fleet = Arc::clone(state.fleet());
+                published.fleet = Arc::clone(state.fleet());
             }
             let membership = raft.membership();
-            let known = picture.replicas.iter();
+            let known = published.replicas.iter();
             let replicas_changed = !known.eq(membership.ids().filter_map(|id| membership.info(id)));
             if replicas_changed {
                 let infos = membership.ids().filter_map(|id| membership.info(id));
-                picture.replicas = Arc::new(infos.cloned().collect());
+                published.replicas = Arc::new(infos.cloned().collect());
             }
-            let leads_changed = picture.leads != leads;
-            picture.leads = leads;
+            let leads_changed = published.leads != leads;
+            published.leads = leads;
             fleet_changed || replicas_changed || leads_changed
         });
     }
 }
 
-impl FleetPicture {
+impl StateReader {
     /// Returns what the replica has applied.
     #[must_use]
-    pub fn read(&self) -> ControlPicture {
-        self.picture.borrow().clone()
+    pub fn read(&self) -> PublishedState {
+        self.published.borrow().clone()
     }
 
     /// Returns whether the replica knew lately what is committed.
@@ -121,7 +127,7 @@
 
     /// Waits until the picture changes; for ever if the replica has ended.
     pub async fn changed(&mut self) {
-        if self.picture.changed().await.is_err() {
+        if self.published.changed().await.is_err() {
             std::future::pending::<()>().await;
         }
     }
--- a/server/src/quarantine_keeper.rs
+++ b/server/src/quarantine_keeper.rs
@@ -12,9 +12,9 @@
 use heatherring_lib::quarantine_times::QuarantineTimes;
 use heatherring_lib::request_fingerprint::Fingerprint;
 
-use crate::fleet_picture::FleetPicture;
 use crate::metric;
 use crate::node_request::NodeHandle;
+use crate::published_state::StateReader;
 
 /// Time between two looks at which requests are to be let go.
 const LOOK_INTERVAL: Duration = Duration::from_secs(5);
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct QuarantineKeeper {
     clock: Arc<dyn Clock>,
-    picture: FleetPicture,
+    published: StateReader,
     node: NodeHandle,
     known: Arc<Quarantine>,
     times: QuarantineTimes,
@@ -32,10 +32,10 @@
 impl QuarantineKeeper {
     /// Follows what a replica has applied.
     #[must_use]
-    pub fn new(clock: Arc<dyn Clock>, picture: FleetPicture, node: NodeHandle) -> Self {
+    pub fn new(clock: Arc<dyn Clock>, published: StateReader, node: NodeHandle) -> Self {
         Self {
             clock,
-            picture,
+            published,
             node,
             known: Arc::default(),
             times: QuarantineTimes::default(),
@@ -48,19 +48,19 @@
         look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                () = self.picture.changed() => self.follow(),
+                () = self.published.changed() => self.follow(),
                 _ = look.tick() => self.release().await,
             }
         }
     }
 
     fn follow(&mut self) {
-        let picture = self.picture.read();
-        let quarantine = Arc::clone(picture.fleet.quarantine());
+        let published = self.published.read();
+        let quarantine = Arc::clone(published.fleet.quarantine());
         if Arc::ptr_eq(&quarantine, &self.known) {
             return;
         }
-        if picture.leads {
+        if published.leads {
             tell_changes(&self.known, &quarantine);
         }
         metric::suspects(quarantine.suspects().count(), quarantined(&quarantine));
@@ -70,7 +70,7 @@
 
     async fn release(&self) {
         let due_for_release = self.times.due_for_release(self.clock.now());
-        if due_for_release.is_empty() || !self.picture.read().leads {
+        if due_for_release.is_empty() || !self.published.read().leads {
             return;
         }
         let command = FleetCommand::ReleaseSuspects(due_for_release);
--- a/server/src/session_service.rs
+++ b/server/src/session_service.rs
@@ -14,8 +14,8 @@
 use tonic::Response;
 use tonic::Status;
 
-use crate::leader_relay::is_passed_on;
-use crate::leader_relay::pass_on;
+use crate::leader_relay::is_relayed;
+use crate::leader_relay::relayed_request;
 use crate::leader_relay::session_client;
 use crate::node_request::BatchAnswer;
 use crate::node_request::LeaderLink;
@@ -63,7 +63,7 @@
         let wait = Duration::from_millis(request.wait_ms.into());
         // Longer silence than an election's means that the leader is gone.
         let timeout = wait + self.timing.election_max();
-        let passed_on = pass_on(request, timeout);
+        let passed_on = relayed_request(request, timeout);
         match session_client(leader).sync(passed_on).await {
             Ok(reply) => reply.into_inner(),
             Err(status) => {
@@ -78,7 +78,7 @@
         leader: &LeaderLink,
         request: SyncBatchRequest,
     ) -> SyncBatchReply {
-        let passed_on = pass_on(request, self.timing.election_max());
+        let passed_on = relayed_request(request, self.timing.election_max());
         match session_client(leader).sync_batch(passed_on).await {
             Ok(reply) => reply.into_inner(),
             Err(status) => {
@@ -142,7 +142,7 @@
 #[tonic::async_trait]
 impl Session for SessionService {
     async fn sync(&self, request: Request<SyncRequest>) -> Result<Response<SyncReply>, Status> {
-        let passed_on = is_passed_on(request.metadata());
+        let passed_on = is_relayed(request.metadata());
         let request = request.into_inner();
         self.check_cluster(&request.cluster_id)?;
         let answer = self.node.sync(sync_call(&request)?).await;
@@ -165,7 +165,7 @@
         &self,
         request: Request<SyncBatchRequest>,
     ) -> Result<Response<SyncBatchReply>, Status> {
-        let passed_on = is_passed_on(request.metadata());
+        let passed_on = is_relayed(request.metadata());
         let request = request.into_inner();
         self.check_cluster(&request.cluster_id)?;
         let renewals = request.renewals.iter().map(acknowledgement).collect();
--- a/server/src/token_issuer.rs
+++ b/server/src/token_issuer.rs
@@ -16,8 +16,8 @@
 use heatherring_lib::token_shard::Holder;
 use heatherring_lib::token_shard::TokenShard;
 
-use crate::fleet_picture::FleetPicture;
 use crate::metric;
+use crate::published_state::StateReader;
 
 /// Hands out tokens.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     /// Where this replica takes messages.
     own: SocketAddr,
     tolerance: LimitTolerance,
-    picture: FleetPicture,
+    published: StateReader,
     tokens: Arc<Mutex<TokenShard>>,
 }
 
@@ -37,14 +37,14 @@
         clock: Arc<dyn Clock>,
         own: SocketAddr,
         tolerance: LimitTolerance,
-        picture: FleetPicture,
+        published: StateReader,
     ) -> Self {
         let tokens = TokenShard::new(clock.now());
         Self {
             clock,
             own,
             tolerance,
-            picture,
+            published,
             tokens: Arc::new(Mutex::new(tokens)),
         }
     }
@@ -54,9 +54,10 @@
     /// That this replica is current isn't asked for: its share holds whatever the others do.
     #[must_use]
     pub fn draw(&self, holder: &Holder, draws: &[Draw]) -> Vec<Drawn> {
-        let picture = self.picture.read();
-        let replicas: Vec<SocketAddr> = picture.replicas.iter().map(|info| info.address).collect();
-        let teams = picture.fleet.teams();
+        let published = self.published.read();
+        let replicas: Vec<SocketAddr> =
+            published.replicas.iter().map(|info| info.address).collect();
+        let teams = published.fleet.teams();
         let now = self.clock.now();
         let mut tokens = self.tokens.lock().unwrap_or_else(PoisonError::into_inner);
         let mut answers = Vec::with_capacity(draws.len());
