--- a/server/src/admission_task.rs
+++ b/server/src/admission_task.rs
@@ -1,7 +1,7 @@
-//! The task that owns an entry VM's decisions.
+//! Task that owns the admission and steering decisions of an entry VM.
 //!
-//! It holds the core's state machines for the present session, feeds them every event
-//! with the time, and carries their effects out. Other tasks talk to it through
+//! It holds the state machines of the current session, passes them every event with its
+//! time, and applies the effects they return. Other tasks reach it through
 //! [`AdmissionHandle`].
 use std::collections::HashMap;
 use std::future::pending;
@@ -44,7 +44,7 @@
 use crate::peer_client::PeerClients;
 use crate::session_core::SessionCore;
 
-/// The state of the task.
+/// Holds the task's state; [`AdmissionTask::run`] drives it.
 pub struct AdmissionTask {
     clock: Arc<dyn Clock>,
     tx: mpsc::WeakUnboundedSender<Message>,
@@ -59,7 +59,7 @@
 }
 
 impl AdmissionTask {
-    /// Prepares the task; `seed` drives the core's choices among near-equals.
+    /// Creates the task and its handle; `seed` drives random choices among near-equal candidates.
     #[must_use]
     pub fn new(
         clock: Arc<dyn Clock>,
@@ -86,7 +86,7 @@
         (task, AdmissionHandle { tx, next_token })
     }
 
-    /// Runs until all handles are gone.
+    /// Runs until all handles are dropped.
     pub async fn run(mut self) {
         let mut digest_due = tokio::time::interval(DIGEST_INTERVAL);
         loop {
@@ -96,18 +96,18 @@
                 .and_then(|core| core.admission.next_tick());
             tokio::select! {
                 biased;
-                Some(event) = self.events.recv() => self.take_event(event),
+                Some(event) = self.events.recv() => self.handle_event(event),
                 () = sleep_until(next_tick) => self.tick(),
                 _ = digest_due.tick() => self.send_digest(),
                 message = self.rx.recv() => match message {
-                    Some(message) => self.take_message(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
             }
         }
     }
 
-    fn take_event(&mut self, event: ControlEvent) {
+    fn handle_event(&mut self, event: ControlEvent) {
         let now = self.clock.now();
         if let ControlEvent::Opened { session, view } = event {
             let mut core = SessionCore::new(session, self.seed);
@@ -147,17 +147,17 @@
                 return;
             }
             ControlEvent::Lost => {
-                self.lose();
+                self.drop_session();
                 return;
             }
         };
         self.carry_out(effects);
-        self.tell_changed_slots(now);
+        self.report_changed_slots(now);
     }
 
-    /// Drops all that the session owned. What is dispatched runs to its end; its slots
-    /// are counted by the next owner.
-    fn lose(&mut self) {
+    /// Drops all state of the session and refuses the waiting requests. Dispatched requests run
+    /// to completion; the next owner counts the slots they occupy.
+    fn drop_session(&mut self) {
         self.core = None;
         for (_, reply) in self.waiting.drain() {
             let _ = reply.send(Err(no_session()));
@@ -181,7 +181,7 @@
         }
     }
 
-    fn take_message(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = self.clock.now();
         match message {
             Message::LookUp {
@@ -227,7 +227,7 @@
             Message::Status(reply) => {
                 let _ = reply.send(self.status(now));
             }
-            Message::TryAgain(reply) => {
+            Message::TakeRetry(reply) => {
                 let core = self.core.as_mut();
                 let granted = core.is_some_and(|core| core.retries.try_take(now));
                 let _ = reply.send(granted);
@@ -236,15 +236,15 @@
                 if let Some(core) = &mut self.core {
                     let effects = core.admission.take_release(now, &release);
                     self.carry_out(effects);
-                    self.tell_changed_slots(now);
+                    self.report_changed_slots(now);
                 }
             }
-            note => self.take_note(now, note),
+            note => self.handle_note(now, note),
         }
     }
 
-    /// Takes what only steering wants to know.
-    fn take_note(&mut self, now: Instant, note: Message) {
+    /// Handles messages that concern only steering.
+    fn handle_note(&mut self, now: Instant, note: Message) {
         let Some(core) = &mut self.core else {
             return;
         };
@@ -334,7 +334,7 @@
             tx,
             ending: Ending::Cancelled,
         };
-        // If the asker has gone, dropping the guard gives the slot back.
+        // If the requester has gone, dropping the guard frees the slot.
         let _ = reply.send(Ok(guard));
     }
 
@@ -342,7 +342,7 @@
         let Some(core) = &mut self.core else {
             return;
         };
-        // A key of an earlier session may look like one of this session.
+        // A key of an earlier session may equal one of this session.
         if core.id != session {
             return;
         }
@@ -368,14 +368,14 @@
                 let _ = reply.send(Err(error));
             }
         }
-        self.tell_changed_slots(now);
+        self.report_changed_slots(now);
     }
 
-    /// Sends a digest ahead of its time if the slots have changed. Others would send
-    /// nothing to slots that are new, and too much to slots that are gone, until then.
-    fn tell_changed_slots(&mut self, now: Instant) {
+    /// Sends a digest ahead of schedule if the number of slots has changed. Until they receive
+    /// it, other entry VMs send no requests to new slots and too many to removed ones.
+    fn report_changed_slots(&mut self, now: Instant) {
         let core = self.core.as_mut();
-        if core.is_some_and(|core| core.has_untold_slots(now)) {
+        if core.is_some_and(|core| core.has_unreported_slots(now)) {
             self.send_digest();
         }
     }
@@ -401,7 +401,7 @@
                     let now = self.clock.now();
                     match self.waiting.remove(&token) {
                         Some(reply) => self.grant(now, dispatch, reply),
-                        None => self.give_back(now, dispatch.key),
+                        None => self.free_slot(now, dispatch.key),
                     }
                 }
                 Effect::Refuse { token, refusal } => {
@@ -415,8 +415,8 @@
         }
     }
 
-    /// Gives a slot back that nobody waits for any more.
-    fn give_back(&mut self, now: Instant, key: DispatchKey) {
+    /// Frees a slot whose requester has gone.
+    fn free_slot(&mut self, now: Instant, key: DispatchKey) {
         if let Some(core) = &mut self.core {
             let effects = core.admission.finish(now, key, Ending::Cancelled);
             self.carry_out(effects);
--- a/server/src/lib.rs
+++ b/server/src/lib.rs
@@ -1,7 +1,7 @@
-//! The sockets, files and timers round the decisions of heatherring.
+//! Sockets, files and timers around the decisions of heatherring.
 //!
-//! Each task owns its sockets and its state; tasks talk by messages. Decisions are
-//! made by the core (`heatherring-lib`); this crate carries them out.
+//! Each task owns its sockets and its state; tasks communicate by messages. `heatherring-lib`
+//! makes the decisions without I/O; this crate carries them out.
 
 pub mod credential;
 pub mod peer_security;
@@ -31,7 +31,7 @@
 pub mod control_node;
 pub mod control_process;
 pub mod control_session;
-pub mod crash_watch;
+pub mod crash_tracker;
 pub mod data_folder;
 pub mod decision_recorder;
 pub mod decision_task;
@@ -91,7 +91,7 @@
 mod pipelined_connection;
 pub mod presence_task;
 pub mod published_state;
-pub mod quarantine_keeper;
+pub mod quarantine_monitor;
 pub mod query_parameter;
 pub mod record_codec;
 pub mod refusal;
@@ -108,7 +108,7 @@
 pub mod session_service;
 pub mod shutdown;
 pub mod status_report;
-pub mod stop_watch;
+pub mod stop_observer;
 pub mod submit_reply;
 pub mod sync_target;
 pub mod token_issuer;
--- a/server/src/quarantine_keeper.rs
+++ b/server/src/quarantine_monitor.rs
@@ -1,5 +1,5 @@
-//! The task of a control replica that tells what becomes of suspected requests, and has those
-//! let go that weren't heard of for long.
+//! Task of a control replica that logs changes in the quarantine of requests, and releases
+//! suspects that have not been reported for long.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 use crate::node_request::NodeHandle;
 use crate::published_state::StateReader;
 
-/// Time between two looks at which requests are to be let go.
-const LOOK_INTERVAL: Duration = Duration::from_secs(5);
+/// Time between two checks for suspects that are due for release.
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Follows the suspected requests of one replica.
+/// Tracks the suspected requests that one replica has applied.
 #[derive(Debug)]
-pub struct QuarantineKeeper {
+pub struct QuarantineMonitor {
     clock: Arc<dyn Clock>,
     published: StateReader,
     node: NodeHandle,
@@ -29,8 +29,8 @@
     times: QuarantineTimes,
 }
 
-impl QuarantineKeeper {
-    /// Follows what a replica has applied.
+impl QuarantineMonitor {
+    /// Creates the task; `published` is what the replica has applied.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, published: StateReader, node: NodeHandle) -> Self {
         Self {
@@ -44,12 +44,12 @@
 
     /// Runs until the process ends.
     pub async fn run(mut self) {
-        let mut look = tokio::time::interval(LOOK_INTERVAL);
-        look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut check = tokio::time::interval(CHECK_INTERVAL);
+        check.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 () = self.published.changed() => self.follow(),
-                _ = look.tick() => self.release().await,
+                _ = check.tick() => self.release().await,
             }
         }
     }
@@ -61,7 +61,7 @@
             return;
         }
         if published.leads {
-            tell_changes(&self.known, &quarantine);
+            log_changes(&self.known, &quarantine);
         }
         metric::suspects(quarantine.suspects().count(), quarantined(&quarantine));
         self.times.follow(self.clock.now(), &quarantine);
@@ -75,40 +75,40 @@
         }
         let command = FleetCommand::ReleaseSuspects(due_for_release);
         if let Err(error) = self.node.propose_fleet(command).await {
-            log::debug!(event = "release_open", error:% = error; "tried again at the next look");
+            log::debug!(event = "release_open", error:% = error; "could not release suspected requests; retrying at the next check");
         }
     }
 }
 
-/// Returns how many contents are quarantined, from some callers or all.
+/// Returns the number of request contents quarantined for some or all callers.
 fn quarantined(quarantine: &Quarantine) -> usize {
     let verdicts = quarantine.verdicts().into_values();
     verdicts.filter(Verdict::is_quarantine).count()
 }
 
-/// Tells which requests are treated otherwise than before.
-fn tell_changes(before: &Quarantine, after: &Quarantine) {
+/// Logs each request whose treatment has changed.
+fn log_changes(before: &Quarantine, after: &Quarantine) {
     for (request, noted) in after.suspects() {
         let (verdict, earlier) = (noted.suspect.verdict(), before.verdict(request));
         if verdict != earlier {
-            tell(request, noted, earlier.as_ref());
+            log_verdict(request, noted, earlier.as_ref());
         }
     }
     for (request, noted) in before.suspects() {
         let earlier = noted.suspect.verdict();
         if after.suspect(request).is_none() && earlier.is_some() {
-            log::info!(event = "request_cleared", fingerprint:% = request, was = name(earlier.as_ref()); "a request isn't suspected any more");
+            log::info!(event = "request_cleared", fingerprint:% = request, was = name(earlier.as_ref()); "a request is no longer suspected");
         }
     }
 }
 
-fn tell(request: &Fingerprint, noted: &SuspectRecord, earlier: Option<&Verdict>) {
+fn log_verdict(request: &Fingerprint, noted: &SuspectRecord, earlier: Option<&Verdict>) {
     let ended = noted.suspect.ended().into_iter();
     let ended: Vec<&str> = ended.map(|life| life.backend.as_str()).collect();
     let ended = ended.join(", ");
     let verdict = noted.suspect.verdict();
     let (verdict, was) = (name(verdict.as_ref()), name(earlier));
-    log::warn!(event = "request_verdict", fingerprint:% = request, verdict, was, ended = ended.as_str(), noted = noted.at.0; "backend servers ended while they ran a request");
+    log::warn!(event = "request_verdict", fingerprint:% = request, verdict, was, ended = ended.as_str(), noted = noted.at.0; "backend servers ended while running a request");
 }
 
 fn name(verdict: Option<&Verdict>) -> &'static str {
