--- a/server/src/announce_listener.rs
+++ b/server/src/announce_listener.rs
@@ -43,7 +43,7 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Timeout of the owner's answer to a forwarded announcement.
-const PASS_ON_TIMEOUT: Duration = Duration::from_millis(500);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Answers backend servers' announcements, and operators' status and explain requests.
 #[derive(Clone, Debug)]
@@ -126,7 +126,7 @@
         if state.lease.session() == Some(owner.id) {
             self.cx.admission.announce(announcement).await;
         } else {
-            self.pass_on(owner, &announcement).await;
+            self.forward(owner, &announcement).await;
         }
         let address = OwnerAddress {
             vm: owner.info.vm.clone(),
@@ -137,7 +137,7 @@
 
     /// Forwards the announcement to its owner. A failure is not reported: the backend server
     /// sends its next announcement to the owner directly, and to others when that fails.
-    async fn pass_on(&self, owner: &EntrySession, announcement: &Announcement) {
+    async fn forward(&self, owner: &EntrySession, announcement: &Announcement) {
         let Some(channel) = self.cx.peers.channel(owner.id).await else {
             return;
         };
@@ -148,7 +148,7 @@
         let call = client.announce(AnnounceRequest {
             announcement_encoded,
         });
-        if !matches!(tokio::time::timeout(PASS_ON_TIMEOUT, call).await, Ok(Ok(_))) {
+        if !matches!(tokio::time::timeout(FORWARD_TIMEOUT, call).await, Ok(Ok(_))) {
             log::warn!(event = "announcement_not_passed_on", backend = announcement.backend.as_str(), owner = owner.info.vm.as_str(); "cannot forward an announcement: its owner did not answer in time");
         }
     }
