--- a/server/src/control_session.rs
+++ b/server/src/control_session.rs
@@ -58,7 +58,7 @@
 
 /// Tells what the process wants of its session.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum SessionWish {
+pub enum SessionGoal {
     /// To serve.
     #[default]
     Serve,
@@ -138,7 +138,7 @@
     silent: bool,
     publish: watch::Sender<EntryState>,
     events: mpsc::UnboundedSender<ControlEvent>,
-    wish: watch::Receiver<SessionWish>,
+    goal: watch::Receiver<SessionGoal>,
 }
 
 impl ControlSession {
@@ -151,7 +151,7 @@
         clock: Arc<dyn Clock>,
         publish: watch::Sender<EntryState>,
         events: mpsc::UnboundedSender<ControlEvent>,
-        wish: watch::Receiver<SessionWish>,
+        goal: watch::Receiver<SessionGoal>,
     ) -> Self {
         Self {
             info,
@@ -165,33 +165,33 @@
             silent: false,
             publish,
             events,
-            wish,
+            goal,
         }
     }
 
-    /// Keeps the session until [`SessionWish::Close`] has been reported.
+    /// Keeps the session until [`SessionGoal::Close`] has been reported.
     pub async fn run(mut self) {
         let mut close_by = None;
         loop {
-            let wish = *self.wish.borrow_and_update();
-            if wish == SessionWish::Close {
+            let goal = *self.goal.borrow_and_update();
+            if goal == SessionGoal::Close {
                 let by = *close_by.get_or_insert_with(|| self.clock.now() + CLOSE_BOUND);
                 if self.state.lease.session().is_none() || self.clock.now() >= by {
                     return;
                 }
             }
-            let request = self.request(wish);
+            let request = self.request(goal);
             let sent_at = self.clock.now();
             self.asked = self.targets.pick(sent_at, &self.state, &request);
-            let mut wish_changes = self.wish.clone();
+            let mut goal_changes = self.goal.clone();
             let result = tokio::select! {
                 result = self.call(request) => result,
                 // The call may be held back for long; what is wished for is told at
                 // once. A reply that is lost thereby is asked for again.
-                Ok(()) = wish_changes.changed() => continue,
+                Ok(()) = goal_changes.changed() => continue,
             };
             let taken = match result {
-                Ok(reply) => self.take(wish, &reply, sent_at),
+                Ok(reply) => self.take(goal, &reply, sent_at),
                 Err(error) => Err(error),
             };
             if let Err(error) = taken {
@@ -200,12 +200,12 @@
         }
     }
 
-    fn request(&self, wish: SessionWish) -> SyncRequest {
+    fn request(&self, goal: SessionGoal) -> SyncRequest {
         let session = self.state.lease.session();
         let fresh = session.is_none() || self.need_whole;
         let leaving_told = self.is_leaving_in_view();
         // What is left of the lease after a call that failed is for finding who answers.
-        let hurry = fresh || self.silent || (wish == SessionWish::Leave && !leaving_told);
+        let hurry = fresh || self.silent || (goal == SessionGoal::Leave && !leaving_told);
         let wait = if hurry { Duration::ZERO } else { SYNC_WAIT };
         let applied = if fresh {
             Revision::default()
@@ -222,8 +222,8 @@
             applied_revision: applied.0,
             known_settled: self.state.settled.0,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
-            leaving: wish != SessionWish::Serve,
-            closing: wish == SessionWish::Close,
+            leaving: goal != SessionGoal::Serve,
+            closing: goal == SessionGoal::Close,
         }
     }
 
@@ -281,7 +281,7 @@
 
     fn take(
         &mut self,
-        wish: SessionWish,
+        goal: SessionGoal,
         reply: &SyncReply,
         sent_at: Instant,
     ) -> Result<(), SyncError> {
@@ -300,7 +300,7 @@
         if std::mem::replace(&mut self.silent, false) {
             log::info!(event = "control_answers", vm = self.info.vm.as_str(), replica = replica.to_string().as_str(); "a control replica answers again");
         }
-        if wish == SessionWish::Close {
+        if goal == SessionGoal::Close {
             self.lose();
             return Ok(());
         }
--- a/server/src/direct_admission.rs
+++ b/server/src/direct_admission.rs
@@ -95,10 +95,10 @@
     ) -> Result<Admitted, NotRun> {
         let arrived = arrival.at;
         let (head, body) = req.into_parts();
-        let marks = self.interface.read_request(&head.headers);
-        let marks = marks.map_err(|_| refuse(NotRunReason::MalformedRequest))?;
-        trace.request_id.clone_from(&marks.request_id);
-        let view = self.first_view(arrived, marks.caller_timeout).await?;
+        let metadata = self.interface.read_request(&head.headers);
+        let metadata = metadata.map_err(|_| refuse(NotRunReason::MalformedRequest))?;
+        trace.request_id.clone_from(&metadata.request_id);
+        let view = self.first_view(arrived, metadata.caller_timeout).await?;
         trace.version = view.version.0;
         trace.proof_age = self.proof_age();
         let host = host_of(&head.uri, &head.headers)
@@ -110,7 +110,7 @@
         let mut headers = head.headers;
         let key = credential::read(&headers);
         let (caller, teams) = self
-            .caller(arrived, marks.caller_timeout, name, key)
+            .caller(arrived, metadata.caller_timeout, name, key)
             .await?;
         if teams.requires_keys() {
             credential::remove(&mut headers);
@@ -124,7 +124,7 @@
             team: team.and_then(|team| team.priority),
             route: route.priority,
         };
-        let caller_timeout = marks.caller_timeout.unwrap_or(route.timeout);
+        let caller_timeout = metadata.caller_timeout.unwrap_or(route.timeout);
         let caller_timeout = caller_timeout
             .saturating_sub(WAY_BACK)
             .max(caller_timeout / 2);
@@ -140,7 +140,7 @@
             .service_of(name, route)
             .ok_or_else(|| refuse(NotRunReason::NoBackendServer))?;
         trace.service = Some(service.clone());
-        let object = marks.object.filter(|_| route.affinity);
+        let object = metadata.object.filter(|_| route.affinity);
         let object = object.map(|object| ObjectHash::of(name.as_str(), &object));
         let uri = origin_form(&head.uri).ok_or_else(|| refuse(NotRunReason::MalformedRequest))?;
         let content = RequestContent {
@@ -157,7 +157,7 @@
             uri,
             headers,
             body,
-            request_id: marks.request_id,
+            request_id: metadata.request_id,
             caller,
             tag,
             deadline,
--- a/server/src/direct_send.rs
+++ b/server/src/direct_send.rs
@@ -302,24 +302,24 @@
         *message.method_mut() = req.method.clone();
         *message.uri_mut() = req.uri.clone();
         *message.headers_mut() = req.headers.clone();
-        let marks = OutgoingMetadata {
+        let metadata = OutgoingMetadata {
             left: req.work_until.saturating_duration_since(Instant::now()),
             backend: &choice.name,
             team: req.caller.team.as_ref(),
         };
         self.interface
-            .write_request_metadata(message.headers_mut(), &marks);
+            .write_request_metadata(message.headers_mut(), &metadata);
         message
     }
 
     async fn read(&self, at: Answering<'_>, response: Response<Incoming>) -> Sent {
         let (head, body) = response.into_parts();
         let request_id = at.req.request_id.as_deref();
-        let marks = self.interface.read_answer(&head, request_id);
-        let refused = match marks.meaning {
+        let metadata = self.interface.read_answer(&head, request_id);
+        let refused = match metadata.meaning {
             AnswerMeaning::Answer => {
                 let mut sent = self.pass_on(at, (head, body)).await;
-                sent.load = marks.load;
+                sent.load = metadata.load;
                 return sent;
             }
             AnswerMeaning::Foreign => {
@@ -339,7 +339,7 @@
         }
         let refusal = Refusal::reported_by_backend_server(refused.0);
         let mut sent = Sent::new(at.sent.refused(refusal), refused.1);
-        sent.load = marks.load;
+        sent.load = metadata.load;
         sent
     }
 
--- a/server/src/entry_process.rs
+++ b/server/src/entry_process.rs
@@ -18,7 +18,7 @@
 use crate::admission_task::AdmissionTask;
 use crate::backend_pool::BackendPool;
 use crate::control_session::ControlSession;
-use crate::control_session::SessionWish;
+use crate::control_session::SessionGoal;
 use crate::crash_tracker::CrashTracker;
 use crate::decision_task::DecisionHandle;
 use crate::entry_context::EntryContext;
@@ -126,7 +126,7 @@
 /// Holds the tasks of a running entry VM.
 struct Running {
     cx: Arc<EntryContext>,
-    wish: watch::Sender<SessionWish>,
+    goal: watch::Sender<SessionGoal>,
     session: JoinHandle<()>,
     servers: EntryServers,
 }
@@ -143,7 +143,7 @@
         let info = entry_info(settings);
         let (publish, state) = watch::channel(EntryState::default());
         let (events, events_rx) = mpsc::unbounded_channel();
-        let (wish, wish_rx) = watch::channel(SessionWish::Serve);
+        let (goal, goal_rx) = watch::channel(SessionGoal::Serve);
         let (round_trips, mut round_trips_rx) = mpsc::unbounded_channel();
         let pool = BackendPool::spawn();
         let peers = PeerClients::spawn(info.vm.clone(), security.clone(), round_trips);
@@ -172,7 +172,7 @@
             Arc::clone(&clock),
             publish,
             events,
-            wish_rx,
+            goal_rx,
         );
         let relay = SessionRelayService::spawn(
             state.clone(),
@@ -204,7 +204,7 @@
         let servers = EntryServers::start(&cx, listeners, security, grpc_server, relay);
         Self {
             cx,
-            wish,
+            goal,
             session: tokio::spawn(session.run()),
             servers,
         }
@@ -212,7 +212,7 @@
 
     async fn stop(self, mut shutdown: Shutdown) {
         log::info!(event = "entry_leaving", vm = self.cx.info.vm.as_str(); "planned stop started");
-        self.wish.send_replace(SessionWish::Leave);
+        self.goal.send_replace(SessionGoal::Leave);
         self.servers.leave();
         tokio::select! {
             () = self.finish() => {}
@@ -220,7 +220,7 @@
                 log::warn!(event = "entry_stop_forced", vm = self.cx.info.vm.as_str(); "second stop request: cutting off requests in flight");
             }
         }
-        self.wish.send_replace(SessionWish::Close);
+        self.goal.send_replace(SessionGoal::Close);
         let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.session).await;
         self.servers.end();
     }
--- a/server/src/interface.rs
+++ b/server/src/interface.rs
@@ -108,7 +108,7 @@
     fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableHeader>;
 
     /// Writes what a backend server is told into the caller's headers.
-    fn write_request_metadata(&self, headers: &mut HeaderMap, marks: &OutgoingMetadata<'_>);
+    fn write_request_metadata(&self, headers: &mut HeaderMap, metadata: &OutgoingMetadata<'_>);
 
     /// Reads an answer of a backend server to the request `request_id`.
     fn read_answer(&self, head: &http::response::Parts, request_id: Option<&str>)
--- a/server/src/leader_relay.rs
+++ b/server/src/leader_relay.rs
@@ -64,7 +64,7 @@
 /// Returns whether a failed call surely never reached the leader's process: the
 /// connection couldn't be established.
 #[must_use]
-pub fn never_arrived(status: &Status) -> bool {
+pub fn is_proved_unsent(status: &Status) -> bool {
     status.code() == Code::Unavailable && has_connect_error(status)
 }
 
--- a/server/src/submit_reply.rs
+++ b/server/src/submit_reply.rs
@@ -7,7 +7,7 @@
 use heatherring_lib::submission_history::SubmissionAnswer;
 use tonic::Status;
 
-use crate::leader_relay::never_arrived;
+use crate::leader_relay::is_proved_unsent;
 use crate::node_request::Committed;
 use crate::node_request::NodeError;
 use crate::proto::SubmitOutcome;
@@ -90,7 +90,7 @@
     digest: ContentDigest,
     status: &Status,
 ) -> SubmitReply {
-    let outcome = if never_arrived(status) {
+    let outcome = if is_proved_unsent(status) {
         SubmitOutcome::NotAccepted
     } else {
         SubmitOutcome::Unknown
