--- a/server/src/control_session.rs
+++ b/server/src/control_session.rs
@@ -59,7 +59,7 @@
 /// State of the session that the process requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum SessionGoal {
-    /// To serve.
+    /// The entry VM serves requests.
     #[default]
     Serve,
     /// The entry VM gives up its ownerships and is no longer listed in look-ups.
@@ -172,29 +172,30 @@
         }
     }
 
-    /// Keeps the session until [`SessionGoal::Close`] has been reported.
+    /// Keeps the session until control has confirmed [`SessionGoal::Close`], or the time for that is
+    /// up.
     pub async fn run(mut self) {
         let mut close_by = None;
         loop {
             let goal = *self.goal.borrow_and_update();
             if goal == SessionGoal::Close {
-                let by = *close_by.get_or_insert_with(|| self.clock.now() + CLOSE_BOUND);
+                let by = *close_by.get_or_insert_with(|| self.clock.now() + CLOSE_TIMEOUT);
                 if self.state.lease.session().is_none() || self.clock.now() >= by {
                     return;
                 }
             }
             let request = self.request(goal);
             let sent_at = self.clock.now();
-            self.asked = self.targets.pick(sent_at, &self.state, &request);
+            self.target = self.targets.pick(sent_at, &self.state, &request);
             let mut goal_changes = self.goal.clone();
             let result = tokio::select! {
                 result = self.call(request) => result,
-                // The call may be held back for long; what is wished for is told at
-                // once. A reply that is lost thereby is asked for again.
+                // Control may hold the call for long, and must learn of a changed request at
+                // once. The next call asks again for what the cancelled one would have returned.
                 Ok(()) = goal_changes.changed() => continue,
             };
-            let taken = match result {
-                Ok(reply) => self.take(goal, &reply, sent_at),
+            let applied = match result {
+                Ok(reply) => self.apply_reply(goal, &reply, sent_at),
                 Err(error) => Err(error),
             };
             if let Err(error) = applied {
@@ -205,11 +206,11 @@
 
     fn request(&self, goal: SessionGoal) -> SyncRequest {
         let session = self.state.lease.session();
-        let fresh = session.is_none() || self.need_whole;
-        let leaving_told = self.is_leaving_in_view();
-        // What is left of the lease after a call that failed is for finding who answers.
-        let hurry = fresh || self.silent || (goal == SessionGoal::Leave && !leaving_told);
-        let wait = if hurry { Duration::ZERO } else { SYNC_WAIT };
+        let fresh = session.is_none() || self.needs_whole_view;
+        let leaving_known = self.is_leaving_in_view();
+        // After a failed call, the rest of the lease is needed to find a replica that answers.
+        let immediate = fresh || self.silent || (goal == SessionGoal::Leave && !leaving_known);
+        let wait = if immediate { Duration::ZERO } else { SYNC_WAIT };
         let applied = if fresh {
             Revision::default()
         } else {
@@ -304,7 +305,7 @@
             log::info!(event = "control_answers", vm = self.info.vm.as_str(), replica = replica.to_string().as_str(); "control replica answers again");
         }
         if goal == SessionGoal::Close {
-            self.lose();
+            self.end_session();
             return Ok(());
         }
         self.apply_grant(reply, sent_at)
--- a/server/src/interface.rs
+++ b/server/src/interface.rs
@@ -107,7 +107,7 @@
     /// Returns the header that cannot be read.
     fn read_request(&self, headers: &HeaderMap) -> Result<CallerMetadata, UnreadableHeader>;
 
-    /// Writes what a backend server is told into the caller's headers.
+    /// Writes the metadata for a backend server into the caller's headers.
     fn write_request_metadata(&self, headers: &mut HeaderMap, metadata: &OutgoingMetadata<'_>);
 
     /// Reads the metadata of a backend server's answer to the request `request_id`.
