--- a/server/src/control_node.rs
+++ b/server/src/control_node.rs
@@ -150,7 +150,7 @@
     pub(crate) identity: Identity,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) raft: Raft,
-    /// Away while a blocking thread writes.
+    /// `None` while a blocking task writes to the disk.
     disk: Option<LogDisk<D>>,
     pub(crate) state: ControlState,
     pub(crate) sessions: SessionDesk,
@@ -333,8 +333,8 @@
         }
     }
 
-    /// Queues a request for the next read barrier. Renewals without news wait for up to a heartbeat
-    /// interval, so that many share one quorum round.
+    /// Queues a request for the next read barrier. Renewals that report nothing new wait for
+    /// up to a heartbeat interval, so that many share one quorum round.
     fn wait_for_barrier(&mut self, waiter: Waiter) {
         let urgent = match &waiter {
             Waiter::Read(_) | Waiter::Status(_) => true,
--- a/server/src/control_session.rs
+++ b/server/src/control_session.rs
@@ -172,8 +172,8 @@
         }
     }
 
-    /// Keeps the session until control has confirmed [`SessionGoal::Close`], or the time for that is
-    /// up.
+    /// Keeps the session until control has confirmed [`SessionGoal::Close`], or the time for that
+    /// is up.
     pub async fn run(mut self) {
         let mut close_by = None;
         loop {
@@ -190,7 +190,7 @@
             let mut goal_changes = self.goal.clone();
             let result = tokio::select! {
                 result = self.call(request) => result,
-                // Control may hold the call for long, and must learn of a changed request at
+                // Control may hold the call for long, and must learn of a changed goal at
                 // once. The next call asks again for what the cancelled one would have returned.
                 Ok(()) = goal_changes.changed() => continue,
             };
--- a/server/src/fleet_follower.rs
+++ b/server/src/fleet_follower.rs
@@ -304,7 +304,7 @@
         self.update_replicas(reply)?;
         let mut has_changes = self.apply_verdicts(reply)?;
         if !reply.update_encoded.is_empty() {
-            self.apply(address, reply)?;
+            self.apply_update(address, reply)?;
             has_changes = true;
         }
         if !reply.absent_encoded.is_empty() {
@@ -318,8 +318,9 @@
         Ok(has_changes)
     }
 
-    /// Applies the verdicts on suspected requests. They are applied before the view: a newly started
-    /// entry VM dispatches nothing until it has a view, and so nothing before it has the verdicts.
+    /// Applies the verdicts on suspected requests. They are applied before the view: a newly
+    /// started entry VM dispatches nothing until it has a view, and so nothing before it has the
+    /// verdicts.
     fn apply_verdicts(&mut self, reply: &FollowReply) -> Result<bool, FollowError> {
         if reply.quarantine_revision <= self.known_quarantine {
             return Ok(false);
@@ -346,7 +347,11 @@
         self.out_of_service.send_replace(Arc::new(out_of_service));
     }
 
-    fn apply(&mut self, address: SocketAddr, reply: &FollowReply) -> Result<(), FollowError> {
+    fn apply_update(
+        &mut self,
+        address: SocketAddr,
+        reply: &FollowReply,
+    ) -> Result<(), FollowError> {
         let unusable = |message: String| FollowError::Update { message };
         let update = FleetUpdate::decode(&reply.update_encoded);
         let update = update.map_err(|error| unusable(error.to_string()))?;
--- a/server/src/operator_client.rs
+++ b/server/src/operator_client.rs
@@ -175,8 +175,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if no replica gave a final answer. [`OperatorClientError::SubmissionUnknown`] means that
-    /// the manifest may have been accepted; after all other errors it was not.
+    /// Fails if no replica gave a final answer. [`OperatorClientError::SubmissionUnknown`] means
+    /// that the manifest may have been accepted; after all other errors it was not.
     pub async fn submit(
         &self,
         request: &SubmitRequest,
--- a/server/src/presence_task.rs
+++ b/server/src/presence_task.rs
@@ -117,7 +117,7 @@
 impl PresenceHandle {
     /// Records a heartbeat of a backend server.
     pub fn record_backend_heartbeat(&self, backend: BackendName) {
-        // The task ends only with the process.
+        // The task runs as long as a handle exists.
         let _ = self.tx.send(Message::Backend(backend));
     }
 
@@ -389,8 +389,8 @@
         }
     }
 
-    /// Proposes the removal of backend servers and entry VMs that have been silent for long, if this
-    /// replica leads and a majority of replicas reports.
+    /// Proposes the removal of backend servers and entry VMs that have been silent for long, if
+    /// this replica leads and a majority of replicas reports.
     fn forget(&self, now: Instant) {
         let published = self.setup.published.read();
         if !published.leads || !self.presence.has_majority(now, published.replicas.len()) {
