--- a/cli/src/cli_error.rs
+++ b/cli/src/cli_error.rs
@@ -1,57 +1,57 @@
-//! What a command can end with, and the exit code of each ending.
+//! The errors with which a command can end, and the exit code of each.
 
 use std::error::Error;
 
 use heatherring_lib::config_fault::ConfigFaults;
 use snafu::Snafu;
 
-/// Exit code: the cluster refused what was asked, for example a version conflict.
+/// Exit code: the cluster refused the request, for example because of a version conflict.
 pub const EXIT_REFUSED: u8 = 1;
-/// Exit code: the arguments, the settings or the manifest are at fault.
+/// Exit code: the arguments, the settings or the manifest are invalid.
 pub const EXIT_USER: u8 = 2;
-/// Exit code: nobody could be asked, or the outcome is unknown; asking again is safe.
+/// Exit code: no process could be reached, or the outcome is unknown; a retry is safe.
 pub const EXIT_UNAVAILABLE: u8 = 3;
-/// Exit code: a fault of the program or of its VM, such as a failed sync.
+/// Exit code: a failure of the program or of its VM, such as a failed sync.
 pub const EXIT_INTERNAL: u8 = 70;
 
-/// Tells how a command ended without success.
+/// Reasons for which a command fails.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CliError {
-    /// The input is at fault. The message has one line a fault.
+    /// The input is invalid.
     #[snafu(display("{message}"))]
     User {
-        /// One line a fault, with file, line and column where there are any.
+        /// One line for each fault, with file, line and column where they are known.
         message: String,
         /// What to do about it.
         hint: Option<String>,
     },
-    /// The cluster refused the request for good.
+    /// The cluster refused the request; a retry of the same request is refused as well.
     #[snafu(display("{message}"))]
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         message: String,
         /// What to do about it.
         hint: Option<String>,
     },
-    /// Nobody could be asked, or the outcome is unknown.
+    /// No process could be reached, or the outcome is unknown.
     #[snafu(display("{message}"))]
     Unavailable {
-        /// What was tried.
+        /// What was tried and how it failed.
         message: String,
         /// What to do about it.
         hint: Option<String>,
     },
-    /// A fault of the program or of its VM.
+    /// A failure of the program or of its VM.
     #[snafu(display("internal error: {source}"))]
     Internal {
-        /// What failed.
+        /// The cause.
         source: Box<dyn Error + Send + Sync>,
     },
 }
 
 impl CliError {
-    /// Makes an error of input that is at fault; one line a fault.
+    /// Returns an error for invalid input; `message` has one line for each fault.
     pub fn user(message: impl Into<String>) -> Self {
         Self::User {
             message: message.into(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Makes an error of a request that the cluster refused for good.
+    /// Returns an error for a request that the cluster refused.
     pub fn refused(message: impl Into<String>) -> Self {
         Self::Refused {
             message: message.into(),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Makes an error of an answer that nobody could give.
+    /// Returns an error for a request that got no answer or whose outcome is unknown.
     pub fn unavailable(message: impl Into<String>) -> Self {
         Self::Unavailable {
             message: message.into(),
@@ -75,14 +75,14 @@
         }
     }
 
-    /// Makes an error of the program or its VM.
+    /// Returns an error for a failure of the program or of its VM.
     pub fn internal(source: impl Error + Send + Sync + 'static) -> Self {
         Self::Internal {
             source: Box::new(source),
         }
     }
 
-    /// Adds what the user can do; a fault of the program takes none.
+    /// Sets the hint that tells the user what to do; ignored for internal errors.
     pub fn with_hint(mut self, text: impl Into<String>) -> Self {
         match &mut self {
             Self::User { hint, .. }
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Returns what the user can do, where there is something.
+    /// Returns the hint that tells the user what to do; always `None` for internal errors.
     pub fn hint(&self) -> Option<&str> {
         match self {
             Self::User { hint, .. }
--- a/cli/src/commands/audit.rs
+++ b/cli/src/commands/audit.rs
@@ -13,12 +13,12 @@
 use crate::control_access::with_control_args;
 use crate::output::print_text;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     let command = Command::new("audit")
         .about("Prints the audit trail of changes as JSON lines, the oldest first")
         .after_help(
-            "To follow the trail, ask again after the revision of the last line.\n\n\
+            "To follow the trail, repeat with --after and the revision of the last line.\n\n\
              Examples:\n  \
              heatherring audit --control 10.0.0.1:7400\n  \
              heatherring audit --control 10.0.0.1:7400 --after 1200 --limit 50",
@@ -42,7 +42,7 @@
     with_control_args(command, true)
 }
 
-/// Prints the records.
+/// Fetches the audit records and prints them.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let request = AuditRequest {
         after_revision: matches.get_one("after").copied().unwrap_or(0),
--- a/cli/src/commands/check.rs
+++ b/cli/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `heatherring check`: checks settings and manifests without starting anything.
+//! `heatherring check`: validates settings and manifests without starting or submitting anything.
 
 use std::path::PathBuf;
 
@@ -33,7 +33,7 @@
 use crate::output::print_json;
 use crate::output::print_text;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     let command = Command::new("check")
         .about("Checks settings or a manifest, and tells what a manifest would change")
@@ -52,7 +52,7 @@
             Arg::new("as")
                 .long("as")
                 .value_name("KIND")
-                .help("What the file holds; without it, its fields tell")
+                .help("What the file contains; by default determined from its fields")
                 .value_parser(PossibleValuesParser::new([
                     "manifest", "control", "entry", "direct",
                 ])),
@@ -61,13 +61,13 @@
             Arg::new("against")
                 .long("against")
                 .value_name("FILE")
-                .help("A manifest to compare a manifest with, or in which settings must fit")
+                .help("A manifest to compare a manifest with, or to check settings against")
                 .value_parser(value_parser!(PathBuf)),
         )
         .arg(
             Arg::new("against-current")
                 .long("against-current")
-                .help("Takes the manifest in force for --against")
+                .help("Uses the manifest in force in place of --against")
                 .action(ArgAction::SetTrue)
                 .requires("control")
                 .conflicts_with("against"),
@@ -76,7 +76,7 @@
     with_control_args(command, false)
 }
 
-/// Checks the file.
+/// Validates the file and prints a summary.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let Some(path) = matches.get_one::<PathBuf>("file") else {
         return Err(CliError::user("FILE is missing"));
@@ -142,7 +142,9 @@
         None => return Ok(()),
     }
     if matches.get_flag("against-current") && refused_as_stale {
-        return print_text("! control would refuse it: its version must be higher");
+        return print_text(
+            "! control would refuse it: its version must be higher than that of the manifest in force",
+        );
     }
     Ok(())
 }
--- a/cli/src/commands/completions.rs
+++ b/cli/src/commands/completions.rs
@@ -9,7 +9,7 @@
 use crate::cli_error::CliError;
 use crate::output::print_text;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     Command::new("completions")
         .about("Prints a shell's completion script")
@@ -26,7 +26,7 @@
         )
 }
 
-/// Prints the script.
+/// Generates and prints the script.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let Some(shell) = matches.get_one::<Shell>("shell") else {
         return Err(CliError::user("SHELL is missing"));
--- a/cli/src/commands/control.rs
+++ b/cli/src/commands/control.rs
@@ -30,7 +30,7 @@
 use crate::settings_input::read_settings_file;
 use crate::settings_input::settings_arg;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     Command::new("control")
         .about("Runs a control replica, or formats its data folder")
@@ -52,7 +52,7 @@
 
 fn init_command() -> Command {
     Command::new("init")
-        .about("Makes a new cluster of one replica; done once in the life of a deployment")
+        .about("Creates a new cluster of one replica; done once for each deployment")
         .arg(replica_settings_arg())
 }
 
@@ -66,11 +66,11 @@
 
 fn repair_command() -> Command {
     Command::new("repair")
-        .about("Joins in the place of a replica whose disk was lost or damaged")
+        .about("Adds this replica in place of one whose disk was lost or damaged")
         .long_about(
-            "Joins in the place of a replica whose disk was lost or damaged. The data folder \
-             must be empty; the replica gets a fresh identity, and the one that it replaces is \
-             removed once the new one has caught up.",
+            "Adds this replica in place of one whose disk was lost or damaged. The data folder must \
+             be empty; the replica gets a new identity, and the one that it replaces is removed \
+             once the new one has caught up.",
         )
         .arg(replica_settings_arg())
         .arg(control_arg())
@@ -100,7 +100,7 @@
         .required(true)
 }
 
-/// Runs the replica or one of the subcommands.
+/// Runs the replica, or the subcommand if there is one.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     match matches.subcommand() {
         Some(("init", matches)) => run_init(matches),
@@ -132,8 +132,8 @@
     let operator = matches
         .get_one::<String>("operator")
         .map_or("", String::as_str);
-    let joining = control_format::join(&settings, &control, replaces, operator);
-    let identity = runtime()?.block_on(joining).map_err(format_error)?;
+    let join = control_format::join(&settings, &control, replaces, operator);
+    let identity = runtime()?.block_on(join).map_err(format_error)?;
     print_formatted(&identity);
     Ok(())
 }
@@ -166,6 +166,7 @@
     read_control_settings(&input.name, &input.text).map_err(CliError::from)
 }
 
+/// Returns a multi-threaded runtime, unlike that of the commands that only send a request.
 fn runtime() -> Result<Runtime, CliError> {
     Runtime::new().map_err(CliError::internal)
 }
@@ -191,7 +192,7 @@
     let (field, allowed) = match error {
         ControlError::Folder { .. } => (
             "data_folder",
-            "a folder that `heatherring control init` made for a new cluster, or \
+            "a folder formatted by `heatherring control init` for a new cluster, or by \
              `heatherring control join` for a replica of an existing one",
         ),
         ControlError::Listen { .. } => ("listen", "a free port at an address of this VM"),
--- a/cli/src/commands/control_remove.rs
+++ b/cli/src/commands/control_remove.rs
@@ -1,4 +1,4 @@
-//! `heatherring control remove`: takes a replica out of the cluster.
+//! `heatherring control remove`: removes a replica from the cluster.
 
 use clap::Arg;
 use clap::ArgMatches;
@@ -15,13 +15,13 @@
 use crate::control_access::with_control_args;
 use crate::output::print_text;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     let command = Command::new("remove")
-        .about("Takes a replica out of the cluster for good")
+        .about("Removes a replica from the cluster permanently")
         .after_help(
-            "For a replica that is given up without another in its place, and for one that was \
-             taken in and never formatted. Refused if those that remain would be no majority.\n\n\
+            "For a replica that is not to be replaced, and for one that was added but never \
+             formatted. Refused if the remaining replicas would not form a majority.\n\n\
              Example:\n  \
              heatherring control remove 5194852663363380 --control 10.0.0.1:7400",
         )
@@ -36,7 +36,7 @@
     with_control_args(command, true)
 }
 
-/// Asks for the removal.
+/// Requests the removal from control.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let replica = matches.get_one("replica").copied().unwrap_or(0);
     let operator = matches.get_one::<String>("operator");
--- a/cli/src/commands/demo.rs
+++ b/cli/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `heatherring demo`: everything in one process, to try it out.
+//! `heatherring demo`: runs a whole deployment in one process, for trying it out.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::cli_error::CliError;
 use crate::logging;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     Command::new("demo")
         .about("Runs control, two entry VMs and demo backend servers in one process")
@@ -42,7 +42,7 @@
 
 fn print(lines: &str) {
     let mut out = std::io::stdout();
-    // A reader that has gone doesn't end the demo.
+    // Errors are ignored: a closed standard output must not end the demo.
     let _ = out.write_all(lines.as_bytes());
     let _ = out.flush();
 }
--- a/cli/src/commands/direct.rs
+++ b/cli/src/commands/direct.rs
@@ -1,4 +1,4 @@
-//! `heatherring direct`: runs an entry VM that sends to backend servers itself.
+//! `heatherring direct`: runs an entry VM that dispatches requests directly to backend servers.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -21,15 +21,15 @@
 use crate::settings_input::read_settings_file;
 use crate::settings_input::settings_arg;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     Command::new("direct")
-        .about("Runs an entry VM that sends to backend servers itself")
+        .about("Runs an entry VM that dispatches directly to backend servers")
         .after_help(
-            "Runs until SIGTERM or Ctrl-C. The first one begins a planned stop: the entry VM \
-             says that it takes no requests any more, serves on until callers know, finishes \
-             what is under way and ends. A second one ends the wait. SIGHUP, or a change of \
-             the settings file, has the addresses of control replicas read again.\n\n\
+            "Runs until SIGTERM or Ctrl-C. The first signal begins a planned stop: the entry VM \
+             reports that it is not ready, keeps serving until callers have noticed, finishes \
+             the requests in flight and ends. A second signal ends it without waiting. SIGHUP, \
+             or a change of the settings file, rereads the addresses of control replicas.\n\n\
              Example:\n  \
              heatherring direct --settings direct-1.jsonc",
         )
@@ -40,15 +40,15 @@
 ///
 /// # Errors
 ///
-/// Fails if the settings are at fault or a listener can't be bound.
+/// Fails if the settings are invalid or a listener can't be bound.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let input = read_settings_file(matches)?;
     let settings = read_direct_settings(&input.name, &input.text)?;
     logging::start(settings.log.level).map_err(CliError::internal)?;
     let file = PathBuf::from(&input.name);
     let interface = interfaces::entry(&settings);
-    // One thread: an entry VM has a fraction of a core, and each further thread costs
-    // memory for its stack and allocator.
+    // A single thread suffices: an entry VM has a fraction of a core, and each further thread
+    // costs memory for its stack and allocator.
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/cli/src/commands/entry.rs
+++ b/cli/src/commands/entry.rs
@@ -1,4 +1,4 @@
-//! `heatherring entry`: runs an entry VM.
+//! `heatherring entry`: runs an entry VM that answers look-ups and relays requests.
 
 use std::sync::Arc;
 
@@ -20,14 +20,15 @@
 use crate::settings_input::read_settings_file;
 use crate::settings_input::settings_arg;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     Command::new("entry")
         .about("Runs an entry VM: answers look-ups and carries requests")
         .after_help(
-            "Runs until SIGTERM or Ctrl-C. The first one begins a planned stop: the entry VM \
-             gives up what it owns, serves on until look-up answers that callers keep are over, \
-             finishes what is in flight and ends. A second one ends the wait.\n\n\
+            "Runs until SIGTERM or Ctrl-C. The first signal begins a planned stop: the entry VM \
+             releases its ownerships, keeps serving until the look-up answers that callers have \
+             cached expire, finishes the requests in flight and ends. A second signal ends it \
+             without waiting.\n\n\
              Example:\n  \
              heatherring entry --settings entry-1.jsonc",
         )
@@ -38,7 +39,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the settings are at fault or a listener can't be bound.
+/// Fails if the settings are invalid or a listener can't be bound.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let input = read_settings_file(matches)?;
     let settings = parse_settings(&input)?;
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `heatherring explain`: tells why recent decisions came out as they did.
+//! `heatherring explain`: shows the reasons of recent decisions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,16 +31,16 @@
 use crate::output::print_text;
 use crate::wall_text::wall_text;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     Command::new("explain")
         .about("Tells why recent look-ups, refusals, shifts and drains came out as they did")
         .after_help(
             "Every entry VM keeps its latest decisions. Ask the one that decided: the answer \
-             to a caller names the request in Heatherring-Request-Id.\n\n\
-             Where entry VMs dispatch directly, log lines tell the same: with --logs, the \
-             decisions on one request, what changed round them and the likely cause are \
-             printed.\n\n\
+             to a caller contains the request's ID in Heatherring-Request-Id.\n\n\
+             Where entry VMs dispatch directly, the log has this information: --logs \
+             prints the decisions on one request, the changes around that time and the likely \
+             cause.\n\n\
              Examples:\n  \
              heatherring explain --entry 10.0.1.1:7481\n  \
              heatherring explain --entry 10.0.1.1:7481 --request 5d0c8e7f1a2b3c4d-1f\n  \
@@ -109,7 +109,7 @@
         .arg(output_arg())
 }
 
-/// Asks the entry VM, and prints what it says.
+/// Queries the entry VM and prints its report; with `--logs`, reads log files instead.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     if matches.contains_id("logs") {
         return explain_logs::run(matches);
@@ -119,10 +119,10 @@
     };
     let timeout = matches.get_one::<u64>("timeout").copied().unwrap_or(1);
     let filter = filter(matches)?;
-    let asking = explain(address, &filter, Duration::from_secs(timeout));
+    let query = explain(address, &filter, Duration::from_secs(timeout));
     let mut report = runtime()?
-        .block_on(asking)
-        .map_err(|error| ask_error(&error))?;
+        .block_on(query)
+        .map_err(|error| query_error(&error))?;
     let limit = matches.get_one::<u16>("limit").copied().unwrap_or(1);
     report.decisions.truncate(limit.into());
     match output_format(matches) {
@@ -131,7 +131,7 @@
     }
 }
 
-/// Returns the request that is asked for, by position or by name.
+/// Returns the ID of the request to explain, given as the positional argument or as `--request`.
 pub(super) fn request_id(matches: &ArgMatches) -> Option<&String> {
     let by_position = matches.get_one::<String>("id");
     by_position.or_else(|| matches.get_one::<String>("request"))
@@ -150,6 +150,7 @@
     })
 }
 
+/// Returns the value of an argument after checking that it is a valid name.
 fn name<'a>(matches: &'a ArgMatches, argument: &str) -> Result<Option<&'a String>, CliError> {
     let value = matches.get_one::<String>(argument);
     match value.filter(|value| !is_name(value)) {
@@ -160,7 +161,7 @@
     }
 }
 
-fn ask_error(error: &ExplainError) -> CliError {
+fn query_error(error: &ExplainError) -> CliError {
     CliError::unavailable(error.to_string())
         .with_hint("--entry takes the address of listen.backend_servers")
 }
@@ -171,7 +172,7 @@
     let texts: Vec<String> = drains.chain(decisions).collect();
     if texts.is_empty() {
         return format!(
-            "{} remembers no such decision, and no drain is planned",
+            "{} has no record of such a decision, and no drain is planned",
             report.vm
         );
     }
--- a/cli/src/commands/explain_logs.rs
+++ b/cli/src/commands/explain_logs.rs
@@ -1,4 +1,4 @@
-//! `heatherring explain --logs`: tells from log lines what became of a request.
+//! `heatherring explain --logs`: diagnoses a request from log lines.
 
 use clap::ArgMatches;
 use heatherring_lib::request_diagnosis::LogLine;
@@ -14,36 +14,36 @@
 use crate::output::print_json;
 use crate::output::print_text;
 
-/// Reads the lines, and prints what they tell of the request.
+/// Reads the log lines, and prints the decisions on the request and the likely cause.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let Some(request_id) = explain::request_id(matches) else {
-        return Err(CliError::user("--logs needs the id of a request"));
+        return Err(CliError::user("--logs requires the ID of a request"));
     };
     let files = matches.get_many::<String>("logs").into_iter().flatten();
     let lines = log_input::read(files)?;
     let count = lines.len();
-    let Some(chain) = RequestDiagnosis::of(request_id, &lines) else {
+    let Some(diagnosis) = RequestDiagnosis::of(request_id, &lines) else {
         return Err(CliError::user(format!(
-            "none of {count} log lines is on request \"{request_id}\""
+            "none of {count} log lines is about request \"{request_id}\""
         ))
         .with_hint(
             "give the logs of all entry VMs; under load, lines on answered requests are dropped first",
         ));
     };
     match output_format(matches) {
-        OutputFormat::Json => print_json(&json!(chain)),
-        OutputFormat::Table => print_text(&chain_text(&chain)),
+        OutputFormat::Json => print_json(&json!(diagnosis)),
+        OutputFormat::Table => print_text(&diagnosis_text(&diagnosis)),
     }
 }
 
-fn chain_text(chain: &RequestDiagnosis) -> String {
-    let mut text = vec![format!("request {}", chain.request_id)];
+fn diagnosis_text(diagnosis: &RequestDiagnosis) -> String {
+    let mut text = vec![format!("request {}", diagnosis.request_id)];
     text.push("decisions:".to_owned());
-    text.extend(chain.decisions.iter().map(line_text));
-    text.push("changes round them:".to_owned());
-    text.extend(chain.changes.iter().map(line_text));
+    text.extend(diagnosis.decisions.iter().map(line_text));
+    text.push("changes around that time:".to_owned());
+    text.extend(diagnosis.changes.iter().map(line_text));
     text.push("likely cause:".to_owned());
-    text.extend(chain.cause.iter().map(|cause| format!("  {cause}")));
+    text.extend(diagnosis.cause.iter().map(|cause| format!("  {cause}")));
     text.join("\n")
 }
 
--- a/cli/src/commands/manifest.rs
+++ b/cli/src/commands/manifest.rs
@@ -1,4 +1,4 @@
-//! `heatherring manifest`: submits manifests and shows what was accepted.
+//! `heatherring manifest`: submits, shows and compares manifests.
 
 use clap::Arg;
 use clap::ArgMatches;
@@ -24,10 +24,10 @@
 use crate::output::table;
 use crate::wall_text::wall_text;
 
-/// Characters of a digest that tables show.
+/// Number of leading characters of a digest that tables show.
 const SHORT_DIGEST: usize = 12;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     Command::new("manifest")
         .about("Submits manifests and shows what was accepted")
@@ -92,7 +92,7 @@
         .arg(source_arg(
             "after",
             "AFTER",
-            "The manifest whose changes are told",
+            "The manifest whose changes are shown",
         ))
         .arg(output_arg());
     with_control_args(command, false)
@@ -105,7 +105,7 @@
         .required(true)
 }
 
-/// Runs one of the subcommands.
+/// Runs the selected subcommand.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     match matches.subcommand() {
         Some(("submit", matches)) => manifest_submit::run(matches),
@@ -170,7 +170,7 @@
     ]
 }
 
-/// Shortens a digest for tables.
+/// Returns the start of a digest, for tables and messages.
 pub fn short_digest(digest: &str) -> String {
     digest.chars().take(SHORT_DIGEST).collect()
 }
--- a/cli/src/commands/manifest_submit.rs
+++ b/cli/src/commands/manifest_submit.rs
@@ -32,10 +32,10 @@
 use crate::output::print_json;
 use crate::output::print_text;
 
-/// Pause between two looks at what is settled.
+/// Interval between two queries of the settled revision.
 const POLL_PAUSE: Duration = Duration::from_millis(100);
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     let command = Command::new("submit")
         .about("Submits a manifest and waits until it is in force everywhere")
@@ -69,13 +69,13 @@
     with_control_args(command, true)
 }
 
-/// Submits the manifest.
+/// Validates and submits the manifest; unless `--no-wait` is given, waits until it is in force.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let Some(path) = matches.get_one::<PathBuf>("file") else {
         return Err(CliError::user("FILE is missing"));
     };
     let input = read_file(path)?;
-    // Faults are reported with the file's name here, and nothing is sent.
+    // Validated before sending, so that faults are reported with the file's name.
     checked_manifest(&input)?;
     let request = SubmitRequest {
         manifest: input.text,
@@ -108,14 +108,14 @@
     print_accepted(format, &reply, Some(&status))
 }
 
-/// Returns the reply if it says that the manifest was accepted.
+/// Returns the reply if the manifest was accepted, otherwise the error that it stands for.
 fn accepted(reply: SubmitReply) -> Result<SubmitReply, CliError> {
     let version = reply.version;
     let refused = match reply.outcome() {
         SubmitOutcome::Accepted => return Ok(reply),
         SubmitOutcome::VersionConflict => CliError::refused(format!(
-            "not accepted: version {version} has another content already, with digest {}; \
-             this one's is {}",
+            "not accepted: version {version} already exists with other content (digest {}); \
+             the submitted manifest has digest {}",
             reply.winner_digest, reply.digest
         ))
         .with_hint(format!(
@@ -141,17 +141,17 @@
     revision: u64,
     wait: Duration,
 ) -> Result<StatusReply, CliError> {
-    let give_up = Instant::now() + wait;
+    let deadline = Instant::now() + wait;
     loop {
         let status = client.status().await;
         let reason = match status {
             Ok(status) if status.current && status.settled_revision >= revision => {
                 return Ok(status);
             }
-            Ok(status) => behind(&status, revision),
+            Ok(status) => lag_text(&status, revision),
             Err(error) => error.to_string(),
         };
-        if Instant::now() >= give_up {
+        if Instant::now() >= deadline {
             let message = format!(
                 "accepted at revision {revision}, but not known to be in force everywhere: {reason}"
             );
@@ -162,28 +162,31 @@
     }
 }
 
-/// Names the entry VMs that haven't acknowledged a revision.
-fn behind(status: &StatusReply, revision: u64) -> String {
-    let behind = status
+/// Lists the entry VMs that have not acknowledged a revision; states the settled revision if there
+/// are none.
+fn lag_text(status: &StatusReply, revision: u64) -> String {
+    let lagging = status
         .entries
         .iter()
         .filter(|entry| entry.applied_revision < revision);
-    let named: Vec<String> = behind
+    let named: Vec<String> = lagging
         .map(|entry| format!("{} is at {}", entry.vm, entry.applied_revision))
         .collect();
     if named.is_empty() {
-        return format!("settled is {}", status.settled_revision);
+        return format!("the settled revision is {}", status.settled_revision);
     }
     named.join(", ")
 }
 
-/// Prints the answer, and what `settled` says once all entry VMs have acknowledged it.
+/// Prints the outcome of an accepted submission. `settled` is the status once all entry VMs have
+/// acknowledged it, or `None` if the command did not wait.
 fn print_accepted(
     format: OutputFormat,
     reply: &SubmitReply,
     settled: Option<&StatusReply>,
 ) -> Result<(), CliError> {
-    // A resend may get its original answer after a later version was accepted.
+    // The answer to a repeated submission is the original one, even if a later version has been
+    // accepted since.
     let later = settled
         .map(|status| status.manifest_version)
         .filter(|version| *version > reply.version);
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -1,7 +1,7 @@
 //! The subcommands, one module each.
 //!
-//! A module offers `command()`, its part of the command line, and `run()`. To add
-//! one, declare the module and add a line to [`SUBCOMMANDS`].
+//! Each module provides `command()`, the definition of its arguments, and `run()`. To add a
+//! subcommand, declare its module and add an entry to [`SUBCOMMANDS`].
 
 mod audit;
 mod check;
@@ -26,7 +26,7 @@
 
 use crate::cli_error::CliError;
 
-/// Ties a subcommand's arguments to what runs it.
+/// A subcommand: the definition of its arguments and the function that runs it.
 struct Subcommand {
     command: fn() -> Command,
     run: fn(&ArgMatches) -> Result<(), CliError>,
@@ -92,7 +92,7 @@
     },
 ];
 
-/// Returns the whole command line.
+/// Returns the definition of the whole command line.
 pub fn command() -> Command {
     let root = Command::new("heatherring")
         .about("Steers traffic from callers across regions to backend servers")
@@ -104,11 +104,11 @@
     })
 }
 
-/// Runs the subcommand that was asked for.
+/// Runs the selected subcommand.
 ///
 /// # Errors
 ///
-/// Returns what the subcommand ended with.
+/// Returns the subcommand's error.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let Some((name, sub_matches)) = matches.subcommand() else {
         return Ok(());
--- a/cli/src/commands/quarantine.rs
+++ b/cli/src/commands/quarantine.rs
@@ -1,4 +1,5 @@
-//! `heatherring quarantine`: shows requests that end backend servers, and lifts them.
+//! `heatherring quarantine`: shows requests suspected of ending backend servers, and lifts their
+//! quarantine.
 
 use clap::Arg;
 use clap::ArgMatches;
@@ -21,13 +22,13 @@
 use crate::output::print_text;
 use crate::output::table;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     let command = Command::new("quarantine")
-        .about("Shows requests under which backend servers ended, and lifts them")
+        .about("Shows requests suspected of ending backend servers, and lifts their quarantine")
         .after_help(
-            "A request is named by its fingerprint, which stands on the log line of each \
-             refusal. Once lifted it is sent to backend servers like any other.\n\n\
+            "A request is identified by its fingerprint, which is in the log line of each refusal. \
+             Once its quarantine is lifted it is sent to backend servers like any other.\n\n\
              Examples:\n  \
              heatherring quarantine --control 10.0.0.1:7400\n  \
              heatherring quarantine --control 10.0.0.1:7400 --lift 9b1e4c70d2a85f36c1d07e44ab93f215",
@@ -36,13 +37,13 @@
             Arg::new("lift")
                 .long("lift")
                 .value_name("FINGERPRINT")
-                .help("Forgets this request"),
+                .help("Lifts the quarantine of this request"),
         )
         .arg(output_arg());
     with_control_args(command, true)
 }
 
-/// Shows or lifts.
+/// Shows the suspected requests, or lifts the quarantine of one.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     match matches.get_one::<String>("lift") {
         Some(request) => lift(matches, request),
@@ -59,7 +60,9 @@
         .block_on(client.lift_quarantine(&request))
         .map_err(|error| client_error(&error))?;
     if !reply.known {
-        return Err(CliError::refused("no such request is suspected"));
+        return Err(CliError::refused(
+            "no request with this fingerprint is suspected",
+        ));
     }
     print_text(&format!("{} lifted", request.request))
 }
--- a/cli/src/commands/schema.rs
+++ b/cli/src/commands/schema.rs
@@ -13,7 +13,7 @@
 use crate::cli_error::CliError;
 use crate::output::print_json;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     Command::new("schema")
         .about("Prints the JSON Schema of a manifest or of settings")
@@ -29,7 +29,7 @@
         )
 }
 
-/// Prints the schema.
+/// Generates and prints the schema.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let schema = match matches.get_one::<String>("kind").map(String::as_str) {
         Some("control") => schema_of::<ControlSettings>(),
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -22,7 +22,7 @@
 use crate::output::print_text;
 use crate::output::table;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     let command = Command::new("status")
         .about("Shows control replicas, entry VMs and the manifest in force")
@@ -35,7 +35,11 @@
     with_control_args(command, true)
 }
 
-/// Shows the status.
+/// Fetches the status and prints it.
+///
+/// # Errors
+///
+/// Also fails, after printing, if no quorum confirmed the status.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let client = operator_client(matches)?;
     let reply = runtime()?
@@ -65,7 +69,7 @@
     json!({
         "current": reply.current,
         "cluster_id": cluster_text(&reply.cluster_id),
-        // Replica identities are 64-bit numbers, which many JSON readers round.
+        // As strings, since replica identities are 64-bit numbers, which many JSON parsers round.
         "replica": reply.replica.to_string(),
         "leader": reply.leader.to_string(),
         "term": reply.term,
@@ -147,7 +151,7 @@
 
 fn manifest_line(reply: &StatusReply) -> String {
     if reply.manifest_version == 0 {
-        return "no manifest was accepted yet".to_owned();
+        return "no manifest has been accepted yet".to_owned();
     }
     let where_in_force = if in_force_everywhere(reply) {
         "in force everywhere"
--- a/cli/src/commands/team.rs
+++ b/cli/src/commands/team.rs
@@ -1,4 +1,4 @@
-//! `heatherring team`: shows teams, and what became of their requests.
+//! `heatherring team`: shows teams, or counts the outcomes of their requests.
 
 use std::collections::BTreeMap;
 
@@ -27,10 +27,10 @@
 use crate::output::print_text;
 use crate::output::table;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     let command = Command::new("team")
-        .about("Shows teams, or what became of their requests")
+        .about("Shows teams, or counts the outcomes of their requests")
         .after_help(
             "Keys are never shown, only how many there are. With --logs, requests are counted by \
              team and by the rule that refused them; under load, lines on answered requests are \
@@ -50,7 +50,7 @@
     with_control_args(command, false)
 }
 
-/// Shows teams or counts.
+/// Shows the teams, or counts requests in log lines.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     match matches.get_many::<String>("logs") {
         Some(files) => count(matches, &log_input::read(files)?),
@@ -68,7 +68,7 @@
 
 fn tally_text(teams: &BTreeMap<String, TeamTally>) -> String {
     if teams.is_empty() {
-        return "no log line is on a request of a team".to_owned();
+        return "no log line is about a request of a team".to_owned();
     }
     let rows: Vec<Vec<String>> = teams
         .iter()
@@ -76,7 +76,7 @@
             let refused = tally.refused.iter();
             let refused = refused.map(|(reason, count)| format!("{reason} {count}"));
             vec![
-                named(team),
+                team_text(team),
                 tally.asked().to_string(),
                 tally.answered.to_string(),
                 tally.left.to_string(),
@@ -87,7 +87,7 @@
     table(&["TEAM", "ASKED", "ANSWERED", "LEFT", "REFUSED"], &rows)
 }
 
-fn named(team: &str) -> String {
+fn team_text(team: &str) -> String {
     if team.is_empty() { "(none)" } else { team }.to_owned()
 }
 
--- a/cli/src/commands/version.rs
+++ b/cli/src/commands/version.rs
@@ -5,12 +5,12 @@
 
 use crate::cli_error::CliError;
 
-/// Returns the arguments of the subcommand.
+/// Returns the definition of the subcommand.
 pub fn command() -> Command {
     Command::new("version").about("Prints the version of the program")
 }
 
-/// Prints the version.
+/// Prints the program's name and version.
 #[expect(
     clippy::unnecessary_wraps,
     reason = "all subcommands share one signature"
--- a/cli/src/control_access.rs
+++ b/cli/src/control_access.rs
@@ -1,4 +1,4 @@
-//! How commands reach control replicas.
+//! Arguments and client with which commands connect to control replicas.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,7 +18,8 @@
 
 use crate::cli_error::CliError;
 
-/// Adds the arguments that say where control is and how to prove who asks.
+/// Adds the arguments for the addresses of control replicas, the timeout and the operator's
+/// TLS files.
 pub fn with_control_args(command: Command, required: bool) -> Command {
     command
         .arg(
@@ -60,16 +61,16 @@
         .value_parser(value_parser!(PathBuf))
 }
 
-/// Returns who asks, for the audit trail.
+/// Returns the argument for the operator's name in the audit trail.
 pub fn operator_arg() -> Arg {
     Arg::new("operator")
         .long("operator")
         .value_name("NAME")
-        .help("Who asks, for the audit trail")
+        .help("The operator's name, for the audit trail")
         .default_value("operator")
 }
 
-/// Makes a client of the control replicas that the arguments name.
+/// Returns a client of the control replicas that the arguments name.
 pub fn operator_client(matches: &ArgMatches) -> Result<OperatorClient, CliError> {
     let control: Vec<SocketAddr> = matches
         .get_many("control")
@@ -107,7 +108,7 @@
     }
 }
 
-/// Makes the runtime in which a command asks control.
+/// Returns the single-threaded runtime in which a command sends its request.
 pub fn runtime() -> Result<Runtime, CliError> {
     Builder::new_current_thread()
         .enable_all()
@@ -115,12 +116,12 @@
         .map_err(CliError::internal)
 }
 
-/// Turns what the client said into what the command ends with.
+/// Converts an error of the client to that of the command, with a hint where one helps.
 pub fn client_error(error: &OperatorClientError) -> CliError {
     let message = error.to_string();
     match error {
         OperatorClientError::Security { .. } => CliError::user(message)
-            .with_hint("beyond loopback, name --authority-file, --certificate-file and --key-file"),
+            .with_hint("for addresses other than loopback, give --authority-file, --certificate-file and --key-file"),
         OperatorClientError::Refused { .. } => CliError::refused(message),
         OperatorClientError::Unreachable { .. } => CliError::unavailable(message)
             .with_hint("a majority of the control replicas must run and reach one another"),
--- a/cli/src/input.rs
+++ b/cli/src/input.rs
@@ -1,4 +1,4 @@
-//! Files that commands read.
+//! Reads the files that commands take as arguments.
 
 use std::io;
 use std::path::Path;
@@ -10,18 +10,18 @@
 
 use crate::cli_error::CliError;
 
-/// Stands for the standard input where a file is asked for.
+/// File argument that stands for the standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// Holds a text and the name by which faults in it are reported.
+/// The text of a file, with the name used in reports of faults.
 pub struct Input {
-    /// The name.
+    /// The file's path as given, or a description such as `version 41` for a stored manifest.
     pub name: String,
-    /// The text.
+    /// The whole content.
     pub text: String,
 }
 
-/// Returns an argument that names a file.
+/// Returns the required positional argument that names a file.
 pub fn file_arg(help: &'static str) -> Arg {
     Arg::new("file")
         .value_name("FILE")
@@ -30,7 +30,7 @@
         .required(true)
 }
 
-/// Reads a file, or the standard input if it is called `-`.
+/// Reads a file, or the standard input if `path` is `-`.
 pub fn read_file(path: &Path) -> Result<Input, CliError> {
     let name = path.display().to_string();
     let text = if name == STANDARD_INPUT {
@@ -49,7 +49,7 @@
     })
 }
 
-/// Reads and checks a manifest.
+/// Parses and validates a manifest.
 pub fn checked_manifest(input: &Input) -> Result<Manifest, CliError> {
     read_manifest(&input.name, &input.text).map_err(CliError::from)
 }
--- a/cli/src/interfaces.rs
+++ b/cli/src/interfaces.rs
@@ -1,4 +1,4 @@
-//! The interfaces that settings can name.
+//! Maps the interface names of the settings to their implementations.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use heatherring_server::interface::EntryInterface;
 use heatherring_server::own_interface::OwnInterface;
 
-/// Returns the interface of a control replica, if it serves direct dispatch.
+/// Returns the interface of a control replica, or `None` if it does not serve direct dispatch.
 pub fn control(settings: &ControlSettings) -> Option<Arc<dyn ControlInterface>> {
     let direct = settings.direct.as_ref()?;
     Some(match direct.interface {
--- a/cli/src/log_input.rs
+++ b/cli/src/log_input.rs
@@ -1,4 +1,4 @@
-//! Log lines of heatherring's processes, from files or standard input.
+//! Reads log lines of heatherring's processes from files or the standard input.
 
 use std::fs::File;
 use std::io;
@@ -9,10 +9,10 @@
 
 use crate::cli_error::CliError;
 
-/// Reads standard input in place of a file.
+/// File argument that stands for the standard input.
 const STDIN: &str = "-";
 
-/// Reads the lines of `files`.
+/// Reads the log lines of `files`, in the order of the files.
 pub fn read<'a>(files: impl Iterator<Item = &'a String>) -> Result<Vec<LogLine>, CliError> {
     let mut lines = Vec::new();
     for file in files {
@@ -30,7 +30,8 @@
     read_lines(name, BufReader::new(file), lines).map_err(|error| unreadable(&error))
 }
 
-/// Keeps the lines of heatherring; whatever else a collector mixed in is passed over.
+/// Appends the log lines of heatherring; skips lines of other programs, which a log collector may
+/// have mixed in.
 fn read_lines(name: &str, input: impl BufRead, lines: &mut Vec<LogLine>) -> io::Result<()> {
     for line in input.split(b'\n') {
         let line = line?;
--- a/cli/src/logging.rs
+++ b/cli/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logging: JSON lines on standard output, which never hold the process up.
+//! Logging as JSON lines on standard output, written without blocking the process.
 
 use std::sync::Arc;
 
@@ -11,32 +11,32 @@
 use snafu::ResultExt;
 use snafu::Snafu;
 
-/// Crates whose records follow the level setting; the libraries' own records are kept
-/// to warnings, since they may hold parts of requests.
+/// Crates whose records follow the level setting. Other libraries log warnings and errors only,
+/// since their records may contain parts of requests.
 const OWN_CRATES: [&str; 3] = ["heatherring", "heatherring_lib", "heatherring_server"];
 
-/// Tells why logging couldn't be set up.
+/// Reasons for which logging can't be set up.
 #[derive(Debug, Snafu)]
 pub enum LoggingError {
-    /// The system gives no thread to write the lines.
-    #[snafu(display("no thread for the log: {source}"))]
+    /// The thread that writes the lines can't be started.
+    #[snafu(display("can't start the log writer's thread: {source}"))]
     Thread {
-        /// What the operating system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The process has a logger already.
-    #[snafu(display("logging was set up twice: {source}"))]
-    Twice {
-        /// What the library said.
+    /// The process already has a logger.
+    #[snafu(display("logging is already set up: {source}"))]
+    AlreadySet {
+        /// The logging library's error.
         source: logforth::Error,
     },
 }
 
-/// Sends log records of `level` and above to standard output, one JSON object a line.
+/// Writes log records of `level` and above to standard output, one JSON object per line.
 ///
 /// # Errors
 ///
-/// Fails if the process has a logger already, or the system gives no thread.
+/// Fails if the process already has a logger or the writer's thread can't be started.
 pub fn start(level: LogLevel) -> Result<(), LoggingError> {
     let writer = LogWriter::start(std::io::stdout(), Arc::new(SystemClock)).context(ThreadSnafu)?;
     let own_level = LevelFilter::MoreSevereEqual(severity(level));
@@ -48,10 +48,10 @@
     logforth::starter_log::builder()
         .dispatch(|dispatch| dispatch.filter(filter.build()).append(writer))
         .try_apply()
-        .context(TwiceSnafu)
+        .context(AlreadySetSnafu)
 }
 
-/// Waits a moment until the last lines are written, before the process ends.
+/// Flushes the log; called before the process ends so that the last lines are not lost.
 pub fn finish() {
     log::logger().flush();
 }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! The `heatherring` command: arguments in, exit code out. All logic lives in the
-//! libraries.
+//! The `heatherring` command: parses the arguments, runs a subcommand and maps its result to an
+//! exit code. All other logic is in the libraries.
 
 mod cli_error;
 mod commands;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Prints the error and its hint, and picks the exit code.
+/// Prints the error and its hint to standard error; returns the exit code.
 fn report(err: &CliError) -> ExitCode {
     eprintln!("{err}");
     if let Some(hint) = err.hint() {
--- a/cli/src/manifest_source.rs
+++ b/cli/src/manifest_source.rs
@@ -1,4 +1,4 @@
-//! Where commands take manifests from: a file, or control by version.
+//! Loads manifests from files or, by version, from control.
 
 use std::path::Path;
 
@@ -13,10 +13,10 @@
 use crate::input::read_file;
 use crate::output::print_text;
 
-/// Stands for the manifest in force.
+/// Word that names the manifest in force.
 const CURRENT: &str = "current";
 
-/// Fetches the text of a version from control; 0 means the one in force.
+/// Fetches the text of a manifest version from control; 0 means the version in force.
 pub fn stored(matches: &ArgMatches, version: u64) -> Result<Input, CliError> {
     let client = operator_client(matches)?;
     let reply = runtime()?
@@ -31,12 +31,12 @@
     Err(CliError::refused(if version == 0 {
         "no manifest is in force".to_owned()
     } else {
-        format!("control holds no text of version {version}")
+        format!("control has no manifest of version {version}")
     })
     .with_hint("`heatherring manifest history` lists what was accepted"))
 }
 
-/// Reads a manifest by a version number, the word `current`, or a file's path.
+/// Loads the manifest that `source` names: a version number, the word `current` or a file's path.
 pub fn named(matches: &ArgMatches, source: &str) -> Result<Input, CliError> {
     if source == CURRENT {
         return stored(matches, 0);
@@ -47,7 +47,7 @@
     }
 }
 
-/// Prints what a manifest changes.
+/// Prints the changes of a manifest, one line each.
 pub fn print_changes(changes: &[Change]) -> Result<(), CliError> {
     if changes.is_empty() {
         return print_text("no changes");
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! What commands print: tables for people, JSON for programs.
+//! Output of commands: tables for people, JSON for programs.
 
 use std::io;
 use std::io::Write;
@@ -13,16 +13,16 @@
 /// Spaces between the columns of a table.
 const COLUMN_GAP: usize = 2;
 
-/// Says how to print.
+/// Format in which a command prints its result.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OutputFormat {
-    /// For people.
+    /// Text and tables, for people.
     Table,
-    /// For programs.
+    /// JSON, for programs.
     Json,
 }
 
-/// Returns the argument that chooses the format.
+/// Returns the argument that selects the format.
 pub fn output_arg() -> Arg {
     Arg::new("output")
         .long("output")
@@ -32,7 +32,7 @@
         .default_value("table")
 }
 
-/// Returns the format that was chosen.
+/// Returns the selected format; [`OutputFormat::Table`] by default.
 pub fn output_format(matches: &ArgMatches) -> OutputFormat {
     match matches.get_one::<String>("output").map(String::as_str) {
         Some("json") => OutputFormat::Json,
@@ -40,9 +40,9 @@
     }
 }
 
-/// Prints a text and ends its line.
+/// Prints a text, followed by a newline.
 ///
-/// A reader that has seen enough, such as `head`, closes the pipe; that is no error.
+/// A closed pipe is not an error: readers such as `head` close it once they have read enough.
 pub fn print_text(text: &str) -> Result<(), CliError> {
     let mut stdout = io::stdout().lock();
     match writeln!(stdout, "{}", text.trim_end_matches('\n')) {
@@ -51,12 +51,12 @@
     }
 }
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 pub fn print_json(value: &Value) -> Result<(), CliError> {
     print_text(&format!("{value:#}"))
 }
 
-/// Lays out rows in columns as wide as their widest cell.
+/// Formats rows as a table whose columns are as wide as their widest cell.
 pub fn table(header: &[&str], rows: &[Vec<String>]) -> String {
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column));
@@ -66,11 +66,11 @@
     let widths: Vec<usize> = (0..header.len()).map(width).collect();
     let header: Vec<String> = header.iter().map(|&cell| cell.to_owned()).collect();
     let lines = std::iter::once(&header).chain(rows);
-    let lines: Vec<String> = lines.map(|row| line(row, &widths)).collect();
+    let lines: Vec<String> = lines.map(|row| format_row(row, &widths)).collect();
     lines.join("\n")
 }
 
-fn line(row: &[String], widths: &[usize]) -> String {
+fn format_row(row: &[String], widths: &[usize]) -> String {
     let cells = row.iter().zip(widths);
     let padded: Vec<String> = cells
         .map(|(cell, &width)| format!("{cell:width$}"))
--- a/cli/src/settings_input.rs
+++ b/cli/src/settings_input.rs
@@ -1,4 +1,4 @@
-//! The settings file that a process is started with.
+//! Reads the settings file with which a process is started.
 
 use std::path::PathBuf;
 
@@ -32,8 +32,9 @@
     read_file(path)
 }
 
-/// Reports a fault of a value in the settings that showed only when it was used, in one
-/// line; further lines of `fault` are hints, which `allowed` replaces.
+/// Returns the error for a settings value that parsed but failed when it was used, such as an
+/// address whose port is taken. Only the first line of `fault` is reported; further lines are
+/// hints, which `allowed` replaces.
 pub fn fault_at(input: &Input, field: &ConfigPath, fault: &str, allowed: &str) -> CliError {
     let position = position_of(&input.name, &input.text, field);
     let fault = fault.lines().next().unwrap_or_default();
