--- a/server/src/data_folder.rs
+++ b/server/src/data_folder.rs
@@ -1,4 +1,4 @@
-//! The data folder of a control replica: its files, its lock and its identity.
+//! The data folder of a control replica: file access, the lock file and the identity file.
 
 use std::fmt::Debug;
 use std::fs;
@@ -18,44 +18,46 @@
 use crate::record_codec::decode_frame;
 use crate::record_codec::encode_frame;
 
-/// Name of the file that holds the identity; its presence makes a folder formatted.
+/// Name of the file that holds the [`Identity`]. A folder counts as formatted if it has
+/// this file.
 pub const IDENTITY_FILE: &str = "identity";
 
-/// Name of the file that is locked while a process uses the folder.
+/// Name of the file that a process keeps locked (`flock`) while it uses the folder.
 pub const LOCK_FILE: &str = "lock";
 
-/// Ending of files that are being written; they mean nothing until they are renamed.
+/// Suffix of files whose writing has not finished. Their content is ignored until they
+/// are renamed to their final name.
 pub const TEMPORARY_ENDING: &str = ".tmp";
 
-/// Version of the files' format.
+/// Version of the on-disk format of all files in the folder.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// Identifies the life of a data folder. Written once, when the folder is formatted.
+/// Identifies a data folder. Written once, when the folder is formatted.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Identity {
-    /// Version of the files' format.
+    /// Version of the on-disk format, see [`FORMAT_VERSION`].
     pub format: u32,
-    /// The cluster that the replica belongs to.
+    /// Cluster that the replica belongs to.
     pub cluster: ClusterId,
-    /// The replica.
+    /// Replica that owns the folder.
     pub replica: ReplicaId,
 }
 
 impl Identity {
-    /// Encodes the identity as the content of its file.
+    /// Encodes the identity as the content of the file [`IDENTITY_FILE`].
     ///
     /// # Panics
     ///
-    /// Never: the encoding of an identity can't fail.
+    /// Never: an identity can always be encoded.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        let body = postcard::to_stdvec(self).expect("an identity encodes");
+        let body = postcard::to_stdvec(self).expect("an identity can be encoded");
         let mut buf = Vec::new();
         encode_frame(0, &body, &mut buf);
         buf
     }
 
-    /// Reads the content of an identity file; `None` if it is damaged.
+    /// Decodes the content of an identity file; returns `None` if it is damaged.
     #[must_use]
     pub fn decode(content: &[u8]) -> Option<Self> {
         let frame = decode_frame(content).ok()?;
@@ -66,80 +68,83 @@
     }
 }
 
-/// Does what the log needs of a folder with files in it.
+/// File operations of the log, on the files of one folder.
 ///
-/// What was written lasts only once it was synced: a file's bytes by [`Disk::sync`],
-/// the creation, renaming and removal of files by [`Disk::sync_folder`].
+/// Changes are durable only after a sync: appended bytes after [`Disk::sync`], the
+/// creation, renaming and removal of files after [`Disk::sync_folder`].
 pub trait Disk: Debug + Send + 'static {
-    /// Lists the names of all files.
+    /// Lists the names of all files in the folder.
     ///
     /// # Errors
     ///
-    /// Returns what the operating system reported.
+    /// Returns the error that the operating system reported.
     fn list(&self) -> io::Result<Vec<String>>;
 
     /// Reads a whole file.
     ///
     /// # Errors
     ///
-    /// Returns what the operating system reported.
+    /// Returns the error that the operating system reported.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Creates a file, or empties it, and writes and syncs its content.
+    /// Creates or truncates a file, writes its content and syncs it.
     ///
     /// # Errors
     ///
-    /// Returns what the operating system reported.
+    /// Returns the error that the operating system reported.
     fn write_whole(&mut self, name: &str, content: &[u8]) -> io::Result<()>;
 
     /// Appends to an existing file.
     ///
     /// # Errors
     ///
-    /// Returns what the operating system reported.
+    /// Returns the error that the operating system reported.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes what was appended to a file durable.
+    /// Makes the bytes appended to a file durable.
     ///
     /// # Errors
     ///
-    /// Returns what the operating system reported.
+    /// Returns the error that the operating system reported.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Cuts a file to a length and syncs it.
+    /// Truncates a file to `length` bytes and syncs it.
     ///
     /// # Errors
     ///
-    /// Returns what the operating system reported.
+    /// Returns the error that the operating system reported.
     fn cut(&mut self, name: &str, length: u64) -> io::Result<()>;
 
     /// Renames a file.
     ///
     /// # Errors
     ///
-    /// Returns what the operating system reported.
+    /// Returns the error that the operating system reported.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
     ///
-    /// Returns what the operating system reported.
+    /// Returns the error that the operating system reported.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
     /// Makes the creation, renaming and removal of files durable.
     ///
     /// # Errors
     ///
-    /// Returns what the operating system reported.
+    /// Returns the error that the operating system reported.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// Writes a file so that it is either there whole or not at all.
+/// Writes a file atomically: after a crash it exists with its whole content or not at
+/// all.
+///
+/// The content is written to a temporary file, which is then renamed to `name`.
 ///
 /// # Errors
 ///
-/// Returns what the operating system reported.
+/// Returns the error that the operating system reported.
 pub fn write_atomically<D: Disk>(disk: &mut D, name: &str, content: &[u8]) -> io::Result<()> {
     let temporary = format!("{name}{TEMPORARY_ENDING}");
     disk.write_whole(&temporary, content)?;
@@ -147,7 +152,8 @@
     disk.sync_folder()
 }
 
-/// Keeps files in a folder of the operating system, locked against other processes.
+/// Implements [`Disk`] on a folder of the file system, which it locks against other
+/// processes.
 #[derive(Debug)]
 pub struct FolderDisk {
     folder: PathBuf,
@@ -159,14 +165,14 @@
 impl FolderDisk {
     /// Opens a folder and locks it.
     ///
-    /// Two processes on one folder would both append to the log and both vote under
-    /// one identity. The second one is refused here: the lock lives as long as the
-    /// process that holds it, also when that process is killed.
+    /// Two processes that use the same folder would both append to the log and both vote
+    /// under one identity, so the second one is refused. The operating system releases
+    /// the lock when the process that holds it ends, including when it is killed.
     ///
     /// # Errors
     ///
     /// Returns an error of kind [`io::ErrorKind::WouldBlock`] if another process holds
-    /// the lock, otherwise what the operating system reported.
+    /// the lock, otherwise the error that the operating system reported.
     pub fn open(folder: &Path) -> io::Result<Self> {
         let handle = File::open(folder)?;
         let lock = OpenOptions::new()
@@ -183,7 +189,9 @@
         })
     }
 
-    fn opened(&mut self, name: &str) -> io::Result<&mut File> {
+    /// Returns the file `name`, open_for_append for appending. The most recently used file stays
+    /// open.
+    fn open_for_append(&mut self, name: &str) -> io::Result<&mut File> {
         let reusable = self.open.as_ref().is_some_and(|(open, _)| open == name);
         if !reusable {
             let file = OpenOptions::new()
@@ -219,15 +227,15 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.opened(name)?.write_all(bytes)
+        self.open_for_append(name)?.write_all(bytes)
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.opened(name)?.sync_data()
+        self.open_for_append(name)?.sync_data()
     }
 
     fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
-        let file = self.opened(name)?;
+        let file = self.open_for_append(name)?;
         file.set_len(length)?;
         file.sync_all()
     }
--- a/server/src/log_disk.rs
+++ b/server/src/log_disk.rs
@@ -1,8 +1,9 @@
 //! The write-ahead log and the snapshots of a control replica.
 //!
-//! The log is a sequence of segments, each a file of frames (see `record_codec`). A
-//! snapshot is a file of its own; a marker in the log makes it count. Segments that a
-//! snapshot has made superfluous are deleted, oldest first.
+//! The log is a sequence of segments. Each segment is a file of frames (see
+//! `record_codec`). Each snapshot is a file of its own, which takes effect only once a
+//! marker for it is in the log. Segments whose entries are all included in the latest
+//! snapshot are deleted, oldest first.
 
 use std::borrow::Cow;
 use std::io;
@@ -36,66 +37,66 @@
 use crate::metric;
 use crate::record_codec::encode_frame;
 
-/// Size of a segment after which the next one is begun.
+/// Size in bytes from which a segment is sealed and the next one is started.
 const SEGMENT_BYTES: u64 = 8 * 1024 * 1024;
 
-/// Tells why the disk can't be used.
+/// Reasons for which the data folder cannot be opened, formatted or written.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum DiskError {
-    /// The folder was never formatted.
+    /// The folder has no identity file: formatting was never done, or not completed.
     #[snafu(display(
-        "the data folder isn't formatted\nhint: `heatherring control init` makes a new cluster; \
-         `heatherring control join` adds this replica to one"
+        "the data folder is not formatted\nhint: `heatherring control init` creates a new cluster; \
+         `heatherring control join` adds this replica to an existing one"
     ))]
     Unformatted,
-    /// The folder holds files already.
+    /// The folder to be formatted already contains files.
     #[snafu(display(
-        "the data folder isn't empty: it holds {name}\nhint: name an empty folder; a folder \
-         that was in use is never formatted again"
+        "the data folder is not empty: it contains {name}\nhint: specify an empty folder; a folder \
+         that has been in use is never formatted again"
     ))]
     NotEmpty {
-        /// One of the files.
+        /// Name of one of these files.
         name: String,
     },
-    /// Another process uses the folder.
+    /// Another process holds the lock of the folder.
     #[snafu(display("the data folder is in use by another process"))]
     Locked,
-    /// There is no such folder.
+    /// The folder does not exist.
     #[snafu(display(
-        "there is no such folder\nhint: `heatherring control init` makes it for a new cluster, \
+        "there is no such folder\nhint: `heatherring control init` creates it for a new cluster, \
          `heatherring control join` for a replica of an existing one"
     ))]
     MissingFolder,
-    /// What the log holds can't be trusted.
+    /// The content of the folder is damaged, so acknowledged records may be lost.
     #[snafu(display(
         "{source}\nhint: this replica may have forgotten votes or entries that it \
          acknowledged; move the folder away and replace the replica with \
          `heatherring control repair`"
     ))]
     Damaged {
-        /// What is damaged.
+        /// The damage that was found.
         source: DamagedLog,
     },
-    /// Reading failed.
-    #[snafu(display("could not read: {source}"))]
+    /// Reading a file or the folder failed.
+    #[snafu(display("could not read the data folder: {source}"))]
     Read {
         /// What the operating system reported.
         source: io::Error,
     },
-    /// Writing or syncing failed.
-    #[snafu(display("could not write: {source}"))]
+    /// Writing or syncing a file or the folder failed.
+    #[snafu(display("could not write to the data folder: {source}"))]
     Write {
         /// What the operating system reported.
         source: io::Error,
     },
-    /// An earlier write or sync failed.
+    /// An earlier write or sync failed, so the log accepts no more writes.
     #[snafu(display("an earlier write to the data folder failed"))]
     Stopped,
 }
 
 impl DiskError {
-    /// Tells why a folder couldn't be opened.
+    /// Converts an error of [`FolderDisk::open`](crate::data_folder::FolderDisk::open).
     #[must_use]
     pub fn from_open(source: io::Error) -> Self {
         match source.kind() {
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Returns whether the choice or the state of the folder is at fault, rather than
-    /// the disk.
+    /// Returns whether the choice or the state of the folder is at fault, rather than the
+    /// disk or the content of the log.
     #[must_use]
     pub const fn is_user_error(&self) -> bool {
         match self {
@@ -116,16 +117,16 @@
     }
 }
 
-/// Holds what a replica finds on its disk when it starts.
+/// State that a replica reads from its disk when it starts.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Recovered {
-    /// The identity of the data folder.
+    /// Identity of the data folder.
     pub identity: Identity,
-    /// Term, vote, snapshot and entries.
+    /// Term, vote, latest snapshot and the entries after it.
     pub durable: DurableState,
 }
 
-/// Writes the log of one replica.
+/// Write-ahead log of one replica.
 #[derive(Debug)]
 pub struct LogDisk<D> {
     disk: D,
@@ -140,24 +141,25 @@
     last_sync: Duration,
 }
 
-/// Holds what is known of one segment file.
+/// One segment file of the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Segment {
-    /// Numbers the segments from 1.
+    /// Number of the segment, counted from 1.
     pub(crate) number: u64,
-    /// The highest position that was appended to it; 0 if none was.
+    /// Highest index of the entries appended to it; 0 if there are none.
     pub(crate) highest: Revision,
 }
 
-/// Formats an empty folder: first the log, then, as the last step, the identity.
+/// Formats an empty folder: writes the log first and the identity file last.
 ///
-/// A crash in the middle leaves a folder without identity, which counts as unformatted
-/// and which the next attempt begins anew.
+/// A crash in between leaves a folder without an identity file. Such a folder counts as
+/// unformatted, and the next attempt removes its files and starts over.
 ///
 /// # Errors
 ///
-/// Returns [`DiskError::NotEmpty`] if the folder holds anything but remains of such an
-/// attempt, and [`DiskError::Read`] or [`DiskError::Write`] if the folder fails.
+/// Returns [`DiskError::NotEmpty`] if the folder contains anything but the lock file and
+/// the files of an interrupted attempt, and [`DiskError::Read`] or [`DiskError::Write`] if
+/// an operation on the folder fails.
 pub fn format<D: Disk>(
     mut disk: D,
     identity: Identity,
@@ -187,19 +189,20 @@
     Ok(log.disk)
 }
 
-/// Checks that a folder may be formatted.
+/// Checks that a folder may be formatted: it contains nothing but the lock file and the
+/// files of an interrupted attempt to format it.
 ///
 /// # Errors
 ///
-/// Returns [`DiskError::NotEmpty`] if it may not, [`DiskError::Read`] if that can't be
-/// found out.
+/// Returns [`DiskError::NotEmpty`] if it may not be formatted, [`DiskError::Read`] if its
+/// files can't be listed.
 pub fn ensure_empty<D: Disk>(disk: &D) -> Result<(), DiskError> {
     let names = disk.list().context(ReadSnafu)?;
     let formatted = names.iter().any(|name| name == IDENTITY_FILE);
     for name in names {
-        let remains = is_log_file(&name) || name.ends_with(TEMPORARY_ENDING);
-        let harmless = name == crate::data_folder::LOCK_FILE || (remains && !formatted);
-        ensure!(harmless, NotEmptySnafu { name });
+        let is_leftover = is_log_file(&name) || name.ends_with(TEMPORARY_ENDING);
+        let is_allowed = name == crate::data_folder::LOCK_FILE || (is_leftover && !formatted);
+        ensure!(is_allowed, NotEmptySnafu { name });
     }
     Ok(())
 }
@@ -209,12 +212,13 @@
 }
 
 impl<D: Disk> LogDisk<D> {
-    /// Opens a formatted folder and reads it back.
+    /// Opens a formatted folder and replays its log.
     ///
     /// # Errors
     ///
     /// Returns [`DiskError::Unformatted`], [`DiskError::Damaged`],
-    /// [`DiskError::Read`], or [`DiskError::Write`] if a torn tail can't be cut off.
+    /// [`DiskError::Read`], or [`DiskError::Write`] if leftover files can't be removed or a
+    /// torn tail can't be truncated.
     pub fn open(mut disk: D) -> Result<(Self, Recovered), DiskError> {
         let names = disk.list().context(ReadSnafu)?;
         let formatted = names.iter().any(|name| name == IDENTITY_FILE);
@@ -225,9 +229,9 @@
             .ok_or(DamagedLog::Identity)
             .context(DamagedSnafu)?;
         let replayed = replay(&disk, &identity, &names)?;
-        remove_remains(&mut disk, &names, replayed.snapshot.as_ref())?;
+        remove_leftovers(&mut disk, &names, replayed.snapshot.as_ref())?;
         if let Some((name, length)) = &replayed.torn {
-            log::warn!(file = name.as_str(), length; "cutting off a write that a crash interrupted");
+            log::warn!(file = name.as_str(), length; "truncating the log: a crash interrupted the last write");
             disk.cut(name, *length).context(WriteSnafu)?;
         }
         Ok(Self::start(disk, identity, replayed))
@@ -261,15 +265,17 @@
         (log, recovered)
     }
 
-    /// Makes records durable, in order, under one sync.
+    /// Makes records durable in order. Records between two snapshots share one sync.
     ///
-    /// After a failed write or sync nobody knows what the disk holds: the operating
-    /// system may have dropped the pages and report success the next time. The log
-    /// therefore takes no more writes, and the process must stop without sending.
+    /// After a failed write or sync the content of the disk is unknown: the operating
+    /// system may have dropped the pages and may report success the next time. The log
+    /// therefore accepts no more writes, and the process must stop without sending any
+    /// message.
     ///
     /// # Errors
     ///
-    /// Returns [`DiskError::Write`] for the failure and [`DiskError::Stopped`] ever after.
+    /// Returns [`DiskError::Write`] for the first failure and [`DiskError::Stopped`] for
+    /// every later call.
     pub fn write(&mut self, writes: &[LogWrite]) -> Result<(), DiskError> {
         ensure!(!self.failed, StoppedSnafu);
         let result = self.write_all(writes);
@@ -277,13 +283,13 @@
         result.context(WriteSnafu)
     }
 
-    /// Returns the time that the latest sync took.
+    /// Returns how long the latest append with its sync took; zero before the first.
     #[must_use]
     pub const fn last_sync(&self) -> Duration {
         self.last_sync
     }
 
-    /// Returns the disk, as a test wants it back.
+    /// Returns the disk, which tests reopen or inspect.
     #[must_use]
     pub fn into_disk(self) -> D {
         self.disk
@@ -339,19 +345,22 @@
         let mut buf = Vec::with_capacity(body.len() + crate::record_codec::FRAME_BYTES);
         encode_frame(self.next_frame, &body, &mut buf);
         let name = self.current_name()?;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.disk.append(&name, &buf)?;
         self.disk.sync(&name)?;
-        self.last_sync = begun.elapsed();
+        self.last_sync = started_at.elapsed();
         metric::log_sync(self.last_sync);
         self.next_frame += 1;
         self.segment_bytes += buf.len() as u64;
         Ok(())
     }
 
-    /// Writes a snapshot, then the marker that makes it count, then deletes what it
-    /// replaces. A crash between any two of these leaves a file without marker, which
-    /// is removed, or a file too many, which is deleted after the next snapshot.
+    /// Writes a snapshot file, then the marker that puts it into effect, then deletes the
+    /// previous snapshot and the segments that it replaces.
+    ///
+    /// A crash between two of these steps leaves a snapshot file that is not the current
+    /// one, which the next start removes, or superfluous segments, which are deleted after
+    /// the next snapshot.
     fn write_snapshot(&mut self, snapshot: &Snapshot) -> io::Result<()> {
         let mark = SnapshotMark {
             index: snapshot.index,
@@ -374,7 +383,8 @@
         self.delete_old_segments(mark)
     }
 
-    /// Seals the current segment, so that a missing successor is noticed, and begins it.
+    /// Starts the next segment and seals the current one. The seal lets a replay detect
+    /// that the next segment is missing.
     fn seal_and_begin_segment(&mut self) -> io::Result<()> {
         let sealed = self.current_name()?;
         let seal_frame = self.next_frame;
@@ -425,8 +435,9 @@
     postcard::to_stdvec(records).map_err(io::Error::other)
 }
 
-/// Removes files that a crash left and that mean nothing.
-fn remove_remains<D: Disk>(
+/// Removes files that a crash has left behind: temporary files and all snapshots but the
+/// current one.
+fn remove_leftovers<D: Disk>(
     disk: &mut D,
     names: &[String],
     snapshot: Option<&Snapshot>,
--- a/server/src/log_record.rs
+++ b/server/src/log_record.rs
@@ -1,4 +1,4 @@
-//! Records of the write-ahead log and the names of its files.
+//! Record types of the write-ahead log, and the names of segment and snapshot files.
 
 use std::borrow::Cow;
 
@@ -13,64 +13,65 @@
 
 const SEGMENT_PREFIX: &str = "log-";
 
-/// Holds one record of the log. A frame holds a sequence of them.
+/// One record of the log. The body of a frame is a sequence of records.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum LogRecord<'a> {
-    /// Begins a segment.
+    /// First record of each segment; occurs nowhere else.
     Head(SegmentHead),
-    /// Replaces term and vote.
+    /// Replaces the term and the vote.
     HardState(HardState),
-    /// Drops all entries from a position on.
+    /// Removes all entries from this index on.
     Truncate(Revision),
-    /// Appends an entry.
+    /// Appends an entry, whose index must be the next one.
     Append(Cow<'a, LogEntry>),
-    /// Makes a snapshot file count; it is durable already.
+    /// Puts a snapshot into effect. Its file was made durable before this record.
     Snapshot(SnapshotMark),
-    /// Ends a segment: the next one exists.
+    /// Last record of a segment; written once the file of the next segment is durable.
     Sealed,
 }
 
-/// Says what a segment follows, so that a missing one is noticed.
+/// State of the log at the start of a segment. A replay compares it with the end of the
+/// previous segment and so detects missing or foreign segments.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SegmentHead {
-    /// Version of the files' format.
+    /// Version of the on-disk format.
     pub format: u32,
-    /// The cluster that the replica belongs to.
+    /// Cluster that the replica belongs to.
     pub cluster: ClusterId,
-    /// The replica.
+    /// Replica that wrote the segment.
     pub replica: ReplicaId,
-    /// The segment's number.
+    /// Number of the segment, the same as in its file name.
     pub number: u64,
-    /// The position that the next entry has unless a truncation comes first.
+    /// Index of the next entry unless a truncation comes first.
     pub next_index: Revision,
-    /// Term and vote at the segment's beginning.
+    /// Term and vote at the start of the segment.
     pub hard_state: HardState,
-    /// The latest snapshot at the segment's beginning.
+    /// Latest snapshot at the start of the segment; `None` before the first one.
     pub snapshot: Option<SnapshotMark>,
 }
 
-/// Names a snapshot.
+/// Identifies a snapshot by the last entry that it includes.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SnapshotMark {
-    /// The last position that it includes.
+    /// Index of the last entry that the snapshot includes.
     pub index: Revision,
-    /// The term of that position.
+    /// Term of that entry.
     pub term: Term,
 }
 
-/// Returns the name of a segment's file.
+/// Returns the file name of the segment with the given number.
 #[must_use]
 pub fn segment_name(number: u64) -> String {
     format!("{SEGMENT_PREFIX}{number:020}")
 }
 
-/// Returns the number of a segment's file; `None` for other files.
+/// Returns the number of the segment in the file `name`; `None` for other files.
 #[must_use]
 pub fn segment_number(name: &str) -> Option<u64> {
     name.strip_prefix(SEGMENT_PREFIX)?.parse().ok()
 }
 
-/// Returns the name of a snapshot's file.
+/// Returns the file name of a snapshot.
 #[must_use]
 pub fn snapshot_name(mark: SnapshotMark) -> String {
     format!("snapshot-{:020}-{:020}", mark.index.0, mark.term.0)
--- a/server/src/log_replay.rs
+++ b/server/src/log_replay.rs
@@ -1,4 +1,5 @@
-//! Reads a control replica's log back and refuses what can't be trusted.
+//! Replays the log of a control replica at start and rejects a log that may have lost
+//! acknowledged records.
 
 use heatherring_lib::id::Revision;
 use heatherring_lib::raft_message::HardState;
@@ -26,46 +27,47 @@
 use crate::record_codec::decode_frame;
 use crate::record_codec::judge_tail;
 
-/// Tells what of a data folder is damaged.
+/// Kinds of damage of a data folder.
 #[derive(Debug, Eq, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DamagedLog {
-    /// The identity can't be read.
-    #[snafu(display("the identity of the data folder is damaged or of an unknown format"))]
+    /// The identity file is damaged or has another format version.
+    #[snafu(display("the identity file of the data folder is damaged or has an unknown format"))]
     Identity,
-    /// A frame of the log is damaged, and acknowledged records may lie there.
+    /// A frame of the log is damaged and may have held acknowledged records.
     #[snafu(display("the log is damaged in {file} at byte {offset}: {source}"))]
     Frame {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Where the frame starts.
+        /// Position in the file at which the frame starts, in bytes.
         offset: usize,
-        /// What is wrong with it.
+        /// Kind of the damage.
         source: FrameError,
     },
-    /// A frame has the right checksums and doesn't belong where it is.
+    /// A frame has valid checksums, but its number or its records don't follow from the
+    /// frames before it.
     #[snafu(display("the log is damaged in {file} at byte {offset}: frames are out of order"))]
     Order {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Where the frame starts.
+        /// Position in the file at which the frame starts, in bytes.
         offset: usize,
     },
-    /// A file of the log is missing.
+    /// A segment or the current snapshot is missing, or a segment has no frame.
     #[snafu(display("a file of the log is missing: {file}"))]
     Missing {
-        /// The file.
+        /// Name of the file.
         file: String,
     },
-    /// A snapshot can't be read.
+    /// The file of the current snapshot is damaged or holds another snapshot.
     #[snafu(display("the snapshot {file} is damaged"))]
     Snapshot {
-        /// The file.
+        /// Name of the file.
         file: String,
     },
 }
 
-/// Holds what a replay found.
+/// Result of a replay.
 #[derive(Debug)]
 pub(crate) struct Replayed {
     pub(crate) hard_state: HardState,
@@ -78,7 +80,7 @@
     pub(crate) torn: Option<(String, u64)>,
 }
 
-/// Follows the records of the log in order.
+/// State of a replay, which applies the records of the log in order.
 #[derive(Debug, Default)]
 struct Replay {
     hard_state: HardState,
@@ -93,11 +95,13 @@
     torn: Option<(String, u64)>,
 }
 
-/// Reads all segments and the snapshot of a folder with the files `names`.
+/// Reads all segments and the current snapshot of a folder that contains the files
+/// `names`.
 ///
 /// # Errors
 ///
-/// Returns [`DiskError::Damaged`] or [`DiskError::Read`].
+/// Returns [`DiskError::Damaged`] if acknowledged records may be lost, [`DiskError::Read`]
+/// if a file can't be read.
 pub(crate) fn replay<D: Disk>(
     disk: &D,
     identity: &Identity,
@@ -109,10 +113,10 @@
         .collect();
     numbers.sort_unstable();
     let mut replay = Replay::default();
-    for (place, number) in numbers.iter().enumerate() {
+    for (position, number) in numbers.iter().enumerate() {
         let name = segment_name(*number);
         let content = disk.read(&name).context(ReadSnafu)?;
-        let last = place + 1 == numbers.len();
+        let last = position + 1 == numbers.len();
         replay
             .segment(identity, *number, &name, &content, last)
             .context(DamagedSnafu)?;
@@ -200,9 +204,11 @@
         Ok(())
     }
 
-    /// A segment's first frame is written before the file gets its name, so it can't
-    /// be torn. In a segment that has a successor only the seal can be; the number of
-    /// the successor's first frame tells whether anything else is missing.
+    /// Returns whether the bytes from `offset` on are a write that a crash interrupted.
+    ///
+    /// The first frame of a segment can't be torn, since it is written before the file
+    /// gets its final name. In a segment that has a successor, only the seal can be torn;
+    /// the number of the successor's first frame shows whether anything else is missing.
     fn is_torn(&self, content: &[u8], offset: usize, error: &FrameError) -> bool {
         offset > 0 && !self.sealed && judge_tail(content, offset, error) == Tail::Torn
     }
@@ -221,7 +227,8 @@
         Ok(())
     }
 
-    /// Applies the records of a frame; `None` if they don't fit what came before.
+    /// Applies the records of a frame. Returns `None` if they don't follow from the frames
+    /// before it.
     fn frame(
         &mut self,
         identity: &Identity,
@@ -249,11 +256,11 @@
     }
 
     fn head(&mut self, identity: &Identity, segment: u64, head: &SegmentHead) -> Option<()> {
-        let own = head.format == FORMAT_VERSION
+        let matches_identity = head.format == FORMAT_VERSION
             && head.cluster == identity.cluster
             && head.replica == identity.replica
             && head.number == segment;
-        if !own {
+        if !matches_identity {
             return None;
         }
         if self.segments.len() == 1 {
@@ -262,8 +269,8 @@
             self.mark = head.snapshot;
             return Some(());
         }
-        // The seal is written after its successor's head and takes the number before
-        // it, so a crash may have left out the seal, and nothing but the seal.
+        // The seal is written after the head of the next segment but has the frame number
+        // before it. A crash may therefore leave out the seal, but nothing else.
         if !self.predecessor_sealed {
             self.next_frame = self.next_frame.map(|next| next + 1);
         }
--- a/server/src/record_codec.rs
+++ b/server/src/record_codec.rs
@@ -1,61 +1,65 @@
-//! Frames of the control replica's files: length-prefixed, numbered and checksummed.
+//! Encoding of frames in the files of a control replica. A frame has a length prefix, a
+//! number and checksums.
 //!
-//! One frame holds all records that one sync made durable. A frame is thus either
-//! acknowledged as a whole or not at all, and a torn write can only be the last frame.
+//! One frame holds all records that one sync makes durable. A frame is therefore
+//! acknowledged as a whole or not at all, and only the last frame of the log can be torn.
 
 use crc32fast::Hasher;
 use snafu::Snafu;
 
-/// Marks the start and the end of a frame. None of its bytes is zero, so that zeros in
-/// its place mean that nothing was written there.
+/// Magic number at the start and at the end of a frame. None of its bytes is zero, so
+/// zeros in its place show that nothing was written there.
 const MAGIC: u32 = 0x4852_4c31;
 
-/// Bytes of a frame before its body: magic, length, number, body checksum, header checksum.
+/// Size of the header in bytes: magic number, body length, frame number, body checksum and
+/// header checksum.
 const HEADER_BYTES: usize = 24;
 
-/// Bytes of a frame after its body.
+/// Size in bytes of the magic number after the body.
 const TRAILER_BYTES: usize = 4;
 
-/// Bytes of a frame besides its body.
+/// Size in bytes of a frame without its body.
 pub const FRAME_BYTES: usize = HEADER_BYTES + TRAILER_BYTES;
 
-/// The smallest unit that a disk writes as a whole.
+/// Smallest unit that a disk writes atomically, in bytes.
 const SECTOR_BYTES: usize = 512;
 
-/// Zeros in a row, within one sector, that no encoded record holds.
+/// Length in bytes from which an all-zero part of a sector counts as never written. No
+/// encoded record contains so many zeros in a row.
 const MISSING_BYTES: usize = 64;
 
-/// Tells what is wrong with the bytes of a frame.
+/// Reasons for which a frame can't be decoded.
 #[derive(Debug, Eq, PartialEq, Snafu)]
 pub enum FrameError {
-    /// The file ends within the frame.
+    /// The bytes end before the end of the frame.
     #[snafu(display("the file ends within a frame"))]
     Short,
-    /// The frame's header doesn't have its checksum.
+    /// The header has a wrong magic number or checksum.
     #[snafu(display("the header of a frame is damaged"))]
     Header,
-    /// The frame's body doesn't have its checksum.
+    /// The body has a wrong checksum, or the magic number after it is wrong.
     #[snafu(display("the body of a frame is damaged"))]
     Body,
 }
 
-/// Holds a frame that was read back.
+/// A decoded frame.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Frame<'a> {
-    /// The frame's number.
+    /// Number of the frame: consecutive in the log, the index of the last included entry
+    /// in a snapshot, 0 in the identity file.
     pub number: u64,
-    /// What it holds.
+    /// Encoded content.
     pub body: &'a [u8],
-    /// Bytes of the whole frame.
+    /// Size of the whole frame in bytes.
     pub length: usize,
 }
 
-/// Tells whether bytes that hold no whole frame can be cut off.
+/// Whether bytes at the end of a file that are no valid frame can be truncated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Tail {
-    /// The last write was interrupted by a crash, before it was synced.
+    /// A crash interrupted the last write before it was synced; truncating is safe.
     Torn,
-    /// Acknowledged records may lie here.
+    /// The bytes may be acknowledged records and must not be truncated.
     Damaged,
 }
 
@@ -63,7 +67,7 @@
 ///
 /// # Panics
 ///
-/// Panics if the body is 4 GiB or larger, which no batch of records comes near.
+/// Panics if the body is 4 GiB or larger; batches of records are far smaller.
 pub fn encode_frame(number: u64, body: &[u8], buf: &mut Vec<u8>) {
     let length = u32::try_from(body.len()).expect("a frame's body is smaller than 4 GiB");
     let start = buf.len();
@@ -96,11 +100,11 @@
     u64::from_le_bytes(word)
 }
 
-/// Reads the frame at the start of `bytes`.
+/// Decodes the frame at the start of `bytes`.
 ///
 /// # Errors
 ///
-/// Returns a [`FrameError`] if there is no whole frame with the right checksums.
+/// Returns a [`FrameError`] if there is no complete frame with valid checksums.
 pub fn decode_frame(bytes: &[u8]) -> Result<Frame<'_>, FrameError> {
     if bytes.len() < HEADER_BYTES {
         return Err(FrameError::Short);
@@ -129,30 +133,31 @@
     })
 }
 
-/// Judges the end of a file from `offset` on, where no whole frame could be read.
+/// Decides whether the end of a file from `offset` on, where decoding a frame failed with
+/// `error`, is a torn write or damage.
 ///
 /// A write that a crash interrupted leaves a file that ends too early, or sectors that
 /// were never written and read as zeros. Anything else, such as a frame of full length
-/// with a flipped bit, may be a record that was acknowledged: cutting it off would
-/// make the replica forget a vote or a committed entry, which nobody would notice
-/// until two leaders of one term exist or an accepted manifest is gone. Nor is
-/// anything cut off that a whole frame follows, since that frame was written only
-/// after this one was synced.
+/// with a flipped bit, may be an acknowledged record. Truncating it would make the
+/// replica lose a vote or a committed entry, which would go unnoticed until there are two
+/// leaders in one term or an accepted manifest is gone. Bytes that are followed by a
+/// valid frame are not truncated either, since that frame was written only after the
+/// bytes before it were synced.
 #[must_use]
 pub fn judge_tail(file: &[u8], offset: usize, error: &FrameError) -> Tail {
     if has_frame_after(&file[offset..]) {
         return Tail::Damaged;
     }
-    let missing = *error == FrameError::Short || has_unwritten_part(file, offset);
-    if missing { Tail::Torn } else { Tail::Damaged }
+    let is_incomplete = *error == FrameError::Short || has_unwritten_part(file, offset);
+    if is_incomplete { Tail::Torn } else { Tail::Damaged }
 }
 
 fn has_frame_after(bytes: &[u8]) -> bool {
     (1..bytes.len()).any(|start| decode_frame(&bytes[start..]).is_ok())
 }
 
-/// Returns whether a part of the last frame, from one sector's boundary to the next,
-/// was never written.
+/// Returns whether a part of the last frame that lies within one sector was never
+/// written, that is, reads as zeros.
 fn has_unwritten_part(file: &[u8], offset: usize) -> bool {
     let frame = &file[offset..];
     let is_zero = |part: &[u8]| part.iter().all(|byte| *byte == 0);
@@ -164,8 +169,8 @@
         let sector_end = (position / SECTOR_BYTES + 1) * SECTOR_BYTES;
         let part = &file[position..sector_end.min(file.len())];
         let at_end = sector_end >= file.len();
-        let least = if at_end { TRAILER_BYTES } else { MISSING_BYTES };
-        if part.len() >= least && is_zero(part) {
+        let min_length = if at_end { TRAILER_BYTES } else { MISSING_BYTES };
+        if part.len() >= min_length && is_zero(part) {
             return true;
         }
         position = sector_end;
