--- a/server/src/record_codec.rs
+++ b/server/src/record_codec.rs
@@ -148,8 +148,8 @@
     if has_frame_after(&file[offset..]) {
         return Tail::Damaged;
     }
-    let is_incomplete = *error == FrameError::Short || has_unwritten_part(file, offset);
-    if is_incomplete { Tail::Torn } else { Tail::Damaged }
+    let is_torn = *error == FrameError::Short || has_unwritten_part(file, offset);
+    if is_torn { Tail::Torn } else { Tail::Damaged }
 }
 
 fn has_frame_after(bytes: &[u8]) -> bool {
