--- a/server/src/control_node.rs
+++ b/server/src/control_node.rs
@@ -57,7 +57,7 @@
 use crate::published_state::StatePublisher;
 use crate::session_desk::HeldBatch;
 use crate::session_desk::HeldSync;
-use crate::session_desk::SessionDesk;
+use crate::session_desk::LeaderSessions;
 
 /// Largest number of requests handled in one turn, with one sync.
 const MAX_BATCH: usize = 256;
@@ -153,7 +153,7 @@
     /// `None` while a blocking task writes to the disk.
     disk: Option<LogDisk<D>>,
     pub(crate) state: ControlState,
-    pub(crate) sessions: SessionDesk,
+    pub(crate) sessions: LeaderSessions,
     pub(crate) links: PeerLinks,
     effects: Effects,
     pub(crate) pending: SlotMap<PendingKey, Pending>,
@@ -209,7 +209,7 @@
             disk: Some(disk),
             snapshot_index: state.revision(),
             state,
-            sessions: SessionDesk::new(&cfg.timing),
+            sessions: LeaderSessions::new(&cfg.timing),
             links,
             effects: Effects::default(),
             pending: SlotMap::with_key(),
