--- a/server/src/control_node.rs
+++ b/server/src/control_node.rs
@@ -40,6 +40,9 @@
 
 use crate::data_folder::Disk;
 use crate::data_folder::Identity;
+use crate::leader_sessions::HeldBatch;
+use crate::leader_sessions::HeldSync;
+use crate::leader_sessions::LeaderSessions;
 use crate::log_disk::DiskError;
 use crate::log_disk::LogDisk;
 use crate::log_disk::Recovered;
@@ -55,9 +58,6 @@
 use crate::node_request::NodeRequest;
 use crate::peer_links::PeerLinks;
 use crate::published_state::StatePublisher;
-use crate::session_desk::HeldBatch;
-use crate::session_desk::HeldSync;
-use crate::session_desk::LeaderSessions;
 
 /// Largest number of requests handled in one turn, with one sync.
 const MAX_BATCH: usize = 256;
--- a/server/tests/test_session_desk.rs
+++ b/server/tests/test_session_desk.rs
@@ -14,13 +14,13 @@
 use heatherring_lib::session_relay::Acknowledgement;
 use heatherring_lib::settings::ControlTiming;
 use heatherring_lib::view::EntryInfo;
+use heatherring_server::leader_sessions::HeldBatch;
+use heatherring_server::leader_sessions::HeldSync;
+use heatherring_server::leader_sessions::LeaderSessions;
 use heatherring_server::node_request::BatchAnswer;
 use heatherring_server::node_request::SyncAnswer;
 use heatherring_server::node_request::SyncCall;
 use heatherring_server::node_request::SyncSubject;
-use heatherring_server::session_desk::HeldBatch;
-use heatherring_server::session_desk::HeldSync;
-use heatherring_server::session_desk::LeaderSessions;
 use tokio::sync::oneshot;
 
 const DIRECT: SessionId = SessionId(1);
