--- a/server/src/peer_channel.rs
+++ b/server/src/peer_channel.rs
@@ -1,4 +1,4 @@
-//! Channels between the system's processes, and marks on what travels over them.
+//! gRPC channels between the processes of the system, and the metadata keys used on them.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -9,35 +9,38 @@
 use crate::peer_security::PeerSecurity;
 use crate::peer_security::PeerSecurityError;
 
-/// Names the metadata in which a replica says where it listens.
+/// Metadata key under which a control replica sends the address that it listens on.
 pub const SENDER_ADDRESS: &str = "heatherring-address";
 
-/// Names the metadata of a request that a follower has passed on to its leader. It is
-/// not passed on again: two replicas that each take the other one for the leader would
-/// otherwise hand a request to and fro until its deadline.
+/// Metadata key that marks a request which a follower has relayed to its leader. Such a
+/// request is not relayed again: two replicas that each consider the other one the leader
+/// would otherwise send it back and forth until its deadline.
 pub const PASSED_ON: &str = "heatherring-passed-on";
 
-/// Says how long a channel waits for its peer.
+/// Timeouts and ping interval of a channel.
 #[derive(Clone, Copy, Debug)]
 pub struct ChannelTimes {
-    /// Bound on opening the connection.
+    /// Timeout for opening the connection.
     pub connect: Duration,
-    /// Time between pings.
+    /// Interval between HTTP/2 keep-alive pings.
     pub ping_interval: Duration,
-    /// How long the answer to a ping may take.
+    /// Time within which a ping must be answered; the connection is closed otherwise.
     pub ping_timeout: Duration,
 }
 
 impl ChannelTimes {
-    /// Between control replicas: a silent one must be left within an election's time.
+    /// Times between control replicas: a connection to a silent replica must be given up
+    /// within the time of an election.
     const CONTROL: Self = Self {
         connect: Duration::from_secs(1),
         ping_interval: Duration::from_secs(1),
         ping_timeout: Duration::from_secs(1),
     };
 
-    /// To and from entry VMs, which have many channels and leave a silent peer by the
-    /// timeouts of their calls; pings only free what a vanished one holds.
+    /// Returns the times of channels to and from entry VMs.
+    ///
+    /// Entry VMs have many channels and detect a silent peer by the timeouts of their
+    /// calls. The pings only free the resources of connections to a peer that is gone.
     #[must_use]
     pub const fn entry(connect: Duration) -> Self {
         Self {
@@ -57,7 +60,8 @@
 }
 
 impl PeerChannels {
-    /// Creates connections that prove what `security` asks for.
+    /// Creates channels that are secured as `security` says, with the times between control
+    /// replicas.
     #[must_use]
     pub const fn new(security: PeerSecurity) -> Self {
         Self {
@@ -67,16 +71,16 @@
         }
     }
 
-    /// Takes other times than those between control replicas.
+    /// Replaces the times, which are those between control replicas by default.
     #[must_use]
     pub const fn waiting(mut self, times: ChannelTimes) -> Self {
         self.times = times;
         self
     }
 
-    /// Makes connections leave from `local`, the address that this process listens on,
-    /// so that peers and packet filters see one address for each VM. An unspecified
-    /// address leaves the choice to the system.
+    /// Sets `local`, the address that this process listens on, as the source address of
+    /// connections, so that peers and packet filters see one address for each VM. With an
+    /// unspecified address the operating system chooses.
     #[must_use]
     pub fn leaving_from(self, local: IpAddr) -> Self {
         Self {
@@ -85,11 +89,13 @@
         }
     }
 
-    /// Creates a channel that connects when it is first used, and again after a break.
+    /// Creates a channel that connects on first use and reconnects after a connection is
+    /// lost.
     ///
     /// # Errors
     ///
-    /// Returns an error if the address makes no endpoint, or isn't allowed.
+    /// Returns an error if the security settings don't allow the address, or if no endpoint
+    /// can be created for it.
     pub fn lazy(&self, address: SocketAddr) -> Result<Channel, PeerSecurityError> {
         let endpoint = self
             .security
--- a/server/src/peer_client.rs
+++ b/server/src/peer_client.rs
@@ -1,7 +1,7 @@
-//! Messages to other entry VMs.
+//! Client for messages to other entry VMs.
 //!
-//! One task owns the channels. A slow peer gets only the newest digest; releases are
-//! kept until they are delivered or their session is gone.
+//! One task owns the channels. For a slow peer only the newest digest is kept; releases
+//! are kept until they are delivered or the peer's session has ended.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,13 +27,13 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time after which a message to a peer counts as lost.
+/// Time after which a message to a peer that has not been answered counts as lost.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after a failed message.
+/// Pause after a failed message before the next attempt.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Tells the owner of decisions how long a peer's answer took.
+/// Reports the round trip time of each answered digest, with the session of the peer.
 pub type RoundTrips = mpsc::UnboundedSender<(SessionId, Duration)>;
 
 #[derive(Debug)]
@@ -44,14 +44,15 @@
     Channel(SessionId, oneshot::Sender<Option<Channel>>),
 }
 
-/// Reaches the task.
+/// Handle of the task that owns the channels.
 #[derive(Clone, Debug)]
 pub struct PeerClients {
     tx: mpsc::UnboundedSender<Message>,
 }
 
 impl PeerClients {
-    /// Starts the task of the entry VM `vm`.
+    /// Starts the task for this process, which runs on the entry VM `vm`. It ends when all
+    /// clones of the handle are dropped.
     #[must_use]
     pub fn spawn(vm: VmName, security: PeerSecurity, round_trips: RoundTrips) -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
@@ -66,12 +67,13 @@
         Self { tx }
     }
 
-    /// Follows the sessions of a view; `own` is this process's.
+    /// Opens channels to the new sessions of a view and closes those of sessions that are
+    /// not in it. `own` is the session of this process.
     pub fn apply_view(&self, own: SessionId, view: Arc<ControlView>) {
-        self.tell(Message::View(own, view));
+        self.send(Message::View(own, view));
     }
 
-    /// Sends a digest to all peers; a newer one replaces one that still waits.
+    /// Sends a digest to all peers. It replaces an older one that has not been sent yet.
     pub fn send_digest(&self, digest: &LoadDigest) {
         let Ok(digest_encoded) = postcard::to_stdvec(digest) else {
             return;
@@ -81,22 +83,24 @@
             session: digest.session.0,
             digest_encoded,
         };
-        self.tell(Message::Digest(Arc::new(request)));
+        self.send(Message::Digest(Arc::new(request)));
     }
 
-    /// Sends a release to a new owner, until it is delivered.
+    /// Sends a release to the new owner, and repeats it until it is delivered or the
+    /// owner's session has ended.
     pub fn send_release(&self, to: SessionId, release: Release) {
-        self.tell(Message::Release(to, release));
+        self.send(Message::Release(to, release));
     }
 
-    /// Returns the channel to the entry VM of a session, if the view has it.
+    /// Returns the channel to the entry VM of a session; `None` if the latest view doesn't
+    /// contain the session, it is this process's own, or its address isn't allowed.
     pub async fn channel(&self, session: SessionId) -> Option<Channel> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Channel(session, reply));
+        self.send(Message::Channel(session, reply));
         answer.await.ok().flatten()
     }
 
-    fn tell(&self, message: Message) {
+    fn send(&self, message: Message) {
         let _ = self.tx.send(message);
     }
 }
@@ -106,8 +110,8 @@
     channel: Channel,
     digest: watch::Sender<Option<Arc<DigestRequest>>>,
     releases: mpsc::UnboundedSender<ReleaseRequest>,
-    _digests: AbortOnDropHandle<()>,
-    _releases: AbortOnDropHandle<()>,
+    _digests_task: AbortOnDropHandle<()>,
+    _releases_task: AbortOnDropHandle<()>,
 }
 
 struct PeerTask {
@@ -150,7 +154,7 @@
                     self.peers.insert(*id, peer);
                 }
                 Err(error) => {
-                    log::error!(event = "peer_refused", peer = session.info.vm.as_str(), error = error.to_string().as_str(); "can't talk to another entry VM");
+                    log::error!(event = "peer_refused", peer = session.info.vm.as_str(), error = error.to_string().as_str(); "cannot open a channel to another entry VM");
                 }
             }
         }
@@ -160,14 +164,14 @@
         let (digest, digest_rx) = watch::channel(None);
         let (releases, releases_rx) = mpsc::unbounded_channel();
         let client = PeerClient::new(channel.clone());
-        let digests = send_digests(client.clone(), id, digest_rx, self.round_trips.clone());
-        let sending = send_releases(client, releases_rx);
+        let digests_task = send_digests(client.clone(), id, digest_rx, self.round_trips.clone());
+        let releases_task = send_releases(client, releases_rx);
         Peer {
             channel,
             digest,
             releases,
-            _digests: AbortOnDropHandle::new(tokio::spawn(digests)),
-            _releases: AbortOnDropHandle::new(tokio::spawn(sending)),
+            _digests_task: AbortOnDropHandle::new(tokio::spawn(digests_task)),
+            _releases_task: AbortOnDropHandle::new(tokio::spawn(releases_task)),
         }
     }
 
--- a/server/src/peer_links.rs
+++ b/server/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! Links from a control replica to the others: one task and one bounded queue each.
+//! Links from a control replica to the others. Each link has a task and a bounded queue.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,22 +23,22 @@
 use crate::proto::PeerMessage;
 use crate::proto::replication_client::ReplicationClient;
 
-/// Messages that wait for one replica; more are dropped, as the protocol allows.
+/// Capacity of the queue of one link. Further messages are dropped, which Raft tolerates.
 const QUEUE_LENGTH: usize = 256;
 
-/// Messages on their way to one replica at a time.
+/// Maximum number of unanswered messages to one replica.
 const MAX_IN_FLIGHT: usize = 32;
 
-/// Time after which a message counts as lost and the connection as broken.
+/// Time after which an unanswered message counts as lost and the connection as failed.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 const FIRST_BACKOFF: Duration = Duration::from_millis(20);
 const LONGEST_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Largest message between replicas, in bytes.
+/// Maximum size of a message between control replicas, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 128 << 20;
 
-/// Sends messages to other replicas.
+/// Sends messages to other control replicas.
 #[derive(Debug)]
 pub struct PeerLinks {
     cluster: ClusterId,
@@ -46,21 +46,22 @@
     own_address: SocketAddr,
     channels: PeerChannels,
     links: BTreeMap<ReplicaId, Link>,
-    /// Addresses as senders named them. A new replica must answer the leader before it
-    /// has the log entry that says where the leader is.
-    named: BTreeMap<ReplicaId, SocketAddr>,
+    /// Addresses that senders have reported for themselves. A new replica must answer the
+    /// leader before it has the log entry with the leader's address.
+    reported: BTreeMap<ReplicaId, SocketAddr>,
 }
 
 #[derive(Debug)]
 struct Link {
     address: SocketAddr,
-    /// For requests that are passed on.
+    /// Channel for requests that are relayed to the leader.
     channel: Channel,
     tx: mpsc::Sender<Message>,
 }
 
 impl PeerLinks {
-    /// Creates links without any peer.
+    /// Creates the set of links, which is empty at first. `own_address` is sent with each
+    /// message, so that the receiver can answer.
     #[must_use]
     pub const fn new(
         cluster: ClusterId,
@@ -74,16 +75,17 @@
             own_address,
             channels,
             links: BTreeMap::new(),
-            named: BTreeMap::new(),
+            reported: BTreeMap::new(),
         }
     }
 
-    /// Notes where a sender says that it listens.
+    /// Records the address that a sender has reported for itself.
     pub fn name(&mut self, replica: ReplicaId, address: SocketAddr) {
-        self.named.insert(replica, address);
+        self.reported.insert(replica, address);
     }
 
-    /// Drops links to replicas that are no members, or that are elsewhere now.
+    /// Drops the links to replicas whose address in `membership` differs from the link's, and
+    /// to this replica itself. Links to replicas that aren't members are kept.
     pub fn retain_members(&mut self, membership: &Membership) {
         let own = self.own;
         self.links.retain(|replica, link| {
@@ -92,7 +94,7 @@
         });
     }
 
-    /// Queues a message; drops it if the queue is full or the address is unknown.
+    /// Queues a message. Drops it if the queue is full or the replica's address is unknown.
     pub fn send(&mut self, membership: &Membership, to: ReplicaId, message: Message) {
         let Some(link) = self.link(membership, to) else {
             log::debug!(to = to.0; "dropped a message: the replica's address is unknown");
@@ -103,7 +105,8 @@
         }
     }
 
-    /// Returns a connection to a replica for requests that are passed on.
+    /// Returns the channel to a replica for requests that are relayed to it; `None` if it is
+    /// this replica or its address is unknown.
     pub fn leader_link(
         &mut self,
         membership: &Membership,
@@ -121,8 +124,8 @@
     }
 
     fn link(&mut self, membership: &Membership, to: ReplicaId) -> Option<&Link> {
-        let named = self.named.get(&to).copied();
-        let address = member_address(membership, to).or(named)?;
+        let reported = self.reported.get(&to).copied();
+        let address = member_address(membership, to).or(reported)?;
         let known = self.links.get(&to).is_some_and(|l| l.address == address);
         if !known {
             let link = self.open(to, address)?;
@@ -157,7 +160,7 @@
     Some(info.address)
 }
 
-/// Owns the connection to one replica.
+/// Task that owns the connection to one replica.
 #[derive(Debug)]
 struct Sender {
     cluster: ClusterId,
@@ -169,27 +172,29 @@
 }
 
 impl Sender {
-    /// Sends until the queue is closed. A failed delivery drops the connection, since a
-    /// cut path keeps an established one silent for minutes.
+    /// Sends messages until the queue is closed. Drops the connection after a failed
+    /// delivery, since an established connection over an interrupted network path may stay
+    /// silent for minutes.
     async fn run(self, mut rx: mpsc::Receiver<Message>) {
         let mut backoff = FIRST_BACKOFF;
         while let Ok(channel) = self.channels.lazy(self.address) {
-            let delivered = match self.serve(channel, &mut rx).await {
+            let failure = match self.serve(channel, &mut rx).await {
                 Ok(()) => return,
-                Err(failure) => failure,
+                Err(link_failure) => link_failure,
             };
-            if delivered.any {
+            if failure.any_delivered {
                 backoff = FIRST_BACKOFF;
             }
             log::debug!(
                 to = self.to.0,
                 address:% = self.address,
-                error:% = delivered.status.message();
+                error:% = failure.status.message();
                 "link to a replica failed"
             );
             tokio::time::sleep(backoff).await;
             backoff = (backoff * 2).min(LONGEST_BACKOFF);
-            // What waited meanwhile is stale; the protocol repeats what matters.
+            // Discards the messages queued during the pause: they are outdated, and Raft
+            // repeats what is still needed.
             while rx.try_recv().is_ok() {}
         }
     }
@@ -203,7 +208,7 @@
             .max_decoding_message_size(MAX_MESSAGE_BYTES)
             .max_encoding_message_size(MAX_MESSAGE_BYTES);
         let mut in_flight = FuturesUnordered::new();
-        let mut any = false;
+        let mut any_delivered = false;
         loop {
             tokio::select! {
                 message = rx.recv(), if in_flight.len() < MAX_IN_FLIGHT => {
@@ -211,8 +216,8 @@
                     in_flight.push(self.deliver(client.clone(), message));
                 }
                 Some(result) = in_flight.next() => {
-                    let () = result.map_err(|status| LinkFailure { any, status })?;
-                    any = true;
+                    let () = result.map_err(|status| LinkFailure { any_delivered, status })?;
+                    any_delivered = true;
                 }
             }
         }
@@ -243,10 +248,10 @@
     }
 }
 
-/// Tells how a connection ended.
+/// How a connection failed.
 #[derive(Debug)]
 struct LinkFailure {
-    /// Whether anything was delivered before.
-    any: bool,
+    /// Whether at least one message was delivered before the failure.
+    any_delivered: bool,
     status: Status,
 }
--- a/server/src/peer_security.rs
+++ b/server/src/peer_security.rs
@@ -1,9 +1,9 @@
-//! Proof of belonging between the system's processes, and of its operators.
+//! Mutual authentication between the processes of the system, and of operators.
 //!
-//! Without it anyone who reaches a port could submit a manifest, take a session or
-//! forward requests under another origin. One would notice by records in the audit
-//! trail that no operator made. With TLS on both ends a peer without a certificate of
-//! the deployment's authority gets no further than the handshake.
+//! Without it, anyone who can reach a port could submit a manifest, take over a session or
+//! forward requests under another origin. The only sign would be records in the audit
+//! trail that no operator has caused. With mutual TLS, the handshake fails for a peer
+//! without a certificate of the deployment's certificate authority.
 
 use std::fmt;
 use std::fs;
@@ -40,92 +40,93 @@
 use tonic::transport::Server;
 use tonic::transport::ServerTlsConfig;
 
-/// The DNS name that every process's certificate is made out to. Which process
-/// answers is settled by its address; the certificate proves the deployment.
+/// DNS name in the certificates of all processes. A process is identified by its address;
+/// the certificate only proves that it belongs to the deployment.
 pub const CERTIFICATE_NAME: &str = "heatherring";
 
-/// Bound on a TLS handshake, so that a silent peer holds a socket only this long.
+/// Timeout of a TLS handshake. It limits how long a silent peer can occupy a socket.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Protocol name of HTTP/2 in the TLS handshake.
+/// ALPN protocol name of HTTP/2.
 const ALPN_H2: &[u8] = b"h2";
 
-/// Tells why security can't be set up or a handshake failed.
+/// Reasons for which TLS can't be set up, an address is rejected or a handshake failed.
 #[derive(Debug, Snafu)]
 pub enum PeerSecurityError {
-    /// A file of the settings can't be read.
+    /// A file named in the settings can't be read.
     #[snafu(display("cannot read {}: {source}", path.display()))]
     ReadFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file holds no PEM of the kind expected.
-    #[snafu(display("{} holds no usable {expected} in PEM: {source}", path.display()))]
+    /// A file contains no valid PEM section of the expected kind.
+    #[snafu(display("{} contains no valid {expected} in PEM format: {source}", path.display()))]
     Pem {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What it should hold.
+        /// Kind of section that was expected.
         expected: &'static str,
-        /// What the parser said.
+        /// Error of the PEM parser.
         source: rustls::pki_types::pem::Error,
     },
-    /// The authority file holds no certificate.
-    #[snafu(display("{} holds no certificate", path.display()))]
+    /// The file of the certificate authority contains no usable certificate.
+    #[snafu(display("{} contains no usable certificate", path.display()))]
     NoAuthority {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The certificate and the key don't fit together, or the library refuses them.
-    #[snafu(display("the TLS identity can't be used: {source}"))]
+    /// The certificate and the key don't match, or the TLS library rejects them.
+    #[snafu(display("the TLS certificate and key cannot be used: {source}"))]
     Identity {
-        /// What the library said.
+        /// Error of the TLS library.
         source: rustls::Error,
     },
-    /// The authority can't be used to verify peers.
-    #[snafu(display("the authority can't verify peers: {source}"))]
+    /// The certificates of the authority can't be used to verify peers.
+    #[snafu(display("the certificate authority cannot be used to verify peers: {source}"))]
     Verifier {
-        /// What the library said.
+        /// Error of the TLS library.
         source: rustls::server::VerifierBuilderError,
     },
-    /// The gRPC library refuses the TLS settings.
-    #[snafu(display("gRPC over TLS can't be set up: {source}"))]
+    /// The gRPC library rejects the TLS settings.
+    #[snafu(display("gRPC over TLS cannot be set up: {source}"))]
     Grpc {
-        /// What the library said.
+        /// Error of the gRPC library.
         source: tonic::transport::Error,
     },
-    /// An address makes no endpoint.
-    #[snafu(display("{address} makes no endpoint: {source}"))]
+    /// No gRPC endpoint can be created for an address.
+    #[snafu(display("cannot create an endpoint for {address}: {source}"))]
     EndpointAddress {
-        /// The address.
+        /// The rejected address.
         address: SocketAddr,
-        /// What the library said.
+        /// Error of the gRPC library.
         source: tonic::transport::Error,
     },
-    /// The peer proved nothing, or broke off.
+    /// The peer presented no valid certificate or closed the connection.
     #[snafu(display("TLS handshake failed: {source}"))]
     Handshake {
-        /// What the library said.
+        /// Error of the TLS library or the operating system.
         source: io::Error,
     },
-    /// The peer was silent.
+    /// The peer did not complete the handshake in time.
     #[snafu(display("TLS handshake took longer than {} s", HANDSHAKE_TIMEOUT.as_secs()))]
     HandshakeTimeout,
-    /// Open protocols were asked for on an address that others can reach.
+    /// The settings turn TLS off for loopback addresses only, and the address is not a
+    /// loopback address.
     #[snafu(display("{address} is no loopback address; security open_loopback allows only those"))]
     NotLoopback {
-        /// The address.
+        /// The rejected address.
         address: SocketAddr,
     },
 }
 
-/// A byte stream, in the clear or under TLS.
+/// A byte stream to or from a peer, with or without TLS.
 pub trait PeerStream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> PeerStream for T {}
 
-/// Sets up both ends of the connections between the system's processes.
+/// Security of the connections between the processes of the system, for both ends.
 #[derive(Clone)]
 pub struct PeerSecurity {
     mode: Mode,
@@ -147,7 +148,7 @@
 }
 
 impl fmt::Debug for PeerSecurity {
-    // Keys must not reach a log through a derived implementation.
+    // A derived implementation would write the private key to logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self.mode {
             Mode::OpenLoopback => "PeerSecurity(OpenLoopback)",
@@ -158,11 +159,11 @@
 }
 
 impl PeerSecurity {
-    /// Reads what the settings name.
+    /// Reads the certificates and the key that the settings name.
     ///
     /// # Errors
     ///
-    /// Fails if a file can't be read or used.
+    /// Fails if a file can't be read or its content can't be used.
     pub fn from_settings(security: &Security) -> Result<Self, PeerSecurityError> {
         let mode = match security {
             Security::OpenLoopback => Mode::OpenLoopback,
@@ -172,7 +173,7 @@
         Ok(Self { mode })
     }
 
-    /// Returns open protocols, for processes that live on loopback only.
+    /// Returns a configuration without TLS that allows loopback addresses only.
     #[must_use]
     pub const fn open_loopback() -> Self {
         Self {
@@ -180,11 +181,11 @@
         }
     }
 
-    /// Checks that an address may be listened on or connected to.
+    /// Checks that the settings allow listening on or connecting to an address.
     ///
     /// # Errors
     ///
-    /// Fails if the protocols are open and the address isn't a loopback address.
+    /// Fails if TLS is turned off for loopback addresses only and the address isn't one.
     pub fn check_address(&self, address: SocketAddr) -> Result<(), PeerSecurityError> {
         match self.mode {
             Mode::OpenLoopback if !address.ip().is_loopback() => {
@@ -194,11 +195,11 @@
         }
     }
 
-    /// Returns the endpoint of a peer's gRPC server; connecting is up to the caller.
+    /// Returns the endpoint of a peer's gRPC server, without connecting to it.
     ///
     /// # Errors
     ///
-    /// Fails if the address isn't allowed or the library refuses the settings.
+    /// Fails if the address isn't allowed or the gRPC library rejects the settings.
     pub fn endpoint(&self, address: SocketAddr) -> Result<Endpoint, PeerSecurityError> {
         self.check_address(address)?;
         match &self.mode {
@@ -213,11 +214,12 @@
         }
     }
 
-    /// Returns a gRPC server that takes only peers of the deployment.
+    /// Returns a builder of a gRPC server. With TLS, the server accepts only peers that have
+    /// a certificate of the deployment's authority.
     ///
     /// # Errors
     ///
-    /// Fails if the library refuses the settings.
+    /// Fails if the gRPC library rejects the settings.
     pub fn grpc_server(&self) -> Result<Server, PeerSecurityError> {
         match &self.mode {
             Mode::OpenLoopback | Mode::OpenNetwork => Ok(Server::builder()),
@@ -227,11 +229,13 @@
         }
     }
 
-    /// Proves both ends of a connection that this process opened.
+    /// Performs the TLS handshake, which authenticates both ends, on a connection that this
+    /// process has opened. Returns the stream unchanged if TLS is off.
     ///
     /// # Errors
     ///
-    /// Fails if the peer isn't of the deployment, breaks off or is silent.
+    /// Fails if the peer has no valid certificate, closes the connection or doesn't complete
+    /// the handshake in time.
     ///
     /// # Panics
     ///
@@ -254,11 +258,13 @@
         Ok(Box::new(stream))
     }
 
-    /// Proves both ends of a connection that a peer opened.
+    /// Performs the TLS handshake, which authenticates both ends, on a connection that a
+    /// peer has opened. Returns the stream unchanged if TLS is off.
     ///
     /// # Errors
     ///
-    /// Fails if the peer isn't of the deployment, breaks off or is silent.
+    /// Fails if the peer has no valid certificate, closes the connection or doesn't complete
+    /// the handshake in time.
     pub async fn accept(
         &self,
         stream: TcpStream,
--- a/server/src/peer_service.rs
+++ b/server/src/peer_service.rs
@@ -1,4 +1,4 @@
-//! Takes messages of other entry VMs.
+//! gRPC service that receives the messages of other entry VMs.
 
 use std::sync::Arc;
 
@@ -23,21 +23,21 @@
 use crate::proto::ResolveActionRequest;
 use crate::proto::peer_server::Peer;
 
-/// Answers other entry VMs.
+/// Implements the gRPC service `Peer` for other entry VMs.
 #[derive(Clone, Debug)]
 pub struct PeerService {
     cx: Arc<EntryContext>,
 }
 
 impl PeerService {
-    /// Answers with what `cx` holds.
+    /// Creates the service, which answers from the shared state `cx`.
     #[must_use]
     pub const fn new(cx: Arc<EntryContext>) -> Self {
         Self { cx }
     }
 }
 
-fn unreadable(error: &postcard::Error) -> Status {
+fn invalid_message(error: &postcard::Error) -> Status {
     Status::invalid_argument(error.to_string())
 }
 
@@ -48,7 +48,7 @@
         request: Request<DigestRequest>,
     ) -> Result<Response<DigestReply>, Status> {
         let digest: LoadDigest = postcard::from_bytes(&request.into_inner().digest_encoded)
-            .map_err(|error| unreadable(&error))?;
+            .map_err(|error| invalid_message(&error))?;
         self.cx.admission.take_digest(digest);
         Ok(Response::new(DigestReply {}))
     }
@@ -59,10 +59,10 @@
     ) -> Result<Response<AnnounceReply>, Status> {
         let encoded = request.into_inner().announcement_encoded;
         let announcement: Announcement =
-            postcard::from_bytes(&encoded).map_err(|error| unreadable(&error))?;
-        let taken = self.cx.admission.announce(announcement).await;
+            postcard::from_bytes(&encoded).map_err(|error| invalid_message(&error))?;
+        let outcome = self.cx.admission.announce(announcement).await;
         Ok(Response::new(AnnounceReply {
-            taken: matches!(taken, Some(Ok(()))),
+            taken: matches!(outcome, Some(Ok(()))),
             owner_vm: self.cx.info.vm.as_str().to_owned(),
             owner_address: self.cx.info.backend_servers.to_string(),
         }))
@@ -74,7 +74,7 @@
     ) -> Result<Response<ReleaseReply>, Status> {
         for encoded in request.into_inner().releases_encoded {
             let release: Release =
-                postcard::from_bytes(&encoded).map_err(|error| unreadable(&error))?;
+                postcard::from_bytes(&encoded).map_err(|error| invalid_message(&error))?;
             self.cx.admission.take_release(release);
         }
         Ok(Response::new(ReleaseReply {}))
--- a/server/src/replication_service.rs
+++ b/server/src/replication_service.rs
@@ -1,4 +1,4 @@
-//! Takes the messages of other control replicas.
+//! gRPC service that receives the messages of other control replicas.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 use crate::proto::PeerMessage;
 use crate::proto::replication_server::Replication;
 
-/// Hands messages to the task that owns the replica.
+/// Checks messages and passes them to the task that owns the replica's state.
 #[derive(Clone, Debug)]
 pub struct ReplicationService {
     identity: Identity,
@@ -23,27 +23,27 @@
 }
 
 impl ReplicationService {
-    /// Creates the service of a replica.
+    /// Creates the service of the replica with the given identity.
     #[must_use]
     pub const fn new(identity: Identity, node: NodeHandle) -> Self {
         Self { identity, node }
     }
 
-    /// Checks that a message is meant for this life of this replica.
+    /// Checks that a message is addressed to this cluster and to this replica identity.
     ///
-    /// A replica whose folder was lost and that took over the address of its former
-    /// self would otherwise answer in its name, and count towards a quorum with a log
-    /// and votes that it no longer has.
+    /// A replica that has lost its data folder and was set up anew at the same address has
+    /// another identity. Without the check it would answer under the old identity and
+    /// count towards a quorum with a log and votes that it no longer has.
     fn check(&self, message: &PeerMessage) -> Result<(), Status> {
         if message.cluster_id != self.identity.cluster.0 {
-            log::warn!(from = message.from; "refused a message of another cluster");
+            log::warn!(from = message.from; "rejected a message from another cluster");
             return Err(Status::failed_precondition("another cluster"));
         }
         if message.to != self.identity.replica.0 {
             log::warn!(
                 from = message.from,
                 to = message.to;
-                "refused a message to another replica identity"
+                "rejected a message to another replica identity"
             );
             return Err(Status::failed_precondition("another replica identity"));
         }
