--- a/server/src/data_folder.rs
+++ b/server/src/data_folder.rs
@@ -189,8 +189,7 @@
         })
     }
 
-    /// Returns the file `name`, open_for_append for appending. The most recently used file stays
-    /// open.
+    /// Returns the file `name`, opened for appending. The most recently used file stays open.
     fn open_for_append(&mut self, name: &str) -> io::Result<&mut File> {
         let reusable = self.open.as_ref().is_some_and(|(open, _)| open == name);
         if !reusable {
