--- a/server/tests/direct_support/backend.rs
+++ b/server/tests/direct_support/backend.rs
@@ -1,4 +1,4 @@
-//! Small backend servers that behave as told.
+//! Minimal backend servers whose behaviour a test selects.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,34 +19,34 @@
 
 use super::HEALTH_PATH;
 
-/// Says how a backend server treats requests.
+/// How a backend server treats requests other than health checks.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Behaviour {
-    /// Answers them.
+    /// Runs them and answers with status 200.
     Answer,
-    /// Turns them away without running them.
+    /// Refuses them with 503 and `not_run`, without running them.
     Shed,
-    /// Runs them and breaks the connection.
+    /// Runs them and closes the connection without an answer.
     Break,
-    /// Runs them and answers in the name of another request.
+    /// Runs them and answers with the ID of another request.
     Foreign,
     /// Runs them and never answers.
     Hang,
 }
 
-/// A backend server of one connection handler and no load.
+/// A backend server that runs as a task of the test and is stopped when dropped.
 pub struct Backend {
     pub name: String,
     pub address: SocketAddr,
     pub runs: Arc<AtomicU32>,
-    /// How long it says that it stays cold.
+    /// Remaining cold phase that health checks report, in milliseconds; 0 when warm.
     cold_ms: Arc<AtomicU32>,
-    /// How often it said so.
-    told_cold: Arc<AtomicU32>,
+    /// Number of health checks that reported a cold phase.
+    cold_replies: Arc<AtomicU32>,
     behaviour: Arc<Mutex<Behaviour>>,
-    /// The time for its answer that the latest request named, in milliseconds.
-    told_ms: Arc<AtomicU32>,
-    /// The headers of the latest request that wasn't a health check.
+    /// Value of `heatherring-deadline-ms` on the latest request that had one.
+    last_deadline_ms: Arc<AtomicU32>,
+    /// Headers of the latest request that was not a health check.
     headers: Arc<Mutex<HeaderMap>>,
     task: JoinHandle<()>,
 }
@@ -57,34 +57,34 @@
         let runs = Arc::new(AtomicU32::new(0));
         let behaviour = Arc::new(Mutex::new(Behaviour::Answer));
         let cold_ms = Arc::new(AtomicU32::new(0));
-        let told_ms = Arc::new(AtomicU32::new(0));
+        let last_deadline_ms = Arc::new(AtomicU32::new(0));
         let headers = Arc::new(Mutex::new(HeaderMap::new()));
         let shared = (
             Arc::clone(&runs),
             Arc::clone(&behaviour),
-            Arc::clone(&told_ms),
+            Arc::clone(&last_deadline_ms),
             Arc::clone(&headers),
         );
-        let told_cold = Arc::new(AtomicU32::new(0));
+        let cold_replies = Arc::new(AtomicU32::new(0));
         let health = (
             name.to_owned(),
             Arc::clone(&cold_ms),
-            Arc::clone(&told_cold),
+            Arc::clone(&cold_replies),
         );
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (runs, behaviour, told_ms, headers) = shared.clone();
-                let (name, cold_ms, told_cold) = health.clone();
+                let (runs, behaviour, last_deadline_ms, headers) = shared.clone();
+                let (name, cold_ms, cold_replies) = health.clone();
                 let service = service_fn(move |req: Request<Incoming>| {
                     let behaviour = *behaviour.lock().unwrap();
                     let runs = Arc::clone(&runs);
-                    if let Some(told) = req.headers().get("heatherring-deadline-ms") {
-                        let told = told.to_str().unwrap().parse().unwrap();
-                        told_ms.store(told, Ordering::SeqCst);
+                    if let Some(deadline) = req.headers().get("heatherring-deadline-ms") {
+                        let deadline = deadline.to_str().unwrap().parse().unwrap();
+                        last_deadline_ms.store(deadline, Ordering::SeqCst);
                     }
                     let health = (req.uri().path() == HEALTH_PATH).then(|| {
                         let cold_ms = cold_ms.load(Ordering::SeqCst);
-                        told_cold.fetch_add(u32::from(cold_ms > 0), Ordering::SeqCst);
+                        cold_replies.fetch_add(u32::from(cold_ms > 0), Ordering::SeqCst);
                         health_answer(&name, cold_ms)
                     });
                     if health.is_none() {
@@ -111,9 +111,9 @@
             address,
             runs,
             cold_ms,
-            told_cold,
+            cold_replies,
             behaviour,
-            told_ms,
+            last_deadline_ms,
             headers,
             task,
         }
@@ -127,16 +127,16 @@
         self.cold_ms.store(cold_ms, Ordering::SeqCst);
     }
 
-    pub fn told_cold(&self) -> u32 {
-        self.told_cold.load(Ordering::SeqCst)
+    pub fn cold_replies(&self) -> u32 {
+        self.cold_replies.load(Ordering::SeqCst)
     }
 
-    pub fn told_ms(&self) -> u32 {
-        self.told_ms.load(Ordering::SeqCst)
+    pub fn last_deadline_ms(&self) -> u32 {
+        self.last_deadline_ms.load(Ordering::SeqCst)
     }
 
-    /// Returns the values of a header of the latest request.
-    pub fn told(&self, name: &str) -> Vec<String> {
+    /// Returns all values of a header of the latest request that was not a health check.
+    pub fn header_values(&self, name: &str) -> Vec<String> {
         let headers = self.headers.lock().unwrap();
         let values = headers.get_all(name).iter();
         values
@@ -155,7 +155,7 @@
     }
 }
 
-/// Ends a connection in place of an answer.
+/// Makes hyper close a connection without an answer.
 #[derive(Debug)]
 pub(super) struct Broken;
 
--- a/server/tests/direct_support/crashing_backend.rs
+++ b/server/tests/direct_support/crashing_backend.rs
@@ -1,5 +1,5 @@
-//! Backend servers that end when they begin to run a marked request, and are back a second
-//! later under another name.
+//! Backend servers that crash when they run a poison request, and restart a second later under
+//! another name.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -30,105 +30,110 @@
 use super::call;
 use super::request;
 
-/// Path of requests that end whoever begins to run them.
-pub const MARKED: &str = "/safe/marked";
+/// Path of the poison requests: each crashes the backend server that runs it.
+pub const POISON_PATH: &str = "/safe/marked";
 
-/// Time for which a request is run.
+/// Time that a request takes to run; a poison request crashes the backend server after it.
 const WORK: Duration = Duration::from_millis(20);
 
-/// Time after which a backend server that ended is back.
-const BACK_AFTER: Duration = Duration::from_secs(1);
+/// Time between a crash and the start of the next process.
+const RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// Time between two announcements.
+/// Interval between two announcements.
 const HEARTBEAT: Duration = Duration::from_millis(500);
 
-/// What the backend servers saw.
+/// Poison requests and crashes of all backend servers of a test.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// Marked requests that were begun: when, and which try of their caller.
-    begun: Mutex<Vec<(Instant, String)>>,
-    /// When backend servers ended.
-    ends: Mutex<Vec<Instant>>,
+pub struct CrashRecord {
+    /// Start time and request ID of each poison request that was run.
+    started: Mutex<Vec<(Instant, String)>>,
+    /// Times of the crashes.
+    crashes: Mutex<Vec<Instant>>,
 }
 
-impl Seen {
-    /// How many backend servers have ended.
-    pub fn ends(&self) -> usize {
-        self.ends.lock().unwrap().len()
+impl CrashRecord {
+    /// Returns the number of crashes.
+    pub fn crash_count(&self) -> usize {
+        self.crashes.lock().unwrap().len()
     }
 
-    /// When the backend server number `count` ended, counted from 1.
-    pub fn end(&self, count: usize) -> Option<Instant> {
-        self.ends.lock().unwrap().get(count - 1).copied()
+    /// Returns the time of crash number `count`, counted from 1.
+    pub fn crash_time(&self, count: usize) -> Option<Instant> {
+        self.crashes.lock().unwrap().get(count - 1).copied()
     }
 
-    /// How many tries of marked requests were begun later than `since`.
-    pub fn tries_since(&self, since: Instant) -> usize {
-        let begun = self.begun.lock().unwrap();
-        let late = begun.iter().filter(|(at, _)| *at > since);
-        let tries: BTreeSet<&String> = late.map(|(_, id)| id).collect();
-        tries.len()
+    /// Returns the number of request IDs under which a poison request was run after `since`.
+    pub fn attempts_since(&self, since: Instant) -> usize {
+        let started = self.started.lock().unwrap();
+        let late = started.iter().filter(|(at, _)| *at > since);
+        let attempts: BTreeSet<&String> = late.map(|(_, id)| id).collect();
+        attempts.len()
     }
 }
 
-/// One address at which one backend server after another is started.
-pub struct Fragile {
+/// An address at which a new backend server is started after each crash; stopped when dropped.
+pub struct CrashingBackend {
     task: JoinHandle<()>,
 }
 
-impl Fragile {
-    pub fn start(deployment: &mut Deployment, name: &str, seen: &Arc<Seen>) -> Self {
-        let place = Place {
+impl CrashingBackend {
+    pub fn start(deployment: &mut Deployment, name: &str, record: &Arc<CrashRecord>) -> Self {
+        let crash_loop = CrashLoop {
             name: name.to_owned(),
             address: SocketAddr::new(deployment.block.next_vm(), SERVICE_PORT),
-            orders: deployment.replicas.iter().map(Replica::orders).collect(),
-            seen: Arc::clone(seen),
+            control: deployment
+                .replicas
+                .iter()
+                .map(Replica::api_address)
+                .collect(),
+            record: Arc::clone(record),
         };
-        let task = tokio::spawn(place.run());
+        let task = tokio::spawn(crash_loop.run());
         Self { task }
     }
 }
 
-impl Drop for Fragile {
+impl Drop for CrashingBackend {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-struct Place {
+struct CrashLoop {
     name: String,
     address: SocketAddr,
-    orders: Vec<SocketAddr>,
-    seen: Arc<Seen>,
+    control: Vec<SocketAddr>,
+    record: Arc<CrashRecord>,
 }
 
-impl Place {
+impl CrashLoop {
     async fn run(self) {
-        for life in 1.. {
-            let name = format!("{}-{life}", self.name);
-            self.live(&name).await;
-            self.seen.ends.lock().unwrap().push(Instant::now());
-            tokio::time::sleep(BACK_AFTER).await;
+        for incarnation in 1.. {
+            let name = format!("{}-{incarnation}", self.name);
+            self.run_process(&name).await;
+            self.record.crashes.lock().unwrap().push(Instant::now());
+            tokio::time::sleep(RESTART_DELAY).await;
         }
     }
 
-    /// Runs one process until it ends; all its connections end with it.
-    async fn live(&self, name: &str) {
+    /// Simulates one process until it crashes; all its connections break with it.
+    async fn run_process(&self, name: &str) {
         let listener = TcpListener::bind(self.address).await.unwrap();
-        let end = Arc::new(Notify::new());
+        let crash = Arc::new(Notify::new());
         let mut tasks = JoinSet::new();
-        let announcing = announce(name.to_owned(), self.address, self.orders.clone());
+        let announcing = announce(name.to_owned(), self.address, self.control.clone());
         tasks.spawn(announcing);
         loop {
             let stream = tokio::select! {
                 Ok((stream, _)) = listener.accept() => stream,
-                () = end.notified() => return,
+                () = crash.notified() => return,
             };
-            let (seen, end) = (Arc::clone(&self.seen), Arc::clone(&end));
-            let service = service_fn(move |req| serve(req, Arc::clone(&seen), Arc::clone(&end)));
+            let (record, crash) = (Arc::clone(&self.record), Arc::clone(&crash));
+            let service =
+                service_fn(move |req| serve(req, Arc::clone(&record), Arc::clone(&crash)));
             tasks.spawn(async move {
                 let io = TokioIo::new(stream);
-                // Callers see how a connection ends.
+                // Errors of a connection are visible to its caller.
                 let _ = http1::Builder::new().serve_connection(io, service).await;
             });
         }
@@ -137,18 +142,18 @@
 
 async fn serve(
     req: Request<Incoming>,
-    seen: Arc<Seen>,
-    end: Arc<Notify>,
+    record: Arc<CrashRecord>,
+    crash: Arc<Notify>,
 ) -> Result<Response<Full<Bytes>>, Broken> {
     let id = req.headers().get("heatherring-request-id").cloned();
-    let marked = req.uri().path().starts_with(MARKED);
-    if marked {
+    let is_poison = req.uri().path().starts_with(POISON_PATH);
+    if is_poison {
         let id = id.as_ref().map_or("", |id| id.to_str().unwrap()).to_owned();
-        seen.begun.lock().unwrap().push((Instant::now(), id));
+        record.started.lock().unwrap().push((Instant::now(), id));
     }
     tokio::time::sleep(WORK).await;
-    if marked {
-        end.notify_one();
+    if is_poison {
+        crash.notify_one();
         std::future::pending::<()>().await;
     }
     let mut response = Response::new(Full::from("whole"));
@@ -158,11 +163,11 @@
     Ok(response)
 }
 
-/// Announces a backend server again and again, to the first replica that takes it.
-async fn announce(name: String, address: SocketAddr, orders: Vec<SocketAddr>) {
+/// Announces a backend server periodically, each time to the first replica that accepts it.
+async fn announce(name: String, address: SocketAddr, control: Vec<SocketAddr>) {
     for sequence in 1.. {
         let body = announcement_of(&name, address, sequence, "Ready").to_string();
-        for replica in &orders {
+        for replica in &control {
             let req = request(Method::POST, "/v1/announcements", body.clone());
             let answer = call(*replica, req).await;
             if answer.is_some_and(|answer| answer.status.is_success()) {
--- a/server/tests/direct_support/mod.rs
+++ b/server/tests/direct_support/mod.rs
@@ -1,5 +1,5 @@
-//! A deployment of direct dispatch on loopback: control replicas that form themselves, entry
-//! VMs, and small backend servers that behave as told.
+//! A deployment with direct dispatch on loopback: control replicas that form a cluster by
+//! themselves, entry VMs, and minimal backend servers whose behaviour a test selects.
 
 #![allow(dead_code)]
 
@@ -75,7 +75,7 @@
 const PLACE: &str = "fko-hakata";
 const REGION: &str = "fukuoka";
 
-/// Holds an answer that was read whole.
+/// An answer whose body was read completely.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -83,12 +83,12 @@
     pub body: Bytes,
 }
 
-/// Sends one request over a connection of its own; nothing if it breaks.
+/// Sends one request over a new connection. Returns `None` if there is no complete answer.
 pub async fn call(address: SocketAddr, req: Request<Full<Bytes>>) -> Option<Answer> {
     call_from(None, address, req).await
 }
 
-/// Does the same from the address `source`, if there is one.
+/// Like [`call`], from the local address `source` if one is given.
 pub async fn call_from(
     source: Option<IpAddr>,
     address: SocketAddr,
@@ -134,7 +134,8 @@
         Self { settings, process }
     }
 
-    pub fn orders(&self) -> SocketAddr {
+    /// Returns the address of the HTTP interface for operators and backend servers.
+    pub fn api_address(&self) -> SocketAddr {
         self.settings.direct.as_ref().unwrap().listen
     }
 
@@ -143,18 +144,18 @@
         self.ended().await
     }
 
-    /// Asks for a planned stop, as SIGTERM does.
+    /// Requests a planned stop, as SIGTERM does.
     pub fn begin_stop(&self) {
         self.process.begin_stop();
     }
 
-    /// Waits until the process would have ended.
+    /// Waits until the replica has stopped. Returns its settings, for a restart.
     pub async fn ended(self) -> ControlSettings {
         self.process.ended().await;
         self.settings
     }
 
-    /// Has nothing run here for a time, as SIGSTOP and SIGCONT do.
+    /// Suspends the replica for a time, as SIGSTOP and SIGCONT do.
     pub fn freeze(&self, time: Duration) {
         self.process.freeze(time);
     }
@@ -198,18 +199,18 @@
         self.ended().await;
     }
 
-    /// Asks for a planned stop, as SIGTERM does.
+    /// Requests a planned stop, as SIGTERM does.
     pub fn begin_stop(&self) {
         self.process.begin_stop();
     }
 
-    /// Waits until the process would have ended.
+    /// Waits until the entry VM has stopped.
     pub async fn ended(self) {
         self.process.ended().await;
     }
 }
 
-/// Waits until a request is served.
+/// Waits until the entry VM answers a request with status 200.
 pub async fn until_served(entry: &Entry) {
     wait_for("an answer", async || {
         let answer = entry.call(Method::GET, "/safe/first").await?;
@@ -219,7 +220,7 @@
     .unwrap();
 }
 
-/// The whole deployment.
+/// Control replicas of one deployment, and what entry VMs and backend servers need to join it.
 pub struct Deployment {
     pub block: LoopbackBlock,
     pub folder: TempDir,
@@ -288,7 +289,7 @@
         self.start_entry_with_grace(name, Duration::from_secs(1))
     }
 
-    /// Starts an entry VM that is ended by force that long after it was asked to stop.
+    /// Starts an entry VM whose planned stop is cut short after `grace`.
     pub fn start_entry_with_grace(&mut self, name: &str, grace: Duration) -> Entry {
         let ip = self.block.next_vm();
         let settings = DirectSettings {
@@ -320,7 +321,7 @@
         Backend::start(name, address).await
     }
 
-    /// Starts an entry VM and a backend server, whose requests it serves.
+    /// Starts an entry VM and a backend server, and waits until requests are served.
     pub async fn start_served(&mut self) -> (Entry, Backend) {
         let entry = self.start_entry("entry-1");
         let backend = self.start_backend("backend-1").await;
@@ -330,12 +331,12 @@
         (entry, backend)
     }
 
-    /// Sends an order to one replica after the other until one confirms it.
-    pub async fn order(&self, method: Method, path: &str, body: &str) -> Answer {
+    /// Sends a request to one control replica after another until one answers with success.
+    pub async fn call_control(&self, method: Method, path: &str, body: &str) -> Answer {
         wait_for("a confirmation", async || {
             for replica in &self.replicas {
                 let req = request(method.clone(), path, body.to_owned());
-                let answer = call(replica.orders(), req).await;
+                let answer = call(replica.api_address(), req).await;
                 if let Some(answer) = answer.filter(|answer| answer.status.is_success()) {
                     return Some(answer);
                 }
@@ -348,44 +349,50 @@
 
     pub async fn announce(&self, backend: &Backend, sequence: u64, state: &str) {
         let body = announcement(backend, sequence, state);
-        self.order(Method::POST, "/v1/announcements", &body.to_string())
+        self.call_control(Method::POST, "/v1/announcements", &body.to_string())
             .await;
     }
 
-    /// Does the same for the life that was `born` then.
-    pub async fn announce_life(&self, backend: &Backend, born: u64, sequence: u64, state: &str) {
+    /// Like [`Self::announce`], for the incarnation with the value `born`.
+    pub async fn announce_incarnation(
+        &self,
+        backend: &Backend,
+        born: u64,
+        sequence: u64,
+        state: &str,
+    ) {
         let mut body = announcement(backend, sequence, state);
         body["record"]["born"] = born.into();
-        self.order(Method::POST, "/v1/announcements", &body.to_string())
+        self.call_control(Method::POST, "/v1/announcements", &body.to_string())
             .await;
     }
 
-    /// Puts two routes in force: `/safe/`, whose requests may run twice, and `/once/`.
+    /// Submits two routes: `/safe/`, whose requests are idempotent, and `/once/`, whose are not.
     pub async fn submit_routes(&self, version: u64, base: u64) {
         self.submit(&route_change(version, base)).await;
     }
 
     pub async fn submit(&self, change: &RouteChange) {
         let body = serde_json::to_string(change).unwrap();
-        self.order(Method::POST, "/v1/routes", &body).await;
+        self.call_control(Method::POST, "/v1/routes", &body).await;
     }
 
-    /// Puts a change in force with what it makes of the teams, in JSON.
+    /// Submits a change of routes together with a change of teams in JSON.
     pub async fn submit_teams(&self, change: &RouteChange, teams: serde_json::Value) {
         let mut body = serde_json::to_value(change).unwrap();
         body["teams"] = teams;
-        self.order(Method::POST, "/v1/routes", &body.to_string())
+        self.call_control(Method::POST, "/v1/routes", &body.to_string())
             .await;
     }
 
     pub async fn version(&self) -> u64 {
-        let answer = self.order(Method::GET, "/v1/routes", "").await;
+        let answer = self.call_control(Method::GET, "/v1/routes", "").await;
         let manifest: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
         manifest["version"].as_u64().unwrap()
     }
 }
 
-/// What a backend server says of itself.
+/// Returns the body of an announcement of a backend server.
 pub fn announcement(backend: &Backend, sequence: u64, state: &str) -> serde_json::Value {
     announcement_of(&backend.name, backend.address, sequence, state)
 }
--- a/server/tests/direct_support/own_process.rs
+++ b/server/tests/direct_support/own_process.rs
@@ -1,4 +1,4 @@
-//! What stands in for a process: a runtime of its own.
+//! Simulation of a process by a thread with its own Tokio runtime.
 
 use std::fmt::Debug;
 use std::thread;
@@ -10,11 +10,11 @@
 use tokio::runtime;
 use tokio::sync::oneshot;
 
-/// Time within which it ends once it was asked twice to stop.
-const ENDS_WITHIN: Duration = Duration::from_secs(10);
+/// Time within which a simulated process must end after two stop requests.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs one process of the system on a runtime with one thread, which ends with it: what is
-/// under way then is cut off, as it is when a process ends.
+/// Runs one process of the system on a single-threaded runtime. The runtime is dropped when the
+/// process function returns, which cancels all remaining tasks as the end of a process would.
 pub struct OwnProcess<E> {
     trigger: ShutdownTrigger,
     handle: runtime::Handle,
@@ -36,7 +36,7 @@
         let thread = thread::spawn(move || {
             let result = runtime.block_on(running);
             drop(runtime);
-            // Nobody waits for it where it is dropped.
+            // The receiver is gone if the process was dropped instead of awaited.
             let _ = ended_tx.send(result);
         });
         Self {
@@ -47,39 +47,39 @@
         }
     }
 
-    /// Asks for a planned stop, as SIGTERM does.
+    /// Requests a planned stop, as SIGTERM does.
     pub fn begin_stop(&self) {
         self.trigger.request();
     }
 
-    /// Waits until the process would have ended.
+    /// Waits until the process function has returned, and checks that it succeeded.
     pub async fn ended(mut self) {
         let ended = self.ended.take().unwrap();
         ended.await.unwrap().unwrap();
     }
 
-    /// Has nothing run here for a time, as SIGSTOP and SIGCONT do.
+    /// Blocks the runtime's only thread for a time, as SIGSTOP and SIGCONT do.
     pub fn freeze(&self, time: Duration) {
         self.handle.spawn(async move { thread::sleep(time) });
     }
 }
 
 impl<E> Drop for OwnProcess<E> {
-    /// Frees the addresses, which another test may be given.
+    /// Stops the process, so that its addresses are free for other tests.
     fn drop(&mut self) {
         self.trigger.request();
         self.trigger.request();
         let Some(thread) = self.thread.take() else {
             return;
         };
-        let until = Instant::now() + ENDS_WITHIN;
+        let until = Instant::now() + STOP_TIMEOUT;
         while !thread.is_finished() && Instant::now() < until {
             thread::sleep(Duration::from_millis(10));
         }
         let has_ended = thread.is_finished() && thread.join().is_ok();
         assert!(
             has_ended || thread::panicking(),
-            "a process panicked or goes on"
+            "a simulated process panicked or did not stop"
         );
     }
 }
--- a/server/tests/direct_support/stops.rs
+++ b/server/tests/direct_support/stops.rs
@@ -1,5 +1,5 @@
-//! What tests of planned stops share: routes whose callers wait for longer than the grace time,
-//! and requests that are written to a connection byte by byte.
+//! Helpers for tests of planned stops: routes with timeouts beyond the grace time, and requests
+//! that a test writes to a connection in pieces.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,32 +18,34 @@
 use super::route_change;
 use super::until_served;
 
-/// Time until a stop by force. Requests are taken for 3.6 s of it; what follows leaves the
-/// tests time to act in also on a busy machine.
+/// Grace time of a planned stop, after which it is cut short. New requests are accepted for 3.6 s
+/// of it; the rest is long enough for the tests' steps even on a busy machine.
 pub const GRACE: Duration = Duration::from_secs(8);
 
-/// Time after the request to stop at which what is held up in the tests can begin. The process
-/// ends 1.1 s later, and half of [`OBJECTIVE`] is the least that its work is expected to take.
-pub const HELD_UP: Duration = Duration::from_millis(6_500);
+/// Time after the stop request at which a delayed request becomes ready to be dispatched. The
+/// process ends 1.1 s later, which is too short: a request is expected to take at least half of
+/// [`OBJECTIVE`].
+pub const LATE_START_DELAY: Duration = Duration::from_millis(6_500);
 
-/// Time between two announcements of the backend server.
+/// Interval between two announcements of the backend server.
 const HEARTBEAT: Duration = Duration::from_millis(500);
 
 /// Latency objective of all routes.
 const OBJECTIVE: Duration = Duration::from_secs(3);
 
-/// Starts an entry VM and a backend server that it knows.
+/// Starts an entry VM and a backend server with [`long_timeout_routes`], and waits until requests
+/// are served.
 pub async fn start(deployment: &mut Deployment) -> (Entry, Backend) {
     let entry = deployment.start_entry_with_grace("entry-1", GRACE);
     let backend = deployment.start_backend("backend-1").await;
-    deployment.submit(&patient_routes()).await;
+    deployment.submit(&long_timeout_routes()).await;
     deployment.announce(&backend, 1, "Ready").await;
     until_served(&entry).await;
     (entry, backend)
 }
 
-/// Routes whose callers wait for longer than the grace time.
-pub fn patient_routes() -> RouteChange {
+/// Returns routes whose timeout is longer than the grace time.
+pub fn long_timeout_routes() -> RouteChange {
     let mut change = route_change(1, 0);
     if let RouteContent::Whole { routes, .. } = &mut change.content {
         for route in routes.values_mut() {
@@ -70,7 +72,7 @@
     head.replace("\r\n\r\n", &format!("\r\n{length}")) + body
 }
 
-/// Reads until `end` has come.
+/// Reads until the bytes read contain `end`.
 pub async fn read_until(stream: &mut TcpStream, end: &str) -> String {
     let mut bytes = Vec::new();
     while !String::from_utf8_lossy(&bytes).contains(end) {
@@ -79,17 +81,17 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Reads until the other side closes or breaks the connection.
+/// Reads until the peer closes or resets the connection.
 pub async fn read_all(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
-    // What a broken connection brought before counts as well.
+    // What arrived before a reset counts as well.
     let _ = stream.read_to_end(&mut bytes).await;
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Has the backend server say that it is there while `running` runs: control takes one that is
-/// silent for some seconds for lost.
-pub async fn announced<T>(
+/// Keeps announcing the backend server while `running` runs: control considers one that sends no
+/// announcement for some seconds lost.
+pub async fn with_announcements<T>(
     deployment: &Deployment,
     backend: &Backend,
     running: impl Future<Output = T>,
@@ -102,13 +104,14 @@
     };
     tokio::select! {
         result = running => result,
-        () = announcing => unreachable!("announcements don't end"),
+        () = announcing => unreachable!("the announcement loop does not end"),
     }
 }
 
-/// Waits until no further connections are taken: the stop.
-pub async fn until_taking_ends(callers: SocketAddr) {
-    wait_for("an end of new connections", async || {
+/// Waits until the entry VM refuses new connections, the point of a planned stop from which it
+/// accepts no more requests.
+pub async fn until_listener_closes(callers: SocketAddr) {
+    wait_for("the listener to close", async || {
         let connected = TcpStream::connect(callers).await;
         connected.is_err().then_some(())
     })
--- a/server/tests/entry_support/caller.rs
+++ b/server/tests/entry_support/caller.rs
@@ -1,4 +1,4 @@
-//! Calls to an entry VM, and waiting for what must come true.
+//! HTTP calls to an entry VM, and polling for expected conditions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,20 +16,27 @@
 use serde_json::Value;
 use tokio::net::TcpStream;
 
-/// Longest time for which a state that must come is waited for.
-const BOUND: Duration = Duration::from_secs(20);
+/// Time after which [`wait_until`] fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL: Duration = Duration::from_millis(10);
 
-/// Waits until something that must come true is.
+/// Polls until `holds` returns true.
+///
+/// # Panics
+///
+/// Panics after [`WAIT_TIMEOUT`].
 pub async fn wait_until(mut holds: impl AsyncFnMut() -> bool) {
-    let give_up = tokio::time::Instant::now() + BOUND;
+    let give_up = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
-        assert!(tokio::time::Instant::now() < give_up, "it never came true");
+        assert!(
+            tokio::time::Instant::now() < give_up,
+            "the condition did not hold within {WAIT_TIMEOUT:?}"
+        );
         tokio::time::sleep(POLL).await;
     }
 }
 
-/// Holds an answer; the body is an error if it broke off.
+/// An answer; the body is an error if it was cut off.
 #[derive(Debug)]
 pub struct Reply {
     pub status: StatusCode,
@@ -39,18 +46,18 @@
 
 impl Reply {
     pub fn header(&self, name: &str) -> &str {
-        let value = self.headers.get(name).expect("the header is there");
-        value.to_str().expect("a text")
+        let value = self.headers.get(name).expect("the header is present");
+        value.to_str().expect("valid UTF-8")
     }
 
     pub fn json(&self) -> Value {
-        let body = self.body.as_ref().expect("a whole body");
+        let body = self.body.as_ref().expect("a complete body");
         serde_json::from_slice(body).expect("JSON")
     }
 
     pub fn text(&self) -> String {
-        let body = self.body.as_ref().expect("a whole body");
-        String::from_utf8(body.to_vec()).expect("a text")
+        let body = self.body.as_ref().expect("a complete body");
+        String::from_utf8(body.to_vec()).expect("valid UTF-8")
     }
 }
 
--- a/server/tests/entry_support/fake_control.rs
+++ b/server/tests/entry_support/fake_control.rs
@@ -1,4 +1,4 @@
-//! Stands in for control: one replica that keeps sessions in memory.
+//! A fake control replica that keeps sessions in memory.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,12 +33,14 @@
 
 const CLUSTER: [u8; 16] = [7; 16];
 
-/// Says how the fake control answers.
+/// How the fake control replica answers follow requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mode {
     Grant,
     NoQuorum,
+    /// Never answers.
     Silent,
+    /// Reports the next existing session as lost, then returns to [`Mode::Grant`].
     SessionLost,
 }
 
@@ -54,7 +56,7 @@
         let revision = self.view.revision.next();
         let kind = kind(revision);
         let change = ViewChange { revision, kind };
-        self.view.apply(&change).expect("a change that fits");
+        self.view.apply(&change).expect("a consecutive change");
         self.changes.push(change);
         revision
     }
@@ -65,17 +67,17 @@
     }
 }
 
-/// Stands in for control: one replica that keeps sessions in memory.
+/// A fake control replica that keeps sessions in memory; clones share them.
 #[derive(Clone, Debug)]
 pub struct FakeControl {
     pub address: SocketAddr,
     pub lease: Duration,
     state: Arc<Mutex<ControlState>>,
     mode: Arc<watch::Sender<Mode>>,
-    news: Arc<watch::Sender<()>>,
-    /// Whether those who open sessions aren't told, although others are.
-    hold_openings: Arc<watch::Sender<bool>>,
-    pub asked: Arc<AtomicUsize>,
+    updates: Arc<watch::Sender<()>>,
+    /// Whether replies to requests that open a session are delayed.
+    hold_open_replies: Arc<watch::Sender<bool>>,
+    pub sync_calls: Arc<AtomicUsize>,
 }
 
 impl FakeControl {
@@ -85,20 +87,20 @@
             lease,
             state: Arc::default(),
             mode: Arc::new(watch::Sender::new(Mode::Grant)),
-            news: Arc::new(watch::Sender::new(())),
-            hold_openings: Arc::new(watch::Sender::new(false)),
-            asked: Arc::default(),
+            updates: Arc::new(watch::Sender::new(())),
+            hold_open_replies: Arc::new(watch::Sender::new(false)),
+            sync_calls: Arc::default(),
         };
         control.serve().await;
         control
     }
 
-    /// Starts one more replica with the same sessions, which is told by itself how to answer.
+    /// Starts another replica that shares the sessions but has its own [`Mode`].
     pub async fn start_replica(&self, address: SocketAddr) -> Self {
         let replica = Self {
             address,
             mode: Arc::new(watch::Sender::new(Mode::Grant)),
-            asked: Arc::default(),
+            sync_calls: Arc::default(),
             ..self.clone()
         };
         replica.serve().await;
@@ -116,12 +118,13 @@
 
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
-        self.news.send_replace(());
+        self.updates.send_replace(());
     }
 
-    /// Holds back what those are told who open sessions; others hear of these at once.
-    pub fn hold_openings(&self, hold: bool) {
-        self.hold_openings.send_replace(hold);
+    /// Delays replies to requests that open a session while `hold` is set. Other entry VMs are
+    /// told of the new session at once.
+    pub fn hold_open_replies(&self, hold: bool) {
+        self.hold_open_replies.send_replace(hold);
     }
 
     pub fn submit(&self, text: &str) {
@@ -134,10 +137,10 @@
             };
             ViewChangeKind::Manifest(ManifestChange::Whole(Arc::new(whole)))
         });
-        self.news.send_replace(());
+        self.updates.send_replace(());
     }
 
-    /// Makes the next whole view older than the one that was given.
+    /// Resets the view, so that the next complete view is older than the previous one.
     pub fn forget_view(&self) {
         let mut state = self.lock();
         state.view = ControlView::default();
@@ -156,7 +159,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, ControlState> {
-        self.state.lock().expect("no panic under the lock")
+        self.state.lock().expect("the lock is not poisoned")
     }
 
     fn open(&self, info: EntryInfo) -> SessionId {
@@ -229,8 +232,8 @@
         request: tonic::Request<SyncRequest>,
     ) -> Result<tonic::Response<SyncReply>, tonic::Status> {
         let request = request.into_inner();
-        self.asked.fetch_add(1, Ordering::Relaxed);
-        let mut news = self.news.subscribe();
+        self.sync_calls.fetch_add(1, Ordering::Relaxed);
+        let mut updates = self.updates.subscribe();
         let mode = *self.mode.borrow();
         match mode {
             Mode::NoQuorum => return Ok(tonic::Response::new(refusal(SyncOutcome::NoQuorum))),
@@ -245,8 +248,8 @@
         if request.session == 0 {
             let info = postcard::from_bytes(&request.entry_encoded).expect("an entry's info");
             session = self.open(info);
-            self.news.send_replace(());
-            let mut held = self.hold_openings.subscribe();
+            self.updates.send_replace(());
+            let mut held = self.hold_open_replies.subscribe();
             let _ = held.wait_for(|hold| !hold).await;
         }
         {
@@ -270,12 +273,12 @@
                 state.commit(|_| ViewChangeKind::SessionLeaving(session));
             }
         }
-        self.news.send_replace(());
+        self.updates.send_replace(());
         let applied = Revision(request.applied_revision);
         let known = Revision(request.known_settled);
         let until = tokio::time::Instant::now() + Duration::from_millis(request.wait_ms.into());
         loop {
-            news.borrow_and_update();
+            updates.borrow_and_update();
             let over = tokio::time::Instant::now() >= until;
             if let Some(reply) = self.reply(session, applied, known) {
                 return Ok(tonic::Response::new(reply));
@@ -288,7 +291,7 @@
                     ..refusal(SyncOutcome::Granted)
                 }));
             }
-            let _ = tokio::time::timeout_at(until, news.changed()).await;
+            let _ = tokio::time::timeout_at(until, updates.changed()).await;
         }
     }
 }
--- a/server/tests/entry_support/mod.rs
+++ b/server/tests/entry_support/mod.rs
@@ -1,4 +1,4 @@
-//! An entry VM in this process, between a fake control and scripted backend servers.
+//! Entry VMs in this process, with a fake control replica and scripted backend servers.
 
 #![allow(dead_code, reason = "each test file uses a part of the rig")]
 
@@ -12,7 +12,7 @@
 pub const SERVICE: &str = "registry";
 pub const PLACE: &str = "place-a";
 pub const REGION: &str = "region";
-/// A place in another region, over narrow links; it serves nothing.
+/// A failure domain in another region, behind links of 1 kB/s; it has no backend servers.
 pub const FAR_PLACE: &str = "far-place";
 const FAR_REGION: &str = "far-region";
 pub const DEADLINE_MS: u64 = 1_500;
--- a/server/tests/entry_support/rig.rs
+++ b/server/tests/entry_support/rig.rs
@@ -1,4 +1,4 @@
-//! Entry VMs in this process, between a fake control and scripted backend servers.
+//! Entry VMs in this process, with a fake control replica and scripted backend servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
 use super::scripted_backend::Script;
 use super::scripted_backend::ScriptedBackend;
 
-/// Runs entry VMs against one fake control, all in this process.
+/// Entry VMs and the fake control replica that they use, all in this process.
 pub struct Rig {
     pub block: LoopbackBlock,
     pub control: FakeControl,
@@ -58,8 +58,8 @@
 }
 
 impl Rig {
-    /// Starts one entry VM in each of `places`, and waits until all are served by
-    /// control and know the manifest.
+    /// Starts one entry VM in each of `places`, and waits until all have a session with control
+    /// and have received the manifest.
     pub async fn start(places: &[&str], lease: Duration) -> Self {
         let mut block = LoopbackBlock::claim().expect("free addresses");
         let address = SocketAddr::new(block.next_vm(), CONTROL_PORT);
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Starts an entry VM on a runtime of its own, which ends with it as a process does:
-    /// what it didn't wait for is cut off.
+    /// Starts an entry VM on its own runtime. The runtime is shut down when the entry VM returns,
+    /// which cancels its remaining tasks as the end of a process would.
     pub fn start_entry(&mut self, settings: EntrySettings) {
         let (trigger, shutdown) = Shutdown::new();
         let running = run_entry(settings.clone(), Arc::new(SystemClock), shutdown);
@@ -139,7 +139,7 @@
         self.entries[entry].settings.listen.callers
     }
 
-    /// Starts a scripted backend server and waits until its slots may be used.
+    /// Starts a scripted backend server and waits until all entry VMs count its slots as free.
     pub async fn start_backend(&mut self, script: &[Script]) -> ScriptedBackend {
         self.backends += 1;
         let address = SocketAddr::new(self.block.next_vm(), SERVICE_PORT);
@@ -170,9 +170,12 @@
     pub fn owner(&self) -> usize {
         let view = self.control.view();
         let service = ServiceName::new(SERVICE);
-        let owner = ownership::owner(&view, &service, &PlaceName::new(PLACE)).expect("one");
+        let owner = ownership::owner(&view, &service, &PlaceName::new(PLACE)).expect("an owner");
         let is_owner = |entry: &RunningEntry| entry.settings.vm == owner.info.vm;
-        self.entries.iter().position(is_owner).expect("an owner")
+        self.entries
+            .iter()
+            .position(is_owner)
+            .expect("the owner is an entry VM of the rig")
     }
 
     pub async fn status(&self, entry: usize) -> Option<Value> {
--- a/server/tests/entry_support/scripted_backend.rs
+++ b/server/tests/entry_support/scripted_backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers that follow a script.
+//! Backend servers that answer according to a script.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,53 +13,54 @@
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
 
-/// Bytes of the answer of [`Script::Large`]; many seconds on the narrow links.
+/// Bytes of the answer of [`Script::Large`]; takes many seconds over the links of 1 kB/s.
 const LARGE: usize = 20_000;
 
-/// Time that [`Script::Slow`] takes; well below the deadline.
+/// Time that [`Script::Slow`] takes; well below the deadline of the requests.
 const SLOW: Duration = Duration::from_millis(500);
 
-/// Time for which a backend server that ended is away.
-const AWAY: Duration = Duration::from_millis(300);
+/// Time between a crash and the restart of the backend server.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// Says what a scripted backend server does with one request.
+/// What a scripted backend server does with one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Script {
-    /// A whole answer with a length.
+    /// Sends a complete answer with a content length.
     Whole,
-    /// A whole answer in chunks.
+    /// Sends a complete answer in chunks.
     Chunked,
-    /// A length, half of the body, and the end of the connection.
+    /// Sends a content length and half of the body, then closes the connection.
     ShortLength,
-    /// One chunk, and the end of the connection instead of the last chunk.
+    /// Sends one chunk, then closes the connection instead of sending the last chunk.
     ShortChunked,
-    /// No length and no chunks: the end of the connection ends the body.
+    /// Sends neither length nor chunks: the end of the connection delimits the body.
     CloseDelimited,
-    /// The head and a part of the body, and nothing more.
+    /// Sends the head and a part of the body, then nothing on the open connection.
     Stalled,
-    /// 503 with the header that proves "not run".
+    /// Sends 503 with the header that says `not_run`.
     Refuse,
-    /// The end of the connection instead of an answer.
+    /// Closes the connection without an answer.
     HangUp,
-    /// A whole answer of [`LARGE`] bytes.
+    /// Sends a complete answer of [`LARGE`] bytes.
     Large,
-    /// A whole answer after a time.
+    /// Sends a complete answer after [`SLOW`].
     Slow,
-    /// No answer at all.
+    /// Never answers, on an open connection.
     NoAnswer,
-    /// A whole answer, and the end of the connection right after it.
+    /// Sends a complete answer, then closes the connection.
     WholeThenClose,
-    /// The end of the backend server with all its connections; it is back after [`AWAY`].
-    End,
+    /// Crashes: all connections break. The backend server restarts after [`RESTART_DELAY`].
+    Crash,
 }
 
-/// A backend server that follows a script, one step a request; the last one repeats.
+/// A backend server that answers according to a script with one step per request; the last step
+/// repeats.
 #[derive(Clone, Debug)]
 pub struct ScriptedBackend {
     pub address: SocketAddr,
     pub connections: Arc<AtomicUsize>,
     pub requests: Arc<AtomicUsize>,
-    /// Connections that the other side has closed.
+    /// Number of connections that the peer has closed.
     pub closed: Arc<AtomicUsize>,
     script: Arc<[Script]>,
 }
@@ -74,34 +75,34 @@
             script: script.into(),
         };
         let listener = TcpListener::bind(address).await.expect("a free address");
-        tokio::spawn(backend.clone().live(listener));
+        tokio::spawn(backend.clone().run(listener));
         backend
     }
 
-    /// Runs one process after the other.
-    async fn live(self, mut listener: TcpListener) {
+    /// Accepts connections; restarts after each crash.
+    async fn run(self, mut listener: TcpListener) {
         loop {
             self.accept(listener).await;
-            tokio::time::sleep(AWAY).await;
+            tokio::time::sleep(RESTART_DELAY).await;
             listener = TcpListener::bind(self.address).await.expect("its address");
         }
     }
 
-    /// Takes connections until the backend server ends.
+    /// Accepts connections until the backend server crashes.
     async fn accept(&self, listener: TcpListener) {
-        let end = Arc::new(Notify::new());
+        let crash = Arc::new(Notify::new());
         let mut connections = JoinSet::new();
         loop {
             let stream = tokio::select! {
                 Ok((stream, _)) = listener.accept() => stream,
-                () = end.notified() => return,
+                () = crash.notified() => return,
             };
             self.connections.fetch_add(1, Ordering::SeqCst);
-            connections.spawn(self.clone().serve(stream, Arc::clone(&end)));
+            connections.spawn(self.clone().serve(stream, Arc::clone(&crash)));
         }
     }
 
-    async fn serve(self, mut stream: TcpStream, end: Arc<Notify>) {
+    async fn serve(self, mut stream: TcpStream, crash: Arc<Notify>) {
         let mut head = Vec::new();
         loop {
             let mut buf = [0; 4_096];
@@ -119,8 +120,8 @@
             head.clear();
             let number = self.requests.fetch_add(1, Ordering::SeqCst);
             let script = self.script[number.min(self.script.len() - 1)];
-            if script == Script::End {
-                end.notify_one();
+            if script == Script::Crash {
+                crash.notify_one();
                 std::future::pending::<()>().await;
             }
             if !answer(&mut stream, script, &path).await {
@@ -135,7 +136,7 @@
     text.split(' ').nth(1).unwrap_or_default().to_owned()
 }
 
-/// Returns whether the connection goes on.
+/// Sends the answer of a script step. Returns whether the connection stays open.
 async fn answer(stream: &mut TcpStream, script: Script, path: &str) -> bool {
     let mut body = format!("answer to {path}");
     if script == Script::Large {
@@ -160,7 +161,7 @@
         Script::Refuse => "HTTP/1.1 503 Service Unavailable\r\n\
              heatherring-outcome: not_run\r\ncontent-length: 4\r\n\r\nbusy"
             .to_owned(),
-        Script::HangUp | Script::NoAnswer | Script::End => String::new(),
+        Script::HangUp | Script::NoAnswer | Script::Crash => String::new(),
     };
     if script == Script::Slow {
         tokio::time::sleep(SLOW).await;
--- a/server/tests/pipelining_support/mod.rs
+++ b/server/tests/pipelining_support/mod.rs
@@ -1,4 +1,5 @@
-//! A listener that answers each request with its path and body, once it is let go.
+//! A listener that echoes the path and body of each request, for some paths only once the test
+//! releases them.
 
 #![allow(dead_code)]
 
@@ -31,37 +32,37 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// Time after which a test has failed; nothing is measured against it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which a test fails; generous, and no measurement depends on it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Says what a path's request does: those below `/wait/` are answered once they are let go.
+/// Prefix of paths whose requests are answered once the test releases them.
 pub const WAIT: &str = "/wait/";
 
-/// Those below this path are answered likewise while their bodies are still being read.
+/// Prefix of paths whose requests are answered on release, while their bodies are still read.
 pub const EARLY: &str = "/early/";
 
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// Paths in the order in which their handling began, with their bodies.
+    /// Paths and bodies of requests, in the order in which the handler recorded them.
     pub begun: Vec<(String, String)>,
     pub arrivals: Vec<Instant>,
-    /// Paths whose handling was dropped before its answer.
+    /// Paths whose handler was cancelled before it answered.
     pub dropped: BTreeSet<String>,
-    pub let_go: BTreeSet<String>,
+    pub released: BTreeSet<String>,
 }
 
-/// Answers each request with its path and body.
+/// Handler that echoes the path and body of each request.
 #[derive(Clone, Debug)]
 pub struct Echo {
     seen: Arc<watch::Sender<Seen>>,
 }
 
-pub struct DropNote {
+pub struct DropRecorder {
     echo: Echo,
     path: Option<String>,
 }
 
-impl Drop for DropNote {
+impl Drop for DropRecorder {
     fn drop(&mut self) {
         if let Some(path) = self.path.take() {
             self.echo.seen.send_modify(|seen| {
@@ -74,12 +75,12 @@
 impl Handler for Echo {
     async fn handle(&self, arrival: Arrival, req: Request<RequestBody>) -> Response<AnswerBody> {
         let path = req.uri().path().to_owned();
-        let mut note = DropNote {
+        let mut drop_recorder = DropRecorder {
             echo: self.clone(),
             path: Some(path.clone()),
         };
         if path.starts_with(EARLY) {
-            note.path = None;
+            drop_recorder.path = None;
             return self.answer_early(&path, req.into_body()).await;
         }
         let body = match req.into_body().collect().await {
@@ -92,9 +93,9 @@
         });
         if path.starts_with(WAIT) {
             let mut seen = self.seen.subscribe();
-            let _ = seen.wait_for(|seen| seen.let_go.contains(&path)).await;
+            let _ = seen.wait_for(|seen| seen.released.contains(&path)).await;
         }
-        note.path = None;
+        drop_recorder.path = None;
         Response::new(answer_body::full(format!("<{path} {body}>")))
     }
 }
@@ -104,7 +105,7 @@
         self.seen
             .send_modify(|seen| seen.begun.push((path.to_owned(), String::new())));
         let mut seen = self.seen.subscribe();
-        let _ = seen.wait_for(|seen| seen.let_go.contains(path)).await;
+        let _ = seen.wait_for(|seen| seen.released.contains(path)).await;
         tokio::spawn(body.collect());
         Response::new(answer_body::full(format!("<{path} >")))
     }
@@ -119,7 +120,7 @@
 
 impl Server {
     pub async fn start() -> Self {
-        Self::start_with(HttpVersions::Http1, PATIENCE).await
+        Self::start_with(HttpVersions::Http1, TEST_TIMEOUT).await
     }
 
     pub async fn start_with(versions: HttpVersions, idle_timeout: Duration) -> Self {
@@ -174,13 +175,13 @@
     pub async fn until(&self, met: impl FnMut(&Seen) -> bool) -> Seen {
         let mut seen = self.echo.seen.subscribe();
         let waiting = seen.wait_for(met);
-        let met = tokio::time::timeout(PATIENCE, waiting).await;
-        met.expect("it never came to that").unwrap().clone()
+        let met = tokio::time::timeout(TEST_TIMEOUT, waiting).await;
+        met.expect("the condition holds in time").unwrap().clone()
     }
 
-    pub fn let_go(&self, path: &str) {
+    pub fn release(&self, path: &str) {
         self.echo.seen.send_modify(|seen| {
-            seen.let_go.insert(path.to_owned());
+            seen.released.insert(path.to_owned());
         });
     }
 
@@ -190,16 +191,16 @@
     }
 }
 
-/// Reads until the other side closes.
+/// Reads until the peer closes or resets the connection.
 pub async fn read_all(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let reading = stream.read_to_end(&mut bytes);
-    // A connection that is reset after its answers has been read as far as it came.
-    let _ = tokio::time::timeout(PATIENCE, reading).await.unwrap();
+    // What arrived before a reset counts as well.
+    let _ = tokio::time::timeout(TEST_TIMEOUT, reading).await.unwrap();
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Reads until `end` has come.
+/// Reads until the bytes read contain `end`.
 pub async fn read_until(stream: &mut TcpStream, end: &str) -> String {
     let mut bytes = Vec::new();
     let reading = async {
@@ -207,7 +208,7 @@
             assert!(stream.read_buf(&mut bytes).await.unwrap() > 0, "{bytes:?}");
         }
     };
-    tokio::time::timeout(PATIENCE, reading).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, reading).await.unwrap();
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
--- a/server/tests/test_backend_life.rs
+++ b/server/tests/test_backend_life.rs
@@ -33,7 +33,9 @@
     let entry = deployment.start_entry("entry-1");
     let backend = deployment.start_backend("backend-1").await;
     deployment.submit_routes(1, 0).await;
-    deployment.announce_life(&backend, 1_000, 9, "Ready").await;
+    deployment
+        .announce_incarnation(&backend, 1_000, 9, "Ready")
+        .await;
     until_served(&entry).await;
     backend.behave(Behaviour::Hang);
     let before = backend.runs();
@@ -43,7 +45,9 @@
             .await
             .unwrap();
         backend.behave(Behaviour::Answer);
-        deployment.announce_life(&backend, 2_000, 1, "Ready").await;
+        deployment
+            .announce_incarnation(&backend, 2_000, 1, "Ready")
+            .await;
     };
     let (answer, ()) = tokio::join!(asking, bearing);
     assert_eq!(answer.unwrap().status, status);
@@ -58,7 +62,9 @@
     let entry = deployment.start_entry("entry-1");
     let backend = deployment.start_backend("backend-1").await;
     deployment.submit_routes(1, 0).await;
-    deployment.announce_life(&backend, 1_000, 1, "Ready").await;
+    deployment
+        .announce_incarnation(&backend, 1_000, 1, "Ready")
+        .await;
     let good = announcement(&backend, 5, "Ready");
     let odd = [
         ("place", "moon".into()),
@@ -76,7 +82,7 @@
         // Control's leader may change; whoever answers must refuse for good.
         let answer = wait_for("a verdict", async || {
             let req = request(Method::POST, "/v1/announcements", body.to_string());
-            let answer = call(deployment.replicas[0].orders(), req).await?;
+            let answer = call(deployment.replicas[0].api_address(), req).await?;
             (answer.status != StatusCode::SERVICE_UNAVAILABLE).then_some(answer)
         });
         let status = answer.await.unwrap().status;
--- a/server/tests/test_direct.rs
+++ b/server/tests/test_direct.rs
@@ -114,7 +114,7 @@
     headers.insert("heatherring-deadline-ms", "2000".parse().unwrap());
     let answer = call(entry.settings.listen.callers, req).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
-    let told = [first.told_ms(), second.told_ms()];
+    let told = [first.last_deadline_ms(), second.last_deadline_ms()];
     assert!(
         told.iter().any(|told| (1..=1_960).contains(told)),
         "{told:?}"
@@ -145,7 +145,11 @@
     // With the new replica as a voter, the loss of another one is borne.
     wait_for("an answer of the new replica", async || {
         let replica = deployment.replicas.last()?;
-        let answer = call(replica.orders(), request(Method::GET, "/v1/routes", "")).await?;
+        let answer = call(
+            replica.api_address(),
+            request(Method::GET, "/v1/routes", ""),
+        )
+        .await?;
         (answer.status == StatusCode::OK).then_some(())
     })
     .await
@@ -239,7 +243,7 @@
     backend.become_cold(60_000);
     // The second time that it is asked, its first answer is known.
     wait_for("the question whether it is cold", async || {
-        (backend.told_cold() >= 2).then_some(())
+        (backend.cold_replies() >= 2).then_some(())
     })
     .await
     .unwrap();
--- a/server/tests/test_direct_stop.rs
+++ b/server/tests/test_direct_stop.rs
@@ -6,15 +6,15 @@
 
 use direct_support::Deployment;
 use direct_support::backend::Behaviour;
-use direct_support::stops::HELD_UP;
-use direct_support::stops::announced;
+use direct_support::stops::LATE_START_DELAY;
 use direct_support::stops::connect;
 use direct_support::stops::get;
 use direct_support::stops::post;
 use direct_support::stops::read_all;
 use direct_support::stops::read_until;
 use direct_support::stops::start;
-use direct_support::stops::until_taking_ends;
+use direct_support::stops::until_listener_closes;
+use direct_support::stops::with_announcements;
 use heatherring_testutils::wait::wait_for;
 use tokio::io::AsyncWriteExt;
 
@@ -22,9 +22,9 @@
 /// closed: what comes later can't be answered before the process ends.
 const CLOSED_WITHIN: Duration = Duration::from_secs(2);
 
-/// A lookup whose caller waits for [`HELD_UP`].
+/// A lookup whose caller waits for [`LATE_START_DELAY`].
 fn short_get(path: &str) -> String {
-    let patience = HELD_UP.as_millis();
+    let patience = LATE_START_DELAY.as_millis();
     let marks = format!("heatherring-deadline-ms: {patience}\r\n\r\n");
     get(path).replace("\r\n\r\n", &format!("\r\n{marks}"))
 }
@@ -48,7 +48,7 @@
     let ran = backend.runs();
     backend.behave(Behaviour::Hang);
     entry.begin_stop();
-    until_taking_ends(entry.settings.listen.callers).await;
+    until_listener_closes(entry.settings.listen.callers).await;
     let late_answer = async {
         let closed = tokio::time::timeout(CLOSED_WITHIN, read_all(&mut stream)).await;
         if closed.is_ok() {
@@ -58,7 +58,7 @@
         stream.write_all(get("/safe/y").as_bytes()).await.unwrap();
         Some(read_all(&mut stream).await)
     };
-    let late_answer = announced(&deployment, &backend, late_answer).await;
+    let late_answer = with_announcements(&deployment, &backend, late_answer).await;
     entry.ended().await;
     let ran_late = backend.runs() - ran;
     assert_eq!((late_answer, ran_late), (None, 0), "taken after the stop");
@@ -85,7 +85,7 @@
     .await
     .unwrap();
     entry.begin_stop();
-    let answers = announced(&deployment, &backend, read_all(&mut stream)).await;
+    let answers = with_announcements(&deployment, &backend, read_all(&mut stream)).await;
     entry.ended().await;
     assert_eq!(backend.runs(), ran + 1, "the action was run: {answers:?}");
     assert!(answers.contains("HTTP/1.1 504"), "{answers:?}");
@@ -107,11 +107,11 @@
     stream.write_all(begun.as_bytes()).await.unwrap();
     entry.begin_stop();
     let answering = async {
-        tokio::time::sleep(HELD_UP).await;
+        tokio::time::sleep(LATE_START_DELAY).await;
         stream.write_all(rest.as_bytes()).await.unwrap();
         read_all(&mut stream).await
     };
-    let answer = announced(&deployment, &backend, answering).await;
+    let answer = with_announcements(&deployment, &backend, answering).await;
     entry.ended().await;
     assert_eq!(backend.runs(), ran, "the action was run: {answer:?}");
     assert!(answer.contains("HTTP/1.1 503"), "{answer:?}");
@@ -130,7 +130,7 @@
     let (begun, rest) = request.split_at(request.len() - 1);
     stream.write_all(begun.as_bytes()).await.unwrap();
     entry.begin_stop();
-    until_taking_ends(entry.settings.listen.callers).await;
+    until_listener_closes(entry.settings.listen.callers).await;
     stream.write_all(rest.as_bytes()).await.unwrap();
     let answer = read_all(&mut stream).await;
     entry.ended().await;
--- a/server/tests/test_entry_session.rs
+++ b/server/tests/test_entry_session.rs
@@ -104,7 +104,7 @@
     rig.control.set(Mode::Silent);
     wait_until(async || {
         assert!(!is_refused_for_lease(&rig.get(0, "/").await));
-        third.asked.load(Ordering::Relaxed) > 1
+        third.sync_calls.load(Ordering::Relaxed) > 1
     })
     .await;
 }
@@ -120,7 +120,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_a_request_waits_for_a_session_that_is_being_opened() {
     let mut rig = Rig::start(&[PLACE], LEASE).await;
-    rig.control.hold_openings(true);
+    rig.control.hold_open_replies(true);
     let settings = rig.settings(PLACE);
     let vm = settings.vm.clone();
     rig.start_entry(settings);
@@ -130,7 +130,7 @@
     // An answer that comes before the session does is the refusal.
     let early = tokio::time::timeout(BEFORE_THE_SESSION, &mut asking).await;
     assert!(early.is_err(), "{:?}", early.map(|reply| reply.status));
-    rig.control.hold_openings(false);
+    rig.control.hold_open_replies(false);
     assert!(!is_refused_for_lease(&asking.await));
 }
 
@@ -140,7 +140,7 @@
     rig.control.set(Mode::NoQuorum);
     let settings = rig.settings(PLACE);
     rig.start_entry(settings);
-    wait_until(async || rig.control.asked.load(Ordering::Relaxed) > 2).await;
+    wait_until(async || rig.control.sync_calls.load(Ordering::Relaxed) > 2).await;
     assert!(is_refused_for_lease(&rig.get(0, "/").await));
     rig.control.set(Mode::Grant);
     rig.wait_for_status(0, |status| status["manifest_version"] == 1)
@@ -170,8 +170,8 @@
     let before = rig.status(0).await.expect("a status");
     rig.control.forget_view();
     rig.control.set(Mode::SessionLost);
-    let asked = rig.control.asked.load(Ordering::Relaxed);
-    wait_until(async || rig.control.asked.load(Ordering::Relaxed) > asked + 1).await;
+    let asked = rig.control.sync_calls.load(Ordering::Relaxed);
+    wait_until(async || rig.control.sync_calls.load(Ordering::Relaxed) > asked + 1).await;
     rig.wait_for_status(0, |status| status["session"] == 0)
         .await;
     let after = rig.status(0).await.expect("a status");
@@ -200,7 +200,7 @@
     ));
     let free = TcpListener::bind(listen.callers).await;
     free.expect("no listener is left behind");
-    assert_eq!(rig.control.asked.load(Ordering::Relaxed), 0);
+    assert_eq!(rig.control.sync_calls.load(Ordering::Relaxed), 0);
 }
 
 /// Symptom: while entry VMs are replaced, a request ends with a closed connection and no answer.
--- a/server/tests/test_pipelining.rs
+++ b/server/tests/test_pipelining.rs
@@ -7,8 +7,8 @@
 use std::time::Instant;
 
 use heatherring_server::http_server::HttpVersions;
-use pipelining_support::PATIENCE;
 use pipelining_support::Server;
+use pipelining_support::TEST_TIMEOUT;
 use pipelining_support::get;
 use pipelining_support::post;
 use pipelining_support::read_all;
@@ -29,8 +29,8 @@
     let requests = get("/wait/1") + &get("/wait/2") + &get("/3");
     stream.write_all(requests.as_bytes()).await.unwrap();
     server.until(|seen| seen.begun.len() == 3).await;
-    server.let_go("/wait/2");
-    server.let_go("/wait/1");
+    server.release("/wait/2");
+    server.release("/wait/1");
     let answers = read_until(&mut stream, "</3 >").await;
     let at = |answer| answers.find(answer).unwrap();
     assert!(at("</wait/1 >") < at("</wait/2 >") && at("</wait/2 >") < at("</3 >"));
@@ -53,10 +53,10 @@
     other.write_all(get("/other").as_bytes()).await.unwrap();
     read_until(&mut other, "</other >").await;
     assert_eq!(server.begun(), ["/wait/1", "/other"]);
-    server.let_go("/wait/1");
+    server.release("/wait/1");
     server.until(|seen| seen.begun.len() == 3).await;
     assert_eq!(server.begun(), ["/wait/1", "/other", "/wait/2"]);
-    server.let_go("/wait/2");
+    server.release("/wait/2");
     read_until(&mut stream, "</3 >").await;
 }
 
@@ -71,7 +71,7 @@
     stream.write_all(requests.as_bytes()).await.unwrap();
     server.until(|seen| seen.begun.len() == 1).await;
     let while_first_is_handled = Instant::now();
-    server.let_go("/wait/1");
+    server.release("/wait/1");
     let seen = server.until(|seen| seen.begun.len() == 2).await;
     assert!(seen.arrivals[1] <= while_first_is_handled);
 }
@@ -110,7 +110,7 @@
     read_until(&mut other, "</other >").await;
     assert_eq!(server.begun().len(), 18);
     for n in 0..200 {
-        server.let_go(&format!("/wait/{n}"));
+        server.release(&format!("/wait/{n}"));
     }
     read_until(&mut stream, "</wait/199 >").await;
 }
@@ -134,10 +134,10 @@
     }
     let mut other = server.connect_until_idle(at_once).await;
     stream.write_all(get("/3").as_bytes()).await.unwrap();
-    server.let_go("/wait/1");
+    server.release("/wait/1");
     let first = read_until(&mut stream, "</wait/1 >").await;
     assert!(!first.contains("connection: close"), "{first}");
-    server.let_go("/wait/2");
+    server.release("/wait/2");
     let second = read_all(&mut stream).await;
     assert!(second.contains("connection: close"), "{second}");
     assert!(second.contains("</wait/2 >") && !second.contains("</3 >"));
@@ -162,7 +162,7 @@
     let mut other = server.connect().await;
     other.write_all(get("/other").as_bytes()).await.unwrap();
     read_until(&mut other, "</other >").await;
-    server.let_go("/early/1");
+    server.release("/early/1");
     let answer = read_until(&mut stream, "</early/1 >").await;
     assert!(answer.contains("connection: close"), "{answer}");
 }
@@ -192,7 +192,7 @@
     server.stops.leaving.cancel();
     server.stops.stop.cancel();
     // The caller keeps its side open, and nothing but the idle timeout is as long.
-    let ended = tokio::time::timeout(PATIENCE / 4, &mut server.serving).await;
+    let ended = tokio::time::timeout(TEST_TIMEOUT / 4, &mut server.serving).await;
     assert!(ended.is_ok(), "a connection is still there");
     drop(stream);
 }
@@ -213,7 +213,7 @@
 /// connections were timed. A beginning that came together with the request before it can't be
 /// told from nothing, and is ended as an idle connection is.
 #[rstest]
-#[case::by_itself("", "GET /b HT", PATIENCE)]
+#[case::by_itself("", "GET /b HT", TEST_TIMEOUT)]
 #[case::behind_a_request("GET /b HT", "", Duration::from_millis(600))]
 #[tokio::test]
 async fn test_a_slow_head_ends_the_connection(
@@ -240,7 +240,7 @@
     let sent = get("/wait/1") + head;
     stream.write_all(sent.as_bytes()).await.unwrap();
     server.until(|seen| seen.begun.len() == 1).await;
-    server.let_go("/wait/1");
+    server.release("/wait/1");
     let first = read_until(&mut stream, "100 Continue\r\n\r\n").await;
     assert!(first.find("</wait/1 >").unwrap() < first.find("100 Continue").unwrap());
     stream.write_all(b"x").await.unwrap();
@@ -266,7 +266,7 @@
     #[case] connection: &str,
 ) {
     for versions in [HttpVersions::Http1, HttpVersions::Both] {
-        let server = Server::start_with(versions, PATIENCE).await;
+        let server = Server::start_with(versions, TEST_TIMEOUT).await;
         let mut stream = server.connect().await;
         let last = "GET /z HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n";
         stream.write_all(request.as_bytes()).await.unwrap();
--- a/server/tests/test_poison_at_owner.rs
+++ b/server/tests/test_poison_at_owner.rs
@@ -44,7 +44,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_poison_at_owner_ends_few_backend_servers() {
     let mut rig = Rig::start(&[PLACE], LEASE).await;
-    let backends = start(&mut rig, &[Script::End]).await;
+    let backends = start(&mut rig, &[Script::Crash]).await;
     let mut reason = String::new();
     for _ in 0..TRIES {
         let reply = rig.get(0, "/cubes/1").await;
--- a/server/tests/test_poison_request.rs
+++ b/server/tests/test_poison_request.rs
@@ -17,9 +17,9 @@
 use direct_support::backend::Behaviour;
 use direct_support::call;
 use direct_support::call_from;
-use direct_support::crashing_backend::Fragile;
-use direct_support::crashing_backend::MARKED;
-use direct_support::crashing_backend::Seen;
+use direct_support::crashing_backend::CrashRecord;
+use direct_support::crashing_backend::CrashingBackend;
+use direct_support::crashing_backend::POISON_PATH;
 use direct_support::request;
 use direct_support::until_served;
 use heatherring_lib::settings::Security;
@@ -80,7 +80,7 @@
     tokio::spawn(async move {
         let sources = sources.iter().cycle();
         for (number, (entry, source)) in entries.iter().cycle().zip(sources).enumerate() {
-            let req = lookup(MARKED, &format!("marked-{number}"));
+            let req = lookup(POISON_PATH, &format!("marked-{number}"));
             // What it is told makes no difference to it.
             let _ = call_from(*source, *entry, req).await;
             tokio::time::sleep(PAUSE).await;
@@ -134,11 +134,14 @@
 }
 
 /// Entry VMs, and backend servers that end under marked requests.
-async fn start(deployment: &mut Deployment, seen: &Arc<Seen>) -> (Vec<Entry>, Vec<Fragile>) {
+async fn start(
+    deployment: &mut Deployment,
+    record: &Arc<CrashRecord>,
+) -> (Vec<Entry>, Vec<CrashingBackend>) {
     let names = ["entry-1", "entry-2", "entry-3"];
     let entries: Vec<Entry> = names.map(|name| deployment.start_entry(name)).into();
     let names = (1..=8).map(|number| format!("backend-{number}"));
-    let backends = names.map(|name| Fragile::start(deployment, &name, seen));
+    let backends = names.map(|name| CrashingBackend::start(deployment, &name, record));
     let backends = backends.collect();
     deployment.submit_routes(1, 0).await;
     for entry in &entries {
@@ -168,25 +171,31 @@
 
 /// Waits until as many backend servers have ended as may; returns from when on all entry VMs must
 /// know of the request.
-async fn until_bound(seen: &Seen) -> Instant {
-    let ended = wait_for("backend servers that ended", async || seen.end(ENDS)).await;
+async fn until_bound(record: &CrashRecord) -> Instant {
+    let ended = wait_for("backend servers that ended", async || {
+        record.crash_time(ENDS)
+    })
+    .await;
     ended.unwrap() + KNOWN_WITHIN
 }
 
 /// Has the marked request come until all entry VMs must know of it; returns since when.
-async fn make_known(seen: &Seen, entries: &[Entry]) -> Instant {
+async fn make_known(record: &CrashRecord, entries: &[Entry]) -> Instant {
     let coming = come_again(addresses(entries));
-    let bound = until_bound(seen).await;
+    let bound = until_bound(record).await;
     tokio::time::sleep_until(bound.into()).await;
     coming.abort();
     bound
 }
 
 /// Checks how many tries have reached a backend server later than `bound`.
-fn check_late_tries(seen: &Seen, bound: Instant) {
-    let (tries, ends) = (seen.tries_since(bound), seen.ends());
-    println!("{tries} tries later than the bound, {ends} backend servers ended");
-    assert!(tries <= LATE_TRIES, "{tries} tries; {ends} ended in all");
+fn check_late_tries(record: &CrashRecord, bound: Instant) {
+    let (attempts, ends) = (record.attempts_since(bound), record.crash_count());
+    println!("{attempts} tries later than the bound, {ends} backend servers ended");
+    assert!(
+        attempts <= LATE_TRIES,
+        "{attempts} tries; {ends} ended in all"
+    );
 }
 
 /// Symptom: one caller's request takes two services down; whoever stands on the backend servers
@@ -198,17 +207,17 @@
 /// reached backend servers before there was a verdict that all entry VMs share, none since.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_poison_request_ends_few_backend_servers() {
-    let seen = Arc::new(Seen::default());
+    let record = Arc::new(CrashRecord::default());
     let mut deployment = Deployment::start(3);
-    let (entries, _backends) = start(&mut deployment, &seen).await;
+    let (entries, _backends) = start(&mut deployment, &record).await;
     let ordinary = Arc::new(Ordinary::default());
     let sending = ordinary.send_on(addresses(&entries));
     let coming = come_again(addresses(&entries));
-    let bound = until_bound(&seen).await;
+    let bound = until_bound(&record).await;
     tokio::time::sleep_until((bound + COMES_AGAIN_FOR).into()).await;
     coming.abort();
     sending.abort();
-    check_late_tries(&seen, bound);
+    check_late_tries(&record, bound);
     let (sent, served) = ordinary.served_since(bound);
     println!("{served} of {sent} ordinary requests served");
     assert!(served * 100 >= sent * 95, "{served} of {sent} served");
@@ -222,15 +231,15 @@
 /// quarantine it for all.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_poison_request_is_known_from_any_address() {
-    let seen = Arc::new(Seen::default());
+    let record = Arc::new(CrashRecord::default());
     let mut deployment = Deployment::start(3);
-    let (entries, _backends) = start(&mut deployment, &seen).await;
+    let (entries, _backends) = start(&mut deployment, &record).await;
     let sources = (0..16).map(|_| Some(deployment.block.next_vm())).collect();
     let coming = come_again_from(sources, addresses(&entries));
-    let bound = until_bound(&seen).await;
+    let bound = until_bound(&record).await;
     tokio::time::sleep_until((bound + COMES_AGAIN_FOR).into()).await;
     coming.abort();
-    check_late_tries(&seen, bound);
+    check_late_tries(&record, bound);
 }
 
 /// Symptom: a request that was refused for what it does ends backend servers again. Sequence:
@@ -239,15 +248,15 @@
 /// of an entry VM.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_poison_request_is_known_after_restarts() {
-    let seen = Arc::new(Seen::default());
+    let record = Arc::new(CrashRecord::default());
     let mut deployment = Deployment::start(3);
-    let (entries, _backends) = start(&mut deployment, &seen).await;
-    let bound = make_known(&seen, &entries).await;
+    let (entries, _backends) = start(&mut deployment, &record).await;
+    let bound = make_known(&record, &entries).await;
     let entries = restart_all(&mut deployment, entries).await;
     let coming = come_again(addresses(&entries));
     tokio::time::sleep(COMES_AGAIN_FOR).await;
     coming.abort();
-    check_late_tries(&seen, bound);
+    check_late_tries(&record, bound);
 }
 
 /// Connections that break are no evidence while the backend server lives: answers are garbled,
@@ -270,7 +279,7 @@
     let mut told = Vec::new();
     for number in 0..20 {
         let entry = entry.settings.listen.callers;
-        let answer = send(entry, MARKED, format!("marked-{number}")).await;
+        let answer = send(entry, POISON_PATH, format!("marked-{number}")).await;
         told.push(answer.unwrap().body);
     }
     assert!(
@@ -283,10 +292,10 @@
 /// An operator sees which request is in quarantine and for which backend servers, and lets it go.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_poison_request_is_shown_and_lifted() {
-    let seen = Arc::new(Seen::default());
+    let record = Arc::new(CrashRecord::default());
     let mut deployment = Deployment::start(3);
-    let (entries, _backends) = start(&mut deployment, &seen).await;
-    make_known(&seen, &entries).await;
+    let (entries, _backends) = start(&mut deployment, &record).await;
+    make_known(&record, &entries).await;
     let replicas = deployment.replicas.iter().map(|r| r.settings.listen);
     let security = PeerSecurity::from_settings(&Security::OpenLoopback).unwrap();
     let operator = OperatorClient::new(replicas.collect(), security, KNOWN_WITHIN);
@@ -301,7 +310,7 @@
     };
     assert!(operator.lift_quarantine(&lift).await.unwrap().known);
     wait_for("the request to be let through", async || {
-        let told = send(addresses(&entries)[0], MARKED, "lifted".to_owned()).await?;
+        let told = send(addresses(&entries)[0], POISON_PATH, "lifted".to_owned()).await?;
         (told.body != "quarantined").then_some(())
     })
     .await
@@ -312,15 +321,17 @@
 /// for it: only the caller that sent that one is.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_poison_request_of_one_caller_refuses_no_other() {
-    let seen = Arc::new(Seen::default());
+    let record = Arc::new(CrashRecord::default());
     let mut deployment = Deployment::start(3);
-    let (entries, _backends) = start(&mut deployment, &seen).await;
-    make_known(&seen, &entries).await;
+    let (entries, _backends) = start(&mut deployment, &record).await;
+    make_known(&record, &entries).await;
     let entry = addresses(&entries)[0];
-    let refused = send(entry, MARKED, "same-caller".to_owned()).await.unwrap();
+    let refused = send(entry, POISON_PATH, "same-caller".to_owned())
+        .await
+        .unwrap();
     assert_eq!(refused.body, "quarantined");
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     let other = deployment.block.next_vm();
-    let told = send_from(other, entry, MARKED, "other-caller".to_owned()).await;
+    let told = send_from(other, entry, POISON_PATH, "other-caller".to_owned()).await;
     assert!(told.is_some_and(|answer| answer.body != "quarantined"));
 }
--- a/server/tests/test_request_framing.rs
+++ b/server/tests/test_request_framing.rs
@@ -8,8 +8,8 @@
 use heatherring_server::http_server::Admittance;
 use heatherring_server::http_server::HttpVersions;
 use heatherring_server::peer_security::PeerSecurity;
-use pipelining_support::PATIENCE;
 use pipelining_support::Server;
+use pipelining_support::TEST_TIMEOUT;
 use pipelining_support::get;
 use pipelining_support::post;
 use pipelining_support::read_all;
@@ -128,7 +128,7 @@
 
 async fn check_what_stands_behind(behind: &str, last: Option<&str>, begun: &[&str]) {
     for versions in [HttpVersions::Http1, HttpVersions::Both] {
-        let server = Server::start_with(versions, PATIENCE).await;
+        let server = Server::start_with(versions, TEST_TIMEOUT).await;
         check_answers(&server, behind, last, begun).await;
     }
 }
@@ -178,7 +178,7 @@
     #[case] begun: &[&str],
 ) {
     let admittance = Admittance::Deployment(PeerSecurity::open_loopback());
-    let server = Server::start_for(admittance, HttpVersions::Both, PATIENCE).await;
+    let server = Server::start_for(admittance, HttpVersions::Both, TEST_TIMEOUT).await;
     check_answers(&server, behind, last, begun).await;
 }
 
@@ -260,7 +260,7 @@
     begun.sort_by_key(|(path, _)| path[1..].parse::<usize>().unwrap());
     assert_eq!(begun, expected);
     server.stops.stop.cancel();
-    tokio::time::timeout(PATIENCE, reading)
+    tokio::time::timeout(TEST_TIMEOUT, reading)
         .await
         .unwrap()
         .unwrap();
--- a/server/tests/test_stop_elsewhere.rs
+++ b/server/tests/test_stop_elsewhere.rs
@@ -16,15 +16,15 @@
 use direct_support::call;
 use direct_support::request;
 use direct_support::stops::GRACE;
-use direct_support::stops::HELD_UP;
-use direct_support::stops::announced;
+use direct_support::stops::LATE_START_DELAY;
 use direct_support::stops::connect;
 use direct_support::stops::get;
-use direct_support::stops::patient_routes;
+use direct_support::stops::long_timeout_routes;
 use direct_support::stops::post;
 use direct_support::stops::read_all;
 use direct_support::stops::start;
-use direct_support::stops::until_taking_ends;
+use direct_support::stops::until_listener_closes;
+use direct_support::stops::with_announcements;
 use direct_support::until_served;
 use heatherring_testutils::wait::wait_for;
 use http::Method;
@@ -34,7 +34,7 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// Time that a streamed answer takes, longer than what is left at [`HELD_UP`].
+/// Time that a streamed answer takes, longer than what is left at [`LATE_START_DELAY`].
 const STREAMED: Duration = Duration::from_secs(2);
 
 /// Time for which the leader is frozen: less than the shortest silence that starts an election.
@@ -96,12 +96,12 @@
     stream.write_all(begun.as_bytes()).await.unwrap();
     let running = async {
         entry.begin_stop();
-        until_taking_ends(entry.settings.listen.callers).await;
+        until_listener_closes(entry.settings.listen.callers).await;
         tokio::time::sleep(Duration::from_millis(200)).await;
         stream.write_all(rest.as_bytes()).await.unwrap();
         read_all(&mut stream).await
     };
-    let answer = announced(&deployment, &backend, running).await;
+    let answer = with_announcements(&deployment, &backend, running).await;
     entry.ended().await;
     assert_eq!(backend.runs(), ran, "it was run: {answer:?}");
 }
@@ -183,7 +183,7 @@
     let actions = Arc::new(AtomicU32::new(0));
     let listener = TcpListener::bind(backend.address).await.unwrap();
     let serving = tokio::spawn(stream_answers(listener, Arc::clone(&actions)));
-    deployment.submit(&patient_routes()).await;
+    deployment.submit(&long_timeout_routes()).await;
     deployment.announce(&backend, 1, "Ready").await;
     until_served(&entry).await;
     let running = async {
@@ -202,12 +202,12 @@
         stream.write_all(begun.as_bytes()).await.unwrap();
         tokio::time::sleep(Duration::from_millis(50)).await;
         entry.begin_stop();
-        tokio::time::sleep(HELD_UP).await;
+        tokio::time::sleep(LATE_START_DELAY).await;
         stream.write_all(rest.as_bytes()).await.unwrap();
         let answer = read_all(&mut stream).await;
         (actions.load(Ordering::SeqCst) - learned, answer)
     };
-    let (run, answer) = announced(&deployment, &backend, running).await;
+    let (run, answer) = with_announcements(&deployment, &backend, running).await;
     entry.ended().await;
     serving.abort();
     let whole = answer.ends_with("0\r\n\r\n");
@@ -215,7 +215,7 @@
 }
 
 /// Sends an order that changes nothing; returns its answer's status, nothing if there was none.
-async fn order(address: SocketAddr) -> Option<u16> {
+async fn operator_call(address: SocketAddr) -> Option<u16> {
     let req = request(Method::DELETE, "/v1/evacuations/fko-hakata", "");
     Some(call(address, req).await?.status.as_u16())
 }
@@ -223,7 +223,7 @@
 async fn until_in_order(replicas: &[Replica]) {
     for replica in replicas {
         wait_for("an order", async || {
-            (order(replica.orders()).await == Some(204)).then_some(())
+            (operator_call(replica.api_address()).await == Some(204)).then_some(())
         })
         .await
         .unwrap();
@@ -238,7 +238,7 @@
             replica.freeze(FROZEN);
             tokio::time::sleep(Duration::from_millis(30)).await;
             let begun = Instant::now();
-            let status = order(other.orders()).await;
+            let status = operator_call(other.api_address()).await;
             let waited = begun.elapsed() > FROZEN / 2;
             tokio::time::sleep(FROZEN).await;
             if waited && status == Some(204) {
@@ -269,7 +269,7 @@
         replicas[leader].freeze(FROZEN);
         let follower = replicas.remove(index);
         tokio::time::sleep(Duration::from_millis(30)).await;
-        let ordering = tokio::spawn(order(follower.orders()));
+        let ordering = tokio::spawn(operator_call(follower.api_address()));
         tokio::time::sleep(Duration::from_millis(100)).await;
         follower.begin_stop();
         answers.push(ordering.await.unwrap());
--- a/server/tests/test_strict_requests.rs
+++ b/server/tests/test_strict_requests.rs
@@ -21,7 +21,7 @@
 const LEASE: Duration = Duration::from_secs(10);
 
 /// Time after which a test has failed; nothing is measured against it.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Heads' fields, with a body behind them, that each hold one fault.
 const FAULTS: [&str; 6] = [
@@ -42,7 +42,7 @@
         let mut stream = TcpStream::connect(listener).await.unwrap();
         stream.write_all(sent.as_bytes()).await.unwrap();
         let mut answers = Vec::new();
-        let reading = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut answers)).await;
+        let reading = tokio::time::timeout(TEST_TIMEOUT, stream.read_to_end(&mut answers)).await;
         reading.expect("the connection stays open").unwrap();
         let answers = String::from_utf8_lossy(&answers);
         assert!(answers.starts_with("HTTP/1.1 400 "), "{sent}: {answers}");
--- a/server/tests/test_teams.rs
+++ b/server/tests/test_teams.rs
@@ -100,8 +100,11 @@
     let (_deployment, entry, backend) = start().await;
     let answer = ask(&entry, path, keys).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
-    assert_eq!(backend.told("heatherring-team"), Vec::from_iter(team));
-    assert!(backend.told("authorization").is_empty());
+    assert_eq!(
+        backend.header_values("heatherring-team"),
+        Vec::from_iter(team)
+    );
+    assert!(backend.header_values("authorization").is_empty());
     entry.stop().await;
 }
 
