--- a/server/tests/test_announcement_batch.rs
+++ b/server/tests/test_announcement_batch.rs
@@ -1,4 +1,4 @@
-//! Announcements that are committed together.
+//! Batching of announcements of backend servers into commits.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,10 +29,10 @@
     }
 }
 
-/// Symptom: the leader's share of a processor was used up at 300 VMs. Sequence: hundreds of
-/// backend servers announce themselves within a second. Cause: a commit for each.
+/// Guards against a leader that uses up its CPU allowance at 300 VMs: hundreds of backend servers
+/// announce themselves within a second, and each announcement is a commit of its own.
 #[tokio::test]
-async fn test_what_is_announced_at_once_is_committed_together_and_in_order() {
+async fn test_concurrent_announcements_are_committed_together_and_in_order() {
     let (tx, mut committed) = mpsc::unbounded_channel();
     let batch = AnnouncementBatch::spawn(move |changes| {
         let _ = tx.send(changes);
--- a/server/tests/test_backend_life.rs
+++ b/server/tests/test_backend_life.rs
@@ -1,4 +1,4 @@
-//! Lives of backend servers and odd announcements, over control and an entry VM.
+//! Restarts of backend servers and invalid announcements, with control and an entry VM.
 
 mod direct_support;
 
@@ -15,16 +15,16 @@
 use http::StatusCode;
 use rstest::rstest;
 
-/// Symptom: callers wait until their deadline for answers of a backend server that was started
-/// again. Sequence: its connections fall silent, with no reset, and it starts again under its
-/// name, which control learns. Cause: nobody told the requests under way that whoever has them
-/// is gone. Here the lookup is sent again, and the action ends as unknown, long before the
-/// timeout of 5 s of their routes.
+/// Guards against callers that wait until their deadline for answers of a backend server that has
+/// restarted: its connections stop responding without a reset, and it announces a new incarnation
+/// under its name, but requests in flight to the earlier incarnation are not ended. Expected: the
+/// lookup is sent again, and the action ends as unknown, long before the timeout of 5 s of their
+/// routes.
 #[rstest]
 #[case::idempotent("/safe/x", StatusCode::OK, 2)]
 #[case::action("/once/x", StatusCode::BAD_GATEWAY, 1)]
 #[tokio::test(flavor = "multi_thread")]
-async fn test_requests_of_an_earlier_life_end(
+async fn test_requests_to_an_earlier_incarnation_end(
     #[case] path: &str,
     #[case] status: StatusCode,
     #[case] runs: u32,
@@ -39,8 +39,8 @@
     until_served(&entry).await;
     backend.behave(Behaviour::Hang);
     let before = backend.runs();
-    let asking = entry.call(Method::POST, path);
-    let bearing = async {
+    let calling = entry.call(Method::POST, path);
+    let restarting = async {
         wait_for("a run", async || (backend.runs() > before).then_some(()))
             .await
             .unwrap();
@@ -49,15 +49,15 @@
             .announce_incarnation(&backend, 2_000, 1, "Ready")
             .await;
     };
-    let (answer, ()) = tokio::join!(asking, bearing);
+    let (answer, ()) = tokio::join!(calling, restarting);
     assert_eq!(answer.unwrap().status, status);
     assert_eq!(backend.runs() - before, runs);
 }
 
-/// Entries of another writer name no backend server to use, are refused with a reason, and
-/// leave the good one of the same name alone.
+/// Guards against invalid announcements, as from a faulty backend server, taking effect: each is
+/// refused with 400, and the valid record under the same name stays in use.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_odd_announcements_change_nothing() {
+async fn test_invalid_announcements_change_nothing() {
     let mut deployment = Deployment::start(3);
     let entry = deployment.start_entry("entry-1");
     let backend = deployment.start_backend("backend-1").await;
@@ -65,8 +65,8 @@
     deployment
         .announce_incarnation(&backend, 1_000, 1, "Ready")
         .await;
-    let good = announcement(&backend, 5, "Ready");
-    let odd = [
+    let valid = announcement(&backend, 5, "Ready");
+    let faults = [
         ("place", "moon".into()),
         ("slots", 0.into()),
         ("slots", "three".into()),
@@ -76,11 +76,11 @@
         ("sequence", (-1).into()),
         ("service", "x".repeat(20_000).into()),
     ];
-    for (field, value) in odd {
-        let mut body = good.clone();
+    for (field, value) in faults {
+        let mut body = valid.clone();
         body["record"][field] = value;
-        // Control's leader may change; whoever answers must refuse for good.
-        let answer = wait_for("a verdict", async || {
+        // 503 is possible while the leader changes; the final answer must be a refusal.
+        let answer = wait_for("a final answer", async || {
             let req = request(Method::POST, "/v1/announcements", body.to_string());
             let answer = call(deployment.replicas[0].api_address(), req).await?;
             (answer.status != StatusCode::SERVICE_UNAVAILABLE).then_some(answer)
--- a/server/tests/test_direct.rs
+++ b/server/tests/test_direct.rs
@@ -1,4 +1,4 @@
-//! Direct dispatch as a whole: control that forms itself, entry VMs, backend servers.
+//! Direct dispatch end to end: control replicas that form a cluster, entry VMs, backend servers.
 
 mod direct_support;
 
@@ -20,11 +20,11 @@
 use http::Method;
 use http::StatusCode;
 
-/// Waits until the entry VM knows all of `backends`. An announcement is confirmed before
-/// entry VMs have learned of it; objects are spread over those that they know.
+/// Waits until the entry VM has sent requests to all of `backends`. An announcement is confirmed
+/// before entry VMs receive it; an entry VM spreads objects over the backend servers that it knows.
 async fn until_known(entry: &Entry, backends: &[&Backend]) {
     let mut number = 0;
-    wait_for("requests at each backend server", async || {
+    wait_for("a request at each backend server", async || {
         number += 1;
         entry.call(Method::GET, &format!("/safe/{number}")).await?;
         let all = backends.iter().all(|backend| backend.runs() > 0);
@@ -34,7 +34,7 @@
     .unwrap();
 }
 
-/// Starts an entry VM and two backend servers that it knows.
+/// Starts an entry VM and two backend servers, and waits until both receive requests.
 async fn start_two(deployment: &mut Deployment) -> (Entry, [Backend; 2]) {
     let entry = deployment.start_entry("entry-1");
     let first = deployment.start_backend("backend-1").await;
@@ -79,10 +79,9 @@
     entry.stop().await;
 }
 
-/// Symptom: after a loss of all power callers are refused for a second for want of a view, come
-/// back all together, and are refused for want of room. Sequence: an entry VM listens before
-/// control has a leader; the view comes half a second later. Cause: requests were refused at
-/// once although what they lacked was on its way.
+/// Guards against refusals after a power loss of the whole deployment: an entry VM listens before
+/// control has a leader, and receives its first view half a second later. If it refuses requests
+/// at once, all callers retry together after a second and are refused for lack of capacity.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_direct_waits_a_little_for_the_first_view() {
     let mut deployment = Deployment::start(3);
@@ -94,16 +93,15 @@
     })
     .await
     .unwrap();
-    let asking = entry.call(Method::GET, "/safe/y");
-    let (answer, ()) = tokio::join!(asking, deployment.submit_routes(1, 0));
+    let calling = entry.call(Method::GET, "/safe/y");
+    let (answer, ()) = tokio::join!(calling, deployment.submit_routes(1, 0));
     assert_eq!(answer.unwrap().status, StatusCode::OK);
 }
 
-/// Symptom: a lookup that was answered in time at its backend server gets no answer. Sequence: it
-/// stands behind another one on its connection, whose caller's time runs out; the answer that
-/// says so is on its way when the caller closes the connection. Cause: what is told at a
-/// caller's deadline comes after it. Backend servers are given less than the caller has, and
-/// nothing that hasn't come by then is waited for.
+/// Guards against the loss of a lookup's answer that its backend server gave in time: the lookup
+/// is pipelined behind a request that reaches its deadline, and the caller closes the connection
+/// before the answer to that request arrives. An answer sent at the deadline arrives too late, so
+/// backend servers are given less time than the caller has, and the entry VM waits no longer.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_direct_ends_before_the_callers_deadline() {
     let mut deployment = Deployment::start(3);
@@ -114,22 +112,19 @@
     headers.insert("heatherring-deadline-ms", "2000".parse().unwrap());
     let answer = call(entry.settings.listen.callers, req).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
-    let told = [first.last_deadline_ms(), second.last_deadline_ms()];
+    let deadlines = [first.last_deadline_ms(), second.last_deadline_ms()];
     assert!(
-        told.iter().any(|told| (1..=1_960).contains(told)),
-        "{told:?}"
+        deadlines.iter().any(|ms| (1..=1_960).contains(ms)),
+        "{deadlines:?}"
     );
 }
 
-/// Symptom: a manifest that was acknowledged is gone, or two are in force.
-///
-/// Sequence: a founder loses its disk and comes back at its address with an empty folder;
-/// then another founder is stopped.
-///
-/// Cause: it would found the cluster anew, or count as its former self. It joins under a
-/// fresh identity and holds what was acknowledged before it counts.
+/// Guards against the loss of an acknowledged manifest, and against two manifests in force: a
+/// founding replica loses its disk and restarts at its address with an empty folder, then another
+/// founder is stopped. The replica must neither found a second cluster nor count as the voter that
+/// it was: it joins under a new identity, and votes only once it has the acknowledged entries.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_direct_control_takes_a_lost_disk_back_as_a_new_replica() {
+async fn test_direct_control_replica_with_a_lost_disk_rejoins_as_a_new_one() {
     let mut deployment = Deployment::start(3);
     deployment.submit_routes(1, 0).await;
     let lost = deployment.replicas.remove(0).stop().await;
@@ -139,11 +134,11 @@
     settings.formation.as_mut().unwrap().first_start = false;
     deployment.replicas.push(Replica::start(settings));
     let file = lost.data_folder.join("identity");
-    let fresh = wait_for("a fresh identity", async || fs::read(&file).ok());
+    let fresh = wait_for("a new identity", async || fs::read(&file).ok());
     assert_ne!(fresh.await.unwrap(), identity);
     deployment.submit_routes(2, 1).await;
-    // With the new replica as a voter, the loss of another one is borne.
-    wait_for("an answer of the new replica", async || {
+    // With the new replica as a voter, the cluster tolerates the loss of another one.
+    wait_for("an answer from the new replica", async || {
         let replica = deployment.replicas.last()?;
         let answer = call(
             replica.api_address(),
@@ -159,13 +154,11 @@
     assert_eq!(deployment.version().await, 2);
 }
 
-/// Symptom: a booking lands twice.
-///
-/// Sequence: a backend server runs a request and breaks the connection before it answers.
-///
-/// Cause: the request is sent again. Only an idempotent one is; any other ends as unknown.
+/// Guards against a booking that is made twice: a backend server runs a request and closes the
+/// connection before it answers, or answers with another request's ID. Only an idempotent request
+/// may be sent again; any other ends as unknown.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_direct_sends_again_only_what_is_idempotent() {
+async fn test_direct_resends_only_idempotent_requests() {
     let mut deployment = Deployment::start(3);
     let (entry, [first, second]) = start_two(&mut deployment).await;
     for behaviour in [Behaviour::Break, Behaviour::Foreign] {
@@ -181,9 +174,9 @@
     }
 }
 
-/// A refusal says when to come back, and is true: nothing ran.
+/// Checks that a request that all backend servers refused gets a `Retry-After`, and was not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_direct_refuses_what_all_turned_away() {
+async fn test_direct_refuses_what_all_backend_servers_refuse() {
     let mut deployment = Deployment::start(3);
     let (entry, backend) = deployment.start_served().await;
     backend.behave(Behaviour::Shed);
@@ -194,12 +187,9 @@
     assert_eq!(backend.runs(), before);
 }
 
-/// Symptom: a backend server that leaves gets new requests for seconds.
-///
-/// Sequence: it says that it leaves, and is told that this is known.
-///
-/// Cause: it is told before entry VMs can know. The confirmation waits for the commit, and
-/// entry VMs follow within a second.
+/// Guards against new requests to a draining backend server for seconds after its announcement
+/// was confirmed, because the confirmation came before entry VMs could know. The confirmation waits
+/// for the commit, and entry VMs apply it within a second.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_direct_leaves_a_draining_backend_server_alone() {
     let mut deployment = Deployment::start(3);
@@ -215,15 +205,12 @@
     assert_eq!(first.runs(), before);
 }
 
-/// Symptom: backend servers crash under requests of entry VMs that control has left.
-///
-/// Sequence: control goes; the place is evacuated as far as others know, and its backend
-/// servers become cold; the entry VM goes on as before.
-///
-/// Cause: only control told it which backend servers are cold. All of 30 requests within a
-/// second were sent to one that bears 10.
+/// Guards against backend servers that crash under the requests of an entry VM without contact to
+/// control: the place is evacuated in the view of all others, its backend servers become cold, and
+/// the entry VM continues at the same rate because it learns only from control which backend
+/// servers are cold. All of 30 requests within a second were sent to one that can take 10.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_direct_spares_a_cold_backend_server_without_control() {
+async fn test_direct_limits_requests_to_a_cold_backend_server_without_control() {
     let mut deployment = Deployment::start(3);
     let entry = deployment.start_entry("entry-1");
     let backend = deployment.start_backend("backend-1").await;
@@ -241,8 +228,8 @@
     .await
     .unwrap();
     backend.become_cold(60_000);
-    // The second time that it is asked, its first answer is known.
-    wait_for("the question whether it is cold", async || {
+    // At the second cold query the entry VM has the reply to the first.
+    wait_for("two cold replies", async || {
         (backend.cold_replies() >= 2).then_some(())
     })
     .await
@@ -255,20 +242,23 @@
         tokio::time::sleep(Duration::from_millis(30)).await;
     }
     let runs = backend.runs() - before;
-    let borne = 1.0 + 10.0 * begun.elapsed().as_secs_f64();
-    assert!(runs > 0 && f64::from(runs) <= borne, "{runs} of {borne}");
+    let allowed = 1.0 + 10.0 * begun.elapsed().as_secs_f64();
+    assert!(
+        runs > 0 && f64::from(runs) <= allowed,
+        "{runs} requests were run, {allowed} are allowed"
+    );
 }
 
-/// Guards against a 404 for a route that was added while the entry VM heard nothing of control.
+/// Guards against a 404 for a route that was added while the entry VM had no contact to control.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_direct_out_of_touch_no_route_is_unknown_for_certain() {
+async fn test_direct_without_control_an_unknown_route_is_not_a_404() {
     let mut deployment = Deployment::start(1);
     let (entry, _backend) = deployment.start_served().await;
     let unknown = entry.call(Method::GET, "/added/x").await.unwrap();
     assert_eq!(unknown.status, StatusCode::NOT_FOUND);
     deployment.replicas.pop().unwrap().stop().await;
     tokio::time::sleep(MAX_IN_FORCE_DELAY).await;
-    wait_for("the entry VM isn't sure any more", async || {
+    wait_for("a 503 for an unknown route", async || {
         let unknown = entry.call(Method::GET, "/added/x").await?;
         (unknown.status == StatusCode::SERVICE_UNAVAILABLE).then_some(())
     })
@@ -277,6 +267,10 @@
     let unknown = entry.call(Method::GET, "/added/x").await.unwrap();
     assert!(unknown.retry_after.is_some());
     let known = entry.call(Method::GET, "/safe/x").await.unwrap();
-    assert_eq!(known.status, StatusCode::OK, "what is known is served on");
+    assert_eq!(
+        known.status,
+        StatusCode::OK,
+        "known routes are still served"
+    );
     entry.stop().await;
 }
--- a/server/tests/test_direct_stop.rs
+++ b/server/tests/test_direct_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of an entry VM that dispatches directly, through to its backend server.
+//! Planned stops of an entry VM with direct dispatch, observed at its callers and backend server.
 
 mod direct_support;
 
@@ -18,28 +18,25 @@
 use heatherring_testutils::wait::wait_for;
 use tokio::io::AsyncWriteExt;
 
-/// Time after the end of taking requests within which a connection that is idle must have been
-/// closed: what comes later can't be answered before the process ends.
+/// Time after the entry VM accepts no more requests within which an idle connection must have been
+/// closed: a request that arrives later can't be answered before the process ends.
 const CLOSED_WITHIN: Duration = Duration::from_secs(2);
 
-/// A lookup whose caller waits for [`LATE_START_DELAY`].
+/// Returns a lookup with a deadline of [`LATE_START_DELAY`].
 fn short_get(path: &str) -> String {
-    let patience = LATE_START_DELAY.as_millis();
-    let marks = format!("heatherring-deadline-ms: {patience}\r\n\r\n");
-    get(path).replace("\r\n\r\n", &format!("\r\n{marks}"))
+    let timeout = LATE_START_DELAY.as_millis();
+    let header = format!("heatherring-deadline-ms: {timeout}\r\n\r\n");
+    get(path).replace("\r\n\r\n", &format!("\r\n{header}"))
 }
 
-/// Symptom: a request that was sent 3.7 to 5.2 s after an entry VM had been asked to stop, with
-/// 6 s of grace, was run by a backend server and its connection was closed with no answer.
-/// Sequence: a connection is idle when the stop begins; requests are to be taken for 2.7 s; a
-/// caller sends on the connection after that; the request is taken, passed on, and cut off when
-/// the process ends at 5.7 s. Cause: once it had been told that the process leaves, a connection
-/// waited for one more request and never again looked whether the time for it was over.
-/// Evidence: both requests of the record were cut 5.71 and 5.75 s after their signals, which is
-/// the end of the grace time as the process itself counts it, so that neither the signal nor its
-/// clock was late.
+/// Guards against a request that a backend server runs, but whose connection is closed without an
+/// answer. With 6 s of grace, an entry VM accepts requests for 2.7 s after the stop request. A
+/// connection that was idle when the stop began waited for one more request and did not check
+/// again whether that time was over: requests sent after 3.7 to 5.2 s were dispatched and cut off
+/// when the process ended. The two observed ones were cut off 5.71 and 5.75 s after the signal,
+/// the end of the grace time as the process counts it, so neither signal nor clock was late.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_direct_stop_takes_nothing_on_a_connection_that_was_idle() {
+async fn test_direct_stop_accepts_nothing_on_an_idle_connection() {
     let mut deployment = Deployment::start(3);
     let (entry, backend) = start(&mut deployment).await;
     let mut stream = connect(&entry).await;
@@ -54,24 +51,27 @@
         if closed.is_ok() {
             return None;
         }
-        // It is still open: its caller sends the next request.
+        // The connection is still open, so that the caller sends another request.
         stream.write_all(get("/safe/y").as_bytes()).await.unwrap();
         Some(read_all(&mut stream).await)
     };
     let late_answer = with_announcements(&deployment, &backend, late_answer).await;
     entry.ended().await;
     let ran_late = backend.runs() - ran;
-    assert_eq!((late_answer, ran_late), (None, 0), "taken after the stop");
+    assert_eq!(
+        (late_answer, ran_late),
+        (None, 0),
+        "a request was accepted after the stop"
+    );
 }
 
-/// Symptom: an action was run by a backend server when its entry VM had next to no time left
-/// before its end, and its caller got no answer and couldn't ask again. Sequence: the action is
-/// read before the stop, behind a lookup that hangs; that is told after 6.5 s of 8 s of grace
-/// that there is no answer; the action begins then, and is cut off 1.1 s later. Cause: whether
-/// work can still end before the process does was asked when a request was read, not when it
-/// was passed on.
+/// Guards against an action that is dispatched shortly before the process ends, so that its caller
+/// gets no answer and can't retry. The action is read before the stop, behind a lookup that hangs
+/// and times out after 6.5 s of 8 s of grace; the action is dispatched then and cut off 1.1 s
+/// later. Whether a request can complete before the process ends was checked when it was read, not
+/// when it was dispatched.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_direct_stop_begins_nothing_that_cannot_end_behind_a_slow_answer() {
+async fn test_direct_stop_dispatches_nothing_too_late_behind_a_slow_answer() {
     let mut deployment = Deployment::start(3);
     let (entry, backend) = start(&mut deployment).await;
     let mut stream = connect(&entry).await;
@@ -87,16 +87,21 @@
     entry.begin_stop();
     let answers = with_announcements(&deployment, &backend, read_all(&mut stream)).await;
     entry.ended().await;
-    assert_eq!(backend.runs(), ran + 1, "the action was run: {answers:?}");
+    assert_eq!(
+        backend.runs(),
+        ran + 1,
+        "the action was run; answers: {answers:?}"
+    );
     assert!(answers.contains("HTTP/1.1 504"), "{answers:?}");
     assert!(answers.contains("HTTP/1.1 503"), "{answers:?}");
     assert!(answers.ends_with("leaving"), "{answers:?}");
 }
 
-/// Symptom and cause are those of the test before. Sequence: an action's head comes before the
-/// stop, the end of its body 6.5 s after it; the action is passed on and cut off.
+/// Guards against the failure of the previous test where the body is late: the head of an action
+/// arrives before the stop and the end of its body 6.5 s after it; the action is dispatched and
+/// cut off.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_direct_stop_begins_nothing_that_cannot_end_behind_a_slow_body() {
+async fn test_direct_stop_dispatches_nothing_too_late_after_a_slow_body() {
     let mut deployment = Deployment::start(3);
     let (entry, backend) = start(&mut deployment).await;
     let mut stream = connect(&entry).await;
@@ -113,15 +118,20 @@
     };
     let answer = with_announcements(&deployment, &backend, answering).await;
     entry.ended().await;
-    assert_eq!(backend.runs(), ran, "the action was run: {answer:?}");
+    assert_eq!(
+        backend.runs(),
+        ran,
+        "the action was run; answer: {answer:?}"
+    );
     assert!(answer.contains("HTTP/1.1 503"), "{answer:?}");
     assert!(answer.ends_with("leaving"), "{answer:?}");
 }
 
-/// A request that can't end is refused; one that most likely does isn't, however late it begins:
-/// its caller would have to look up another entry VM and begin anew.
+/// Guards against needless refusals during a stop: a request that can most likely complete before
+/// the process ends is dispatched however late it is ready, because its caller would otherwise have
+/// to look up another entry VM and start again.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_direct_stop_serves_what_can_end() {
+async fn test_direct_stop_serves_what_can_complete() {
     let mut deployment = Deployment::start(3);
     let (entry, backend) = start(&mut deployment).await;
     let mut stream = connect(&entry).await;
--- a/server/tests/test_entry_answers.rs
+++ b/server/tests/test_entry_answers.rs
@@ -1,4 +1,4 @@
-//! What callers are told of each way in which a backend server can answer.
+//! Answers that callers get for each way in which a backend server can answer or fail.
 
 mod entry_support;
 
@@ -16,44 +16,46 @@
 
 const LEASE: Duration = Duration::from_secs(10);
 
-/// Names the end that a caller sees.
+/// The result that a caller gets.
 #[derive(Debug, Eq, PartialEq)]
-enum Seen {
+enum CallerResult {
     Whole,
     Broken,
+    /// Outcome and reason in the body.
     Refused(&'static str, &'static str),
 }
 
-async fn check(entries: &[&str], script: &[Script], expected: Seen, requests: usize) {
+async fn check(entries: &[&str], script: &[Script], expected: CallerResult, requests: usize) {
     let mut rig = Rig::start(entries, LEASE).await;
     let backend = rig.start_backend(script).await;
-    // With two entry VMs the request goes through the one that doesn't own the server.
+    // With two entry VMs the request is sent to the one that does not own the backend server.
     let through = if entries.len() > 1 {
         1 - rig.owner()
     } else {
         0
     };
     let reply = rig.try_get(through, "/cubes/1").await;
-    if expected == Seen::Broken {
-        // The connection may break before the head has left. Between entry VMs that is
-        // told as "unknown", which is true as well; anything that says "answer" and is
-        // whole would not be.
+    if expected == CallerResult::Broken {
+        // The connection may break before the head is sent. An entry VM that forwarded the
+        // request then correctly reports "unknown"; a complete "answer" would be wrong.
         if let Ok(reply) = reply
             && reply.header("heatherring-outcome") != "unknown"
         {
-            reply.body.expect_err("a short body must not look whole");
+            reply
+                .body
+                .expect_err("a truncated body must not look complete");
         }
         assert_eq!(backend.requests.load(Ordering::SeqCst), requests);
         return;
     }
     let reply = reply.expect("an answer");
     match expected {
-        Seen::Broken => {}
-        Seen::Whole => {
+        CallerResult::Broken => {}
+        CallerResult::Whole => {
             assert_eq!(reply.header("heatherring-outcome"), "answer");
             assert_eq!(reply.text(), "answer to /cubes/1");
         }
-        Seen::Refused(outcome, reason) => {
+        CallerResult::Refused(outcome, reason) => {
             assert_eq!(reply.header("heatherring-outcome"), outcome);
             let body = reply.json();
             assert_eq!(body["outcome"], outcome);
@@ -65,36 +67,36 @@
 }
 
 macro_rules! answer_tests {
-    ($($name:ident: $script:expr => $seen:expr, $requests:literal requests;)*) => {$(
+    ($($name:ident: $script:expr => $result:expr, $requests:literal requests;)*) => {$(
         mod $name {
             use super::*;
 
             #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
             async fn test_answer_at_owner() {
-                check(&[PLACE], $script, $seen, $requests).await;
+                check(&[PLACE], $script, $result, $requests).await;
             }
 
             #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
             async fn test_answer_forwarded() {
-                check(&[PLACE, PLACE], $script, $seen, $requests).await;
+                check(&[PLACE, PLACE], $script, $result, $requests).await;
             }
         }
     )*};
 }
 
 answer_tests! {
-    whole: &[Script::Whole] => Seen::Whole, 1 requests;
-    chunked: &[Script::Chunked] => Seen::Whole, 1 requests;
-    short_length: &[Script::ShortLength] => Seen::Broken, 1 requests;
-    short_chunked: &[Script::ShortChunked] => Seen::Broken, 1 requests;
-    stalled: &[Script::Stalled] => Seen::Broken, 1 requests;
-    // The end of such a body can't be told from a break, so that it is no answer.
+    whole: &[Script::Whole] => CallerResult::Whole, 1 requests;
+    chunked: &[Script::Chunked] => CallerResult::Whole, 1 requests;
+    short_length: &[Script::ShortLength] => CallerResult::Broken, 1 requests;
+    short_chunked: &[Script::ShortChunked] => CallerResult::Broken, 1 requests;
+    stalled: &[Script::Stalled] => CallerResult::Broken, 1 requests;
+    // The end of such a body is indistinguishable from a broken connection.
     close_delimited: &[Script::CloseDelimited] =>
-        Seen::Refused("unknown", "connection_lost"), 1 requests;
-    // The only server pauses after a refusal, so that there is none for a second try.
-    refused: &[Script::Refuse] => Seen::Refused("not_run", "no_backend_server"), 1 requests;
-    hang_up: &[Script::HangUp] => Seen::Refused("unknown", "connection_lost"), 1 requests;
-    no_answer: &[Script::NoAnswer] => Seen::Refused("unknown", "deadline_passed"), 1 requests;
+        CallerResult::Refused("unknown", "connection_lost"), 1 requests;
+    // The only backend server is paused after a refusal, so none is left for a second attempt.
+    refused: &[Script::Refuse] => CallerResult::Refused("not_run", "no_backend_server"), 1 requests;
+    hang_up: &[Script::HangUp] => CallerResult::Refused("unknown", "connection_lost"), 1 requests;
+    no_answer: &[Script::NoAnswer] => CallerResult::Refused("unknown", "deadline_passed"), 1 requests;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -132,11 +134,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_pool_drops_connection_of_caller_that_left() {
-    // Symptom: a caller gets the rest of an answer that another caller had abandoned.
-    // Sequence: a caller leaves in the middle of its answer; the next request goes to
-    // the same backend server.
-    // Cause: the connection of the abandoned answer is used again.
+async fn test_pool_closes_connection_of_caller_that_left() {
+    // Guards against a caller that gets the rest of another caller's answer: the other caller
+    // disconnects in the middle of its answer, and the connection to the backend server is
+    // reused for the next request.
     let mut rig = Rig::start(&[PLACE], LEASE).await;
     let backend = rig.start_backend(&[Script::Stalled, Script::Whole]).await;
     let address = rig.callers(0);
@@ -158,9 +159,9 @@
     let address = rig.callers(0);
     let mut sender = connect(address).await.expect("a connection");
     let path = format!("/svc/{SERVICE}/left");
-    let asking = sender.send_request(request("GET", address, &path, ""));
-    let leaving = tokio::time::timeout(Duration::from_millis(DEADLINE_MS / 5), asking);
-    leaving.await.expect_err("no answer comes");
+    let calling = sender.send_request(request("GET", address, &path, ""));
+    let leaving = tokio::time::timeout(Duration::from_millis(DEADLINE_MS / 5), calling);
+    leaving.await.expect_err("there is no answer");
     drop(sender);
     wait_until(async || backend.closed.load(Ordering::SeqCst) == 1).await;
 }
--- a/server/tests/test_entry_links.rs
+++ b/server/tests/test_entry_links.rs
@@ -1,4 +1,4 @@
-//! Limits of the links between regions, held by the entry VMs that send over them.
+//! Rate limits of links between regions, enforced by the entry VMs that send over them.
 
 mod entry_support;
 
@@ -20,7 +20,7 @@
 async fn test_link_full_of_requests_refuses_more() {
     let mut rig = Rig::start(&[PLACE, FAR_PLACE], LEASE).await;
     let backend = rig.start_backend(&[Script::Whole]).await;
-    // Two such requests don't fit into one second of the link.
+    // Two such requests exceed what the link carries in one second.
     let path = format!("/{}", "long".repeat(150));
     let is_refused = |reply: &Reply| {
         reply.header("heatherring-outcome") == "not_run" && reply.json()["reason"] == "link_limit"
@@ -36,18 +36,17 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_large_answer_takes_no_more_than_the_link() {
-    // Symptom: a link between regions carries more than its limit.
-    // Sequence: a backend server's answer is larger than the link carries before the
-    // request's deadline.
-    // Cause: only requests are counted, or an answer is counted after it was sent.
+    // Guards against a link between regions that carries more than its limit because only
+    // requests are counted, or an answer is counted after it was sent. The answer is larger than
+    // the link carries before the request's deadline.
     let mut rig = Rig::start(&[PLACE, FAR_PLACE], LEASE).await;
     let _backend = rig.start_backend(&[Script::Large]).await;
     let near = rig.get(NEAR, "/near").await;
     assert_eq!(near.header("heatherring-outcome"), "answer");
-    near.body.expect("nothing limits it within the region");
-    // The connection may break before the head has left.
+    near.body.expect("there is no limit within the region");
+    // The connection may break before the head is sent.
     if let Ok(far) = rig.try_get(FAR, "/far").await {
         far.body
-            .expect_err("the link can't have carried it in time");
+            .expect_err("the link can't carry the answer before the deadline");
     }
 }
--- a/server/tests/test_entry_metrics.rs
+++ b/server/tests/test_entry_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of an entry VM, and their list in the docs.
+//! Metrics of an entry VM, and their list in the documentation.
 
 use std::fs;
 use std::path::Path;
@@ -20,7 +20,7 @@
 use heatherring_server::entry_status::DrainStatus;
 use heatherring_server::entry_status::EntryStatus;
 
-/// Returns the lines that `send` sends.
+/// Returns the `StatsD` lines that `send` emits.
 fn sent(send: impl FnOnce(&StatsdClient)) -> Vec<String> {
     let (rx, sink) = SpyMetricSink::new();
     send(&StatsdClient::from_sink("p", sink));
@@ -141,9 +141,12 @@
             .replace("registry.fko_hakata", "SERVICE.PLACE")
             .replace("overloaded", "REASON")
             .replace("owner_lost", "REASON");
-        // Look-ups are never unknown.
+        // Look-ups never have the outcome unknown, so that this name is not documented.
         if name != "look_ups.unknown.REASON" {
-            assert!(page.contains(&format!("`{name}`")), "{name} isn't listed");
+            assert!(
+                page.contains(&format!("`{name}`")),
+                "{name} is not listed in docs/metrics.md"
+            );
         }
     }
 }
--- a/server/tests/test_entry_session.rs
+++ b/server/tests/test_entry_session.rs
@@ -1,4 +1,4 @@
-//! An entry VM's session with control: when it serves, when it doesn't, how it ends.
+//! An entry VM's session with control: opening, renewal and loss of the lease, planned stops.
 
 mod entry_support;
 
@@ -44,11 +44,11 @@
 const LEASE: Duration = Duration::from_secs(10);
 const SHORT_LEASE: Duration = Duration::from_secs(2);
 
-/// Time for which control's word is held back: a part of what a request waits for it.
+/// Time for which control's reply is delayed; shorter than a request waits for the session.
 const BEFORE_THE_SESSION: Duration = Duration::from_millis(100);
 
-/// Shorter than two silent replicas and a whole time of holding back, 2.6 s with the pauses, and
-/// longer than the two alone.
+/// Shorter than the timeouts of two silent replicas and a full long poll, which take 2.6 s with the
+/// pauses; longer than the two timeouts alone.
 const LEASE_FOR_TWO_SILENT: Duration = Duration::from_millis(2_550);
 
 fn is_refused_for_lease(reply: &Reply) -> bool {
@@ -57,34 +57,31 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_lapsed_lease_refuses_and_names_other_entries() {
-    // Symptom: an entry VM that control has replaced goes on dispatching.
-    // Sequence: control falls silent for longer than the lease.
-    // Cause: the entry VM doesn't count its lease, or counts it from the reply.
+    // Guards against an entry VM that continues to dispatch after control has replaced it: control
+    // is silent for longer than the lease, and the entry VM does not track the lease, or counts it
+    // from the reply instead of the request.
     let mut rig = Rig::start(&[PLACE, PLACE], SHORT_LEASE).await;
     let backend = rig.start_backend(&[Script::Whole]).await;
     assert_eq!(rig.get(0, "/before").await.text(), "answer to /before");
     rig.control.set(Mode::Silent);
     wait_until(async || is_refused_for_lease(&rig.get(0, "/waiting").await)).await;
-    let asked = backend.requests.load(Ordering::SeqCst);
+    let requests = backend.requests.load(Ordering::SeqCst);
     let reply = rig.get(0, "/after").await;
     assert_eq!(reply.status, 503);
     assert_eq!(reply.header("retry-after"), "1");
     let body = reply.json();
     assert_eq!(body["outcome"], "not_run");
     assert_eq!(body["entries"][0], rig.callers(1).to_string());
-    assert_eq!(backend.requests.load(Ordering::SeqCst), asked);
+    assert_eq!(backend.requests.load(Ordering::SeqCst), requests);
 }
 
-/// Symptom: callers are refused for a lapsed lease although control can be asked.
-///
-/// Sequence: the two whom an entry VM would ask first fall silent together, as a relay and the
-/// replica of its failure domain do; each costs a second. The third one is asked with what is
-/// left of the lease, and grants it after the 0.5 s for which it may hold answers back.
-///
-/// Cause: a renewal that had been late twice was held back like one that has time. Its answer
-/// came after the end of the lease, and so didn't revive it either.
+/// Guards against refusals for a lapsed lease although a control replica is reachable. The first
+/// two replicas that the entry VM asks become silent together, as a relay and the replica of its
+/// failure domain may; each costs a timeout of 1 s. The third is asked with the rest of the lease.
+/// If it holds its answer back for the 0.5 s of a long poll, as it does for a renewal in time, the
+/// answer arrives after the end of the lease and does not revive it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_a_late_renewal_isnt_held_back() {
+async fn test_a_late_renewal_is_not_held_back() {
     let mut rig = Rig::start(&[], LEASE_FOR_TWO_SILENT).await;
     let second = SocketAddr::new(rig.block.next_vm(), CONTROL_PORT);
     let second = rig.control.start_replica(second).await;
@@ -95,7 +92,7 @@
     rig.start_entry(settings);
     rig.wait_for_status(0, |status| status["revision"] == status["settled_revision"])
         .await;
-    // News end the call that is held back. The next one begins now, and its lease with it.
+    // A change ends the pending long poll. The next one starts now, and its lease with it.
     rig.control
         .submit(&manifest_text().replace("\"version\":1", "\"version\":2"));
     rig.wait_for_status(0, |status| status["manifest_version"] == 2)
@@ -109,14 +106,10 @@
     .await;
 }
 
-/// Symptom: while entry VMs are replaced, a caller is refused for a lapsed lease by one that has
-/// just started.
-///
-/// Sequence: control opens its session and tells everybody; another entry VM names it in a
-/// look-up; the caller's request arrives before control's word does.
-///
-/// Cause: without a session a request was refused at once, and its caller told to come back a
-/// second later, although the session was open.
+/// Guards against refusals for a lapsed lease by an entry VM that has just started, as during a
+/// rolling replacement. Control opens its session and tells all entry VMs; another one names it in
+/// a look-up, and the caller's request arrives before control's reply. The request was refused at
+/// once with a retry after 1 s, although the session was open.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_a_request_waits_for_a_session_that_is_being_opened() {
     let mut rig = Rig::start(&[PLACE], LEASE).await;
@@ -126,12 +119,12 @@
     rig.start_entry(settings);
     wait_until(async || rig.control.has_session(&vm)).await;
     wait_until(async || connect(rig.callers(1)).await.is_ok()).await;
-    let mut asking = Box::pin(rig.get(1, "/"));
-    // An answer that comes before the session does is the refusal.
-    let early = tokio::time::timeout(BEFORE_THE_SESSION, &mut asking).await;
+    let mut calling = Box::pin(rig.get(1, "/"));
+    // Only a refusal can arrive before the session is open.
+    let early = tokio::time::timeout(BEFORE_THE_SESSION, &mut calling).await;
     assert!(early.is_err(), "{:?}", early.map(|reply| reply.status));
     rig.control.hold_open_replies(false);
-    assert!(!is_refused_for_lease(&asking.await));
+    assert!(!is_refused_for_lease(&calling.await));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -157,21 +150,20 @@
         status["session"] != 0 && status["session"] != before
     })
     .await;
-    // The new session counts what the old one may have had in flight.
+    // The new session counts the requests that the old one may have in flight.
     wait_until(async || rig.get(0, "/1").await.header("heatherring-outcome") == "answer").await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_older_view_is_never_taken() {
-    // Symptom: an entry VM steps back to an older manifest.
-    // Sequence: its session is lost, and the next reply carries an older view.
-    // Cause: a whole view is taken without comparing its revision.
+async fn test_older_view_is_never_applied() {
+    // Guards against an entry VM that returns to an older manifest: its session is lost, the next
+    // reply has an older view, and a complete view is applied without comparing its revision.
     let rig = Rig::start(&[PLACE], LEASE).await;
     let before = rig.status(0).await.expect("a status");
     rig.control.forget_view();
     rig.control.set(Mode::SessionLost);
-    let asked = rig.control.sync_calls.load(Ordering::Relaxed);
-    wait_until(async || rig.control.sync_calls.load(Ordering::Relaxed) > asked + 1).await;
+    let sync_calls = rig.control.sync_calls.load(Ordering::Relaxed);
+    wait_until(async || rig.control.sync_calls.load(Ordering::Relaxed) > sync_calls + 1).await;
     rig.wait_for_status(0, |status| status["session"] == 0)
         .await;
     let after = rig.status(0).await.expect("a status");
@@ -184,11 +176,13 @@
     let mut rig = Rig::start(&[], LEASE).await;
     let settings = rig.settings(PLACE);
     let listen = settings.listen;
-    let _taken = TcpListener::bind(listen.forward).await.expect("free");
+    let _taken = TcpListener::bind(listen.forward)
+        .await
+        .expect("a free port");
     let (_trigger, shutdown) = Shutdown::new();
     let result = run_entry(settings, Arc::new(SystemClock), shutdown).await;
     let Err(error) = result else {
-        panic!("the port is in use");
+        panic!("the entry VM must not start on a port in use");
     };
     assert!(error.is_user_error());
     assert!(matches!(
@@ -199,18 +193,15 @@
         }
     ));
     let free = TcpListener::bind(listen.callers).await;
-    free.expect("no listener is left behind");
+    free.expect("the other listeners are closed");
     assert_eq!(rig.control.sync_calls.load(Ordering::Relaxed), 0);
 }
 
-/// Symptom: while entry VMs are replaced, a request ends with a closed connection and no answer.
-///
-/// Sequence: a caller keeps its connection to an entry VM that leaves, and sends the next request
-/// on it at the moment of the stop.
-///
-/// Cause: connections were closed at the stop, and callers weren't told before it.
+/// Guards against a closed connection in place of an answer while entry VMs are replaced: a caller
+/// sends a request on a kept connection at the moment of the stop, and connections are closed
+/// without a `connection: close` on an earlier answer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_planned_stop_tells_callers_before_it_closes_connections() {
+async fn test_planned_stop_announces_the_close_of_connections() {
     let mut rig = Rig::start(&[PLACE, PLACE], LEASE).await;
     let _backend = rig.start_backend(&[Script::Whole]).await;
     let address = rig.callers(0);
@@ -235,9 +226,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_planned_stop_finishes_what_is_in_flight() {
-    // Symptom: a planned stop cuts off a request.
-    // Sequence: the stop is asked for while a backend server works.
-    // Cause: the process ends, or hands over, without waiting.
+    // Guards against a planned stop that cuts off a request: the stop is requested while a backend
+    // server runs the request, and the process ends or closes its session without waiting.
     let mut rig = Rig::start(&[PLACE], LEASE).await;
     let backend = rig.start_backend(&[Script::Slow]).await;
     let vm = rig.entries[0].settings.vm.clone();
@@ -265,10 +255,9 @@
 
 #[tokio::test]
 async fn test_lease_is_checked_right_before_dispatch() {
-    // Symptom: two entry VMs dispatch to the same backend server.
-    // Sequence: a request is admitted; the process is frozen until its lease is over,
-    // and wakes up before it has sent the request.
-    // Cause: the lease is checked on arrival only.
+    // Guards against two entry VMs that dispatch to the same backend server: after a request is
+    // admitted the process is suspended until its lease has ended, and then sends the request
+    // because the lease is checked only on arrival.
     let mut block = LoopbackBlock::claim().expect("free addresses");
     let address = SocketAddr::new(block.next_vm(), SERVICE_PORT);
     let backend = ScriptedBackend::start(address, &[Script::Whole]).await;
@@ -288,7 +277,7 @@
     let pool = BackendPool::spawn();
     let outcome = dispatch(&pool, target, &req, &ClosedGate, Attempt::new(), now).await;
     let Outcome::NotRun(not_run) = outcome else {
-        panic!("nothing may be sent");
+        panic!("a request was sent without a lease");
     };
     assert_eq!(not_run.reason(), NotRunReason::LeaseLapsed);
     wait_until(async || backend.closed.load(Ordering::SeqCst) == 1).await;
--- a/server/tests/test_explain_query.rs
+++ b/server/tests/test_explain_query.rs
@@ -1,4 +1,4 @@
-//! The query of `/explain`: read as written, and refused with what is allowed.
+//! The query of `/explain`: parsing inverts writing, and errors name the allowed values.
 
 use heatherring_lib::decision_log::DecisionFilter;
 use heatherring_lib::decision_record::DecisionKind;
@@ -16,7 +16,7 @@
     Some(DecisionKind::Refusal),
     "service=registry&kind=refusal"
 )]
-fn test_explain_query_is_read_as_written(
+fn test_explain_query_round_trip(
     #[case] request: Option<&str>,
     #[case] service: Option<&str>,
     #[case] kind: Option<DecisionKind>,
--- a/server/tests/test_poison_at_owner.rs
+++ b/server/tests/test_poison_at_owner.rs
@@ -1,4 +1,4 @@
-//! Requests that end backend servers, at entry VMs that own them.
+//! Requests that crash backend servers, at the entry VM that owns the backend servers.
 
 mod entry_support;
 
@@ -12,13 +12,14 @@
 
 const LEASE: Duration = Duration::from_secs(10);
 
-/// Times that the request comes.
-const TRIES: usize = 30;
+/// Number of times that the caller sends the request.
+const ATTEMPTS: usize = 30;
 
-/// Sends that end a backend server at most: three, and one more of a request that is watched.
-const MOST_SENDS: usize = 4;
+/// Maximum number of dispatches, each of which crashes a backend server: three, and one more while
+/// the request is on watch.
+const MAX_DISPATCHES: usize = 4;
 
-/// Pause before it comes again; the backend servers are back meanwhile.
+/// Pause between two sends, in which the crashed backend servers may restart.
 const PAUSE: Duration = Duration::from_millis(100);
 
 async fn start(rig: &mut Rig, script: &[Script]) -> Vec<ScriptedBackend> {
@@ -29,24 +30,24 @@
     backends
 }
 
-fn sends(backends: &[ScriptedBackend]) -> usize {
+fn dispatches(backends: &[ScriptedBackend]) -> usize {
     let requests = backends
         .iter()
         .map(|one| one.requests.load(Ordering::SeqCst));
     requests.sum()
 }
 
-/// Symptom: one caller's request ends the backend servers of a service, one after the other.
-/// Sequence: a backend server ends as it begins to run the request; its caller is told that the
-/// connection was lost, and sends it again. Cause: what the owner of the backend servers knows
-/// of the request ends with each try. Evidence: 7 ended within 30 tries before the owner counted
-/// them by content, and the last tries were sent on; 4 at most since.
+/// Guards against one caller's request that crashes the backend servers of a service one after the
+/// other: each send crashes one, the caller is told that the connection was lost and sends the
+/// request again, and the owner keeps no record beyond one attempt. Before the owner counted
+/// crashes by the content of requests, 7 backend servers crashed within 30 attempts and the last
+/// attempts were still dispatched; 4 at most since.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_poison_at_owner_ends_few_backend_servers() {
+async fn test_poison_at_owner_crashes_few_backend_servers() {
     let mut rig = Rig::start(&[PLACE], LEASE).await;
     let backends = start(&mut rig, &[Script::Crash]).await;
     let mut reason = String::new();
-    for _ in 0..TRIES {
+    for _ in 0..ATTEMPTS {
         let reply = rig.get(0, "/cubes/1").await;
         reason = reply.json()["reason"]
             .as_str()
@@ -54,20 +55,23 @@
             .to_owned();
         tokio::time::sleep(PAUSE).await;
     }
-    let sends = sends(&backends);
-    println!("{sends} backend servers ended");
-    assert!(sends <= MOST_SENDS, "{sends} backend servers ended");
+    let dispatches = dispatches(&backends);
+    println!("{dispatches} backend servers crashed");
+    assert!(
+        dispatches <= MAX_DISPATCHES,
+        "{dispatches} backend servers crashed"
+    );
     assert_eq!(reason, "quarantined");
 }
 
-/// Connections that break while the backend servers live are no evidence.
+/// Guards against a quarantine for broken connections alone: the backend servers keep running.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn test_poison_at_owner_is_none_that_breaks_connections_alone() {
+async fn test_poison_at_owner_ignores_broken_connections_alone() {
     let mut rig = Rig::start(&[PLACE], LEASE).await;
     let backends = start(&mut rig, &[Script::HangUp]).await;
-    for _ in 0..TRIES {
+    for _ in 0..ATTEMPTS {
         let reply = rig.get(0, "/cubes/1").await;
         assert_ne!(reply.json()["reason"], "quarantined");
     }
-    assert!(sends(&backends) >= MOST_SENDS);
+    assert!(dispatches(&backends) >= MAX_DISPATCHES);
 }
