--- a/server/src/operator_client.rs
+++ b/server/src/operator_client.rs
@@ -150,7 +150,7 @@
     /// The reply is final.
     Final(T),
     /// Another replica, or this one later, may give a final answer.
-    TryNext(AttemptEnding),
+    Retry(AttemptEnding),
 }
 
 impl OperatorClient {
@@ -184,11 +184,11 @@
         let classify = |reply: SubmitReply| match reply.outcome() {
             SubmitOutcome::Unknown | SubmitOutcome::Unspecified => {
                 let reason = reply.reason;
-                Outcome::TryNext(AttemptEnding::AnswerLost { reason })
+                Outcome::Retry(AttemptEnding::AnswerLost { reason })
             }
             SubmitOutcome::NotAccepted => {
                 let reason = reply.reason;
-                Outcome::TryNext(AttemptEnding::NotDone { reason })
+                Outcome::Retry(AttemptEnding::NotDone { reason })
             }
             _ => Outcome::Final(reply),
         };
@@ -258,7 +258,7 @@
             }
             unconfirmed = Some(reply);
             let reason = "not confirmed by a quorum".to_owned();
-            Outcome::TryNext(AttemptEnding::NotDone { reason })
+            Outcome::Retry(AttemptEnding::NotDone { reason })
         };
         let call = async |mut client: GrpcClient<Channel>| client.status(StatusRequest {}).await;
         let result = self.call_any(call, classify, |_| {}).await;
@@ -339,7 +339,7 @@
                     .await?;
                 match verdict {
                     Outcome::Final(reply) => return Ok(reply),
-                    Outcome::TryNext(ending) => {
+                    Outcome::Retry(ending) => {
                         on_attempt(&ending);
                         attempts.record(*address, ending);
                     }
@@ -362,9 +362,7 @@
         let endpoint = self.security.endpoint(address).context(SecuritySnafu)?;
         let channel = match endpoint.connect_timeout(CONNECT_TIMEOUT).connect().await {
             Ok(channel) => channel,
-            Err(source) => {
-                return Ok(Outcome::TryNext(AttemptEnding::NotConnected { source }));
-            }
+            Err(source) => return Ok(Outcome::Retry(AttemptEnding::NotConnected { source })),
         };
         let client = GrpcClient::new(channel)
             .max_decoding_message_size(MAX_MESSAGE_BYTES)
@@ -376,7 +374,7 @@
             Ok(Err(status)) => classify_status(address, &status),
             Err(_) => {
                 let reason = format!("no answer within {} ms", timeout.as_millis());
-                Ok(Outcome::TryNext(AttemptEnding::AnswerLost { reason }))
+                Ok(Outcome::Retry(AttemptEnding::AnswerLost { reason }))
             }
         }
     }
@@ -407,8 +405,8 @@
         | Code::Unimplemented
         | Code::OutOfRange => RefusedSnafu { address, reason }.fail(),
         Code::FailedPrecondition | Code::ResourceExhausted => {
-            Ok(Outcome::TryNext(AttemptEnding::NotDone { reason }))
+            Ok(Outcome::Retry(AttemptEnding::NotDone { reason }))
         }
-        _ => Ok(Outcome::TryNext(AttemptEnding::AnswerLost { reason })),
+        _ => Ok(Outcome::Retry(AttemptEnding::AnswerLost { reason })),
     }
 }
