--- a/server/src/control_node.rs
+++ b/server/src/control_node.rs
@@ -40,6 +40,9 @@
 
 use crate::data_folder::Disk;
 use crate::data_folder::Identity;
+use crate::leader_sessions::HeldBatch;
+use crate::leader_sessions::HeldSync;
+use crate::leader_sessions::LeaderSessions;
 use crate::log_disk::DiskError;
 use crate::log_disk::LogDisk;
 use crate::log_disk::Recovered;
@@ -55,9 +58,6 @@
 use crate::node_request::NodeRequest;
 use crate::peer_links::PeerLinks;
 use crate::published_state::StatePublisher;
-use crate::session_desk::HeldBatch;
-use crate::session_desk::HeldSync;
-use crate::session_desk::SessionDesk;
 
 /// Largest number of requests handled in one turn, with one sync.
 const MAX_BATCH: usize = 256;
@@ -153,7 +153,7 @@
     /// `None` while a blocking task writes to the disk.
     disk: Option<LogDisk<D>>,
     pub(crate) state: ControlState,
-    pub(crate) sessions: SessionDesk,
+    pub(crate) sessions: LeaderSessions,
     pub(crate) links: PeerLinks,
     effects: Effects,
     pub(crate) pending: SlotMap<PendingKey, Pending>,
@@ -209,7 +209,7 @@
             disk: Some(disk),
             snapshot_index: state.revision(),
             state,
-            sessions: SessionDesk::new(&cfg.timing),
+            sessions: LeaderSessions::new(&cfg.timing),
             links,
             effects: Effects::default(),
             pending: SlotMap::with_key(),
--- a/server/src/session_desk.rs
+++ b/server/src/leader_sessions.rs
@@ -104,7 +104,7 @@
 
 /// Deals with entry VMs while this replica leads.
 #[derive(Debug)]
-pub struct SessionDesk {
+pub struct LeaderSessions {
     tracker: SessionTracker,
     /// Whether `tracker` belongs to the present leadership.
     started: bool,
@@ -117,7 +117,7 @@
     settled: Option<Revision>,
 }
 
-impl SessionDesk {
+impl LeaderSessions {
     /// Creates the state of a replica that doesn't lead.
     #[must_use]
     pub fn new(timing: &ControlTiming) -> Self {
--- a/server/src/node_answers.rs
+++ b/server/src/node_answers.rs
@@ -11,6 +11,8 @@
 
 use crate::control_node::ControlNode;
 use crate::data_folder::Disk;
+use crate::leader_sessions::HeldSync;
+use crate::leader_sessions::Verdict;
 use crate::node_pending::Pending;
 use crate::node_pending::Waiter;
 use crate::node_pending::key_of;
@@ -18,8 +20,6 @@
 use crate::node_request::LeaderLink;
 use crate::node_request::NodeError;
 use crate::proto::StatusReply;
-use crate::session_desk::HeldSync;
-use crate::session_desk::Verdict;
 use crate::status_report::status_reply;
 
 impl<D: Disk> ControlNode<D> {
--- a/server/src/node_pending.rs
+++ b/server/src/node_pending.rs
@@ -10,13 +10,13 @@
 use slotmap::new_key_type;
 use tokio::sync::oneshot;
 
+use crate::leader_sessions::HeldBatch;
+use crate::leader_sessions::HeldSync;
 use crate::node_request::Committed;
 use crate::node_request::LeaderLink;
 use crate::node_request::NodeError;
 use crate::node_request::Read;
 use crate::proto::StatusReply;
-use crate::session_desk::HeldBatch;
-use crate::session_desk::HeldSync;
 
 new_key_type! {
     /// Identifies a request that waits for Raft.
--- a/server/tests/test_session_desk.rs
+++ b/server/tests/test_session_desk.rs
@@ -14,13 +14,13 @@
 use heatherring_lib::session_relay::Acknowledgement;
 use heatherring_lib::settings::ControlTiming;
 use heatherring_lib::view::EntryInfo;
+use heatherring_server::leader_sessions::HeldBatch;
+use heatherring_server::leader_sessions::HeldSync;
+use heatherring_server::leader_sessions::LeaderSessions;
 use heatherring_server::node_request::BatchAnswer;
 use heatherring_server::node_request::SyncAnswer;
 use heatherring_server::node_request::SyncCall;
 use heatherring_server::node_request::SyncSubject;
-use heatherring_server::session_desk::HeldBatch;
-use heatherring_server::session_desk::HeldSync;
-use heatherring_server::session_desk::SessionDesk;
 use tokio::sync::oneshot;
 
 const DIRECT: SessionId = SessionId(1);
@@ -50,7 +50,7 @@
 }
 
 fn renew_direct(
-    desk: &mut SessionDesk,
+    desk: &mut LeaderSessions,
     state: &ControlState,
     now: Instant,
     applied: u64,
@@ -69,7 +69,7 @@
 }
 
 fn renew_relayed(
-    desk: &mut SessionDesk,
+    desk: &mut LeaderSessions,
     state: &ControlState,
     now: Instant,
     applied: u64,
@@ -93,7 +93,7 @@
     // relay's batch wasn't taken for something that does.
     let state = state();
     let now = Instant::now();
-    let mut desk = SessionDesk::new(&ControlTiming::default());
+    let mut desk = LeaderSessions::new(&ControlTiming::default());
     desk.start(now, &state);
     let mut direct = renew_direct(&mut desk, &state, now, 3);
     desk.answer_held(now, &state);
