--- a/server/src/leader_sessions.rs
+++ b/server/src/leader_sessions.rs
@@ -1,4 +1,5 @@
-//! The leader's dealings with entry VMs: grants, held-back answers and lapses.
+//! The leader's handling of the sessions of entry VMs: lease grants, long polls and
+//! expired leases.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -24,11 +25,12 @@
 use crate::node_request::SyncCall;
 use crate::node_request::SyncSubject;
 
-/// Share of the lease for which an answer may be held back. What is left of the lease
-/// when the answer arrives must outlast the next request.
+/// Divisor of the lease that gives the longest time for which an answer may be held back
+/// (long poll). The rest of the lease when the answer arrives must be longer than the next
+/// request takes.
 const LONGEST_WAIT_DIVISOR: u32 = 3;
 
-/// Holds a request of an entry VM until it is answered.
+/// Request of an entry VM that has not been answered yet.
 #[derive(Debug)]
 pub struct HeldSync {
     call: Box<SyncCall>,
@@ -37,7 +39,7 @@
 }
 
 impl HeldSync {
-    /// Takes in a request.
+    /// Creates the record of a request; its answer goes to `reply`.
     #[must_use]
     pub const fn new(
         call: Box<SyncCall>,
@@ -57,12 +59,12 @@
     }
 
     fn answer(self, answer: SyncAnswer) {
-        // The entry may have given up and asked another replica.
+        // Fails if the entry VM has given up, for example to ask another replica.
         let _ = self.reply.send(answer);
     }
 }
 
-/// Holds a relay's batch of renewals until it is answered.
+/// Batch of renewals from a relaying entry VM that has not been answered yet.
 #[derive(Debug)]
 pub struct HeldBatch {
     renewals: Vec<Acknowledgement>,
@@ -71,7 +73,7 @@
 }
 
 impl HeldBatch {
-    /// Takes in a batch.
+    /// Creates the record of a batch; its answer goes to `reply`.
     #[must_use]
     pub const fn new(
         renewals: Vec<Acknowledgement>,
@@ -87,38 +89,38 @@
 
     /// Answers that this replica can't prove that it is current.
     pub fn not_current(self, leader: Option<Box<LeaderLink>>) {
-        // The relay may have given up and asked another replica.
+        // Fails if the relay has given up, for example to ask another replica.
         let _ = self.reply.send(BatchAnswer::NotCurrent { leader });
     }
 }
 
-/// Tells what is to be done with a request that passed its read barrier.
+/// What remains to be done for a request that has passed its read barrier.
 #[derive(Debug)]
 #[must_use]
 pub enum Verdict {
-    /// It was answered or is held back.
+    /// Nothing: the request was answered, or its answer is held back.
     Done,
-    /// It is answered once this command is committed.
+    /// The command must be proposed; the request is answered once it is committed.
     Propose(Box<CommandKind>, HeldSync),
 }
 
-/// Deals with entry VMs while this replica leads.
+/// Handles the sessions of entry VMs while this replica is the leader.
 #[derive(Debug)]
 pub struct LeaderSessions {
     tracker: SessionTracker,
-    /// Whether `tracker` belongs to the present leadership.
+    /// Whether this replica leads and `tracker` was reset for this leadership.
     started: bool,
     longest_wait: Duration,
     held: Vec<HeldSync>,
-    /// Set when a held-back answer may have become due.
-    news: bool,
-    /// The settled revision, until something moves it. Computing it takes a look at
-    /// every session, which for each of their renewals would be quadratic.
+    /// Whether a change since the last check may require held-back answers to be sent.
+    recheck_held: bool,
+    /// Cached settled revision; `None` after a change that may affect it. Computing it visits
+    /// all sessions, so computing it at each renewal would be quadratic in their number.
     settled: Option<Revision>,
 }
 
 impl LeaderSessions {
-    /// Creates the state of a replica that doesn't lead.
+    /// Creates the state of a replica that is not the leader.
     #[must_use]
     pub fn new(timing: &ControlTiming) -> Self {
         let lease = timing.session_lease();
@@ -127,12 +129,13 @@
             started: false,
             longest_wait: lease / LONGEST_WAIT_DIVISOR,
             held: Vec::new(),
-            news: false,
+            recheck_held: false,
             settled: None,
         }
     }
 
-    /// Begins a leadership; repeated calls change nothing.
+    /// Starts a leadership: each session gets a new lease from `now`. Has no effect if it has
+    /// been started already.
     pub fn start(&mut self, now: Instant, state: &ControlState) {
         if self.started {
             return;
@@ -143,7 +146,7 @@
         self.settled = None;
     }
 
-    /// Ends a leadership: whoever waits is sent to the next leader.
+    /// Ends a leadership. Requests whose answers are held back are referred to `leader`.
     pub fn stop(&mut self, leader: Option<&LeaderLink>) {
         self.started = false;
         for held in self.held.drain(..) {
@@ -151,15 +154,16 @@
         }
     }
 
-    /// Returns the account of sessions, if this replica leads.
+    /// Returns the leases and acknowledgements of the sessions; `None` if this replica is
+    /// not the leader.
     #[must_use]
     pub fn tracker(&self) -> Option<&SessionTracker> {
         self.started.then_some(&self.tracker)
     }
 
-    /// Follows an applied command.
+    /// Updates the sessions after a command was applied.
     pub fn applied(&mut self, now: Instant, command: &CommandKind, applied: &Applied) {
-        self.news = true;
+        self.recheck_held = true;
         self.settled = None;
         if !self.started {
             return;
@@ -180,7 +184,7 @@
         }
     }
 
-    /// Returns the sessions whose lapse is to be proposed now.
+    /// Returns the sessions whose lease has expired and whose removal is to be proposed now.
     pub fn lapsed(&mut self, now: Instant) -> Vec<SessionId> {
         if !self.started {
             return Vec::new();
@@ -188,7 +192,8 @@
         self.tracker.lapsed(now)
     }
 
-    /// Returns when something is due.
+    /// Returns the earliest time at which a lease may expire or a held-back answer is due;
+    /// `None` if there is neither.
     #[must_use]
     pub fn next_wake(&self) -> Option<Instant> {
         let lapse = self.tracker().and_then(SessionTracker::next_wake);
@@ -200,7 +205,8 @@
         held.received_at + held.call.wait.min(self.longest_wait)
     }
 
-    /// Decides on a request whose read barrier was passed.
+    /// Handles a request that has passed its read barrier: renews the session, and holds back
+    /// the answer unless a command must be proposed or the session is lost.
     pub fn admit(&mut self, held: HeldSync, state: &ControlState) -> Verdict {
         if !self.started {
             held.not_current(None);
@@ -228,17 +234,18 @@
         if held.call.leaving && !session.leaving {
             return Verdict::Propose(Box::new(CommandKind::MarkLeaving(id)), held);
         }
-        self.news |= has_news(&held, state.view().revision, self.settled(state));
+        self.recheck_held |= has_changes(&held, state.view().revision, self.settled(state));
         self.held.push(held);
         Verdict::Done
     }
 
-    /// Renews a session; an acknowledgement of a newer revision may settle it.
+    /// Renews a session. If the renewal acknowledges a newer revision, the settled revision
+    /// is computed again.
     fn renew(&mut self, session: SessionId, received_at: Instant, applied: Revision) -> Renewal {
         let before = self.tracker.acknowledged(session);
         let renewal = self.tracker.renewed(session, received_at, applied);
         if self.tracker.acknowledged(session) != before {
-            self.news = true;
+            self.recheck_held = true;
             self.settled = None;
         }
         renewal
@@ -251,16 +258,18 @@
             .get_or_insert_with(|| tracker.settled_revision(state))
     }
 
-    /// Returns whether a request should not wait for others to share its read barrier.
+    /// Returns whether a request should get its read barrier at once instead of waiting for
+    /// further requests to share it.
     #[must_use]
     pub fn is_urgent(&self, held: &HeldSync) -> bool {
         let call = &held.call;
-        let hurry = call.wait.is_zero() || call.leaving || call.closing;
+        let is_immediate = call.wait.is_zero() || call.leaving || call.closing;
         let session = call.session();
-        hurry || session.is_none_or(|session| self.is_newer(session, call.applied))
+        is_immediate || session.is_none_or(|session| self.is_newer(session, call.applied))
     }
 
-    /// Returns whether a relay's batch should not wait for others.
+    /// Returns whether a relay's batch should get its read barrier at once: a renewal in it
+    /// acknowledges a newer revision.
     #[must_use]
     pub fn is_urgent_batch(&self, batch: &HeldBatch) -> bool {
         let mut renewals = batch.renewals.iter();
@@ -272,7 +281,8 @@
         acknowledged.is_some_and(|acknowledged| acknowledged < applied)
     }
 
-    /// Renews a relay's batch whose read barrier was passed, and answers it.
+    /// Renews the sessions of a relay's batch that has passed its read barrier, and answers
+    /// it.
     pub fn admit_batch(&mut self, batch: HeldBatch, state: &ControlState) {
         if !self.started {
             batch.not_current(None);
@@ -291,7 +301,7 @@
             settled: self.settled(state),
             lost,
         };
-        // The relay may have given up and asked another replica.
+        // Fails if the relay has given up, for example to ask another replica.
         let _ = batch.reply.send(BatchAnswer::Granted(grant));
     }
 
@@ -303,7 +313,7 @@
             Response::Submission(_) | Response::Routes(_) | Response::UnknownSession => None,
         };
         match session {
-            // A leadership that has ended in between has no account to grant from.
+            // The leadership has ended in the meantime, so no lease can be granted.
             _ if !self.started => held.not_current(None),
             Some(session) => {
                 let settled = self.settled(state);
@@ -313,19 +323,21 @@
         }
     }
 
-    /// Answers the held-back requests for which there is something new, or whose time
-    /// is up.
+    /// Answers the held-back requests whose entry VM lacks a change or whose waiting time has
+    /// passed, and drops those that the entry VM has given up.
     pub fn answer_held(&mut self, now: Instant, state: &ControlState) {
         let due = self.held.iter().any(|held| self.due_at(held) <= now);
-        if self.held.is_empty() || !(due || self.news) {
+        if self.held.is_empty() || !(due || self.recheck_held) {
             return;
         }
-        self.news = false;
+        self.recheck_held = false;
         let settled = self.settled(state);
         let newest = state.view().revision;
         for held in std::mem::take(&mut self.held) {
             match held.call.session() {
-                Some(session) if has_news(&held, newest, settled) || self.due_at(&held) <= now => {
+                Some(session)
+                    if has_changes(&held, newest, settled) || self.due_at(&held) <= now =>
+                {
                     grant(held, session, settled, state);
                 }
                 _ if held.reply.is_closed() => {}
@@ -335,8 +347,9 @@
     }
 }
 
-/// Returns whether the entry VM lacks something of the view or the settled revision.
-fn has_news(held: &HeldSync, newest: Revision, settled: Revision) -> bool {
+/// Returns whether the entry VM has another revision of the view than the newest, or knows
+/// only an earlier settled revision.
+fn has_changes(held: &HeldSync, newest: Revision, settled: Revision) -> bool {
     held.call.applied != newest || held.call.known_settled < settled
 }
 
--- a/server/src/session_core.rs
+++ b/server/src/session_core.rs
@@ -1,4 +1,4 @@
-//! The core's state machines of one session.
+//! State machines that an entry VM runs for its current session with control.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -19,7 +19,7 @@
 
 use crate::admission_handle::AdmissionStatus;
 
-/// Holds the state machines of one session.
+/// State machines of one session. All are created anew when a new session begins.
 #[derive(Debug)]
 pub(crate) struct SessionCore {
     pub(crate) id: SessionId,
@@ -29,8 +29,8 @@
     pub(crate) retries: RetryBudget,
     digest_serial: u64,
     drains: Vec<DrainDecision>,
-    /// Slots of all owned groups by the last digest.
-    told_slots: u64,
+    /// Total slots of all owned groups in the digest created last.
+    reported_slots: u64,
     throttle: DigestThrottle,
 }
 
@@ -39,7 +39,8 @@
 }
 
 impl SessionCore {
-    /// Starts a session; `seed` drives the choices among near-equals.
+    /// Creates the state machines of a session. `seed` determines the random choices among
+    /// nearly equal candidates.
     pub(crate) fn new(id: SessionId, seed: u64) -> Self {
         Self {
             id,
@@ -49,38 +50,38 @@
             retries: RetryBudget::default(),
             digest_serial: 0,
             drains: Vec::new(),
-            told_slots: 0,
+            reported_slots: 0,
             throttle: DigestThrottle::default(),
         }
     }
 
-    /// Applies a view.
+    /// Applies a view to all state machines, and returns what admission asks for.
     pub(crate) fn apply_view(
         &mut self,
         now: Instant,
         view: &Arc<ControlView>,
         step: ViewStep,
     ) -> Vec<Effect> {
-        // Sessions that are new have heard no digest yet.
+        // The view may contain new sessions, which have not received a digest yet.
         self.throttle.reset();
         self.steering.apply_view(view);
         self.lookups.apply_view(view, step);
         self.admission.apply_view(now, view, step)
     }
 
-    /// Notes that `revision` is settled.
+    /// Records that `revision` is settled.
     pub(crate) fn settle(&mut self, now: Instant, revision: Revision) -> Vec<Effect> {
         self.lookups.settle(now, revision);
         self.admission.settle(now, revision)
     }
 
-    /// Tells whether others know of other slots than there are now.
+    /// Returns whether the number of slots has changed since the last digest.
     pub(crate) fn has_unreported_slots(&mut self, now: Instant) -> bool {
-        self.told_slots != total_slots(&self.admission.digest_loads(now))
+        self.reported_slots != total_slots(&self.admission.digest_loads(now))
     }
 
-    /// Returns the digest if it is worth sending now; this session's own steering
-    /// takes it in any case.
+    /// Creates a digest and applies it to this session's own steering. Returns it if the
+    /// throttle allows sending it to other entry VMs now.
     pub(crate) fn digest(&mut self, now: Instant) -> Option<LoadDigest> {
         self.digest_serial += 1;
         let digest = LoadDigest {
@@ -88,7 +89,7 @@
             serial: self.digest_serial,
             loads: self.admission.digest_loads(now),
         };
-        self.told_slots = total_slots(&digest.loads);
+        self.reported_slots = total_slots(&digest.loads);
         self.steering.take_digest(now, &digest);
         let known = self.steering.known_loads(now);
         self.drains = self.admission.decide_drains(now, known);
@@ -99,7 +100,8 @@
         Some(digest)
     }
 
-    /// Returns what operators are shown.
+    /// Returns the status that is shown to operators. The caller sets
+    /// `waiting`, which is 0 here.
     pub(crate) fn status(&mut self, now: Instant) -> AdmissionStatus {
         AdmissionStatus {
             session: self.id,
--- a/server/src/session_relay.rs
+++ b/server/src/session_relay.rs
@@ -1,8 +1,9 @@
-//! The task and the service by which an entry VM relays the sessions of its region.
+//! Task and gRPC service with which an entry VM relays the session renewals of other entry
+//! VMs in its region.
 //!
-//! The decisions are in the core's `session_relay`. This module takes the calls of other
-//! entry VMs, carries batches to control, and sends changes along from the view that this
-//! VM's own session has.
+//! The decisions are in the library's module `session_relay`. This module receives the
+//! calls of other entry VMs, sends batches to control, and adds view changes to the answers
+//! from the view of this VM's own session.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -40,25 +41,26 @@
 use crate::proto::session_client::SessionClient;
 use crate::proto::session_server::Session;
 
-/// Requests that wait to be taken in; more are refused and go to control.
+/// Capacity of the queue of requests to the task. Further requests are rejected, so that
+/// the entry VMs turn to control.
 const QUEUE_LENGTH: usize = 1_024;
 
-/// Time for which control may take to answer a batch, connecting included.
+/// Timeout of a batch sent to control, including the time to connect.
 const BATCH_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time for which connecting to control may take.
+/// Timeout for connecting to a control replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest time for which an answer is held back, a third of the usual lease.
+/// Maximum time for which an answer is held back (long poll): a third of the default lease.
 const LONGEST_WAIT: Duration = Duration::from_secs(1);
 
-/// Holds one call of another entry VM.
+/// Renewal requested by another entry VM.
 struct RelayCall {
     renewal: RelayedRenewal,
     reply: oneshot::Sender<SyncReply>,
 }
 
-/// Serves `Session` to other entry VMs of the region.
+/// Implements the gRPC service `Session` for other entry VMs of the region.
 #[derive(Clone, Debug)]
 pub struct SessionRelayService {
     tx: mpsc::Sender<RelayCall>,
@@ -66,7 +68,8 @@
 }
 
 impl SessionRelayService {
-    /// Starts the task that relays to `replicas` of control; it ends with the service.
+    /// Starts the task that relays renewals to the control replicas at `replicas`. It ends
+    /// when all clones of the service are dropped.
     #[must_use]
     pub fn spawn(
         state: watch::Receiver<EntryState>,
@@ -108,9 +111,11 @@
     async fn sync(&self, request: Request<SyncRequest>) -> Result<Response<SyncReply>, Status> {
         let request = request.into_inner();
         self.check_cluster(&request.cluster_id)?;
-        let plain = request.session != 0 && request.applied_revision != 0 && !request.closing;
-        if !plain {
-            return Err(Status::failed_precondition("a relay only renews"));
+        let is_renewal = request.session != 0 && request.applied_revision != 0 && !request.closing;
+        if !is_renewal {
+            return Err(Status::failed_precondition(
+                "a relay only accepts renewals of sessions",
+            ));
         }
         let (reply, answer) = oneshot::channel();
         let wait = Duration::from_millis(request.wait_ms.into());
@@ -125,10 +130,10 @@
         };
         self.tx
             .try_send(call)
-            .map_err(|_| Status::resource_exhausted("too many renewals wait"))?;
+            .map_err(|_| Status::resource_exhausted("too many renewals are queued at the relay"))?;
         let reply = answer
             .await
-            .map_err(|_| Status::unavailable("the relay stopped"))?;
+            .map_err(|_| Status::unavailable("the relay has stopped"))?;
         Ok(Response::new(reply))
     }
 
@@ -136,11 +141,13 @@
         &self,
         _request: Request<SyncBatchRequest>,
     ) -> Result<Response<SyncBatchReply>, Status> {
-        Err(Status::unimplemented("relays don't relay for relays"))
+        Err(Status::unimplemented(
+            "a relay does not accept batches from other relays",
+        ))
     }
 }
 
-/// Owns the relay's state.
+/// Task that owns the state of the relay.
 struct RelayTask {
     relay: SessionRelay,
     replies: HashMap<RelayedKey, oneshot::Sender<SyncReply>>,
@@ -160,19 +167,19 @@
             let wake = self.relay.next_wake();
             tokio::select! {
                 call = rx.recv() => match call {
-                    Some(call) => self.take(call),
+                    Some(call) => self.add_renewal(call),
                     None => return,
                 },
                 Some(grant) = batches.recv() => self.batch_answered(grant),
                 Ok(()) = self.state.changed() => {}
-                () = until(wake) => {}
+                () = sleep_until(wake) => {}
             }
             self.send_batch();
             self.answer_held();
         }
     }
 
-    fn take(&mut self, call: RelayCall) {
+    fn add_renewal(&mut self, call: RelayCall) {
         let key = self.relay.renew(self.clock.now(), call.renewal);
         self.replies.insert(key, call.reply);
     }
@@ -193,7 +200,7 @@
                 Some(client) => call_control(client, request).await,
                 None => None,
             };
-            // The task has ended if nobody takes this.
+            // Fails if the task has ended.
             let _ = batch_tx.send(grant).await;
         });
     }
@@ -226,14 +233,14 @@
         let state = self.state.borrow().clone();
         for (key, answer) in answers {
             if let Some(reply) = self.replies.remove(&key) {
-                // The entry VM may have turned to another relay meanwhile.
+                // Fails if the entry VM has given up, for example to ask another relay.
                 let _ = reply.send(sync_reply(&state, answer));
             }
         }
     }
 }
 
-async fn until(wake: Option<std::time::Instant>) {
+async fn sleep_until(wake: Option<std::time::Instant>) {
     match wake {
         Some(at) => tokio::time::sleep_until(at.into()).await,
         None => std::future::pending().await,
@@ -275,8 +282,8 @@
     }
 }
 
-/// Adds what has come after `applied`: the changes, or the whole view if this VM's own
-/// session began later.
+/// Adds the changes after revision `applied` to a reply, or the whole view if this VM's own
+/// session doesn't have all of them.
 fn add_update(
     reply: &mut SyncReply,
     state: &EntryState,
@@ -294,7 +301,7 @@
     Ok(())
 }
 
-/// Reaches one control replica at a time.
+/// Connection to one control replica at a time. After a failure the next one is used.
 struct ControlLink {
     security: PeerSecurity,
     replicas: Vec<SocketAddr>,
--- a/server/src/session_service.rs
+++ b/server/src/session_service.rs
@@ -1,4 +1,4 @@
-//! Sessions of entry VMs with control.
+//! gRPC service of a control replica for the sessions of entry VMs.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 use crate::proto::SyncRequest;
 use crate::proto::session_server::Session;
 
-/// Answers entry VMs.
+/// Implements the gRPC service `Session` for entry VMs and relays.
 #[derive(Clone, Debug)]
 pub struct SessionService {
     cluster: ClusterId,
@@ -40,7 +40,7 @@
 }
 
 impl SessionService {
-    /// Creates the service of a replica.
+    /// Creates the service of a replica whose state `node` reaches.
     #[must_use]
     pub const fn new(cluster: ClusterId, timing: ControlTiming, node: NodeHandle) -> Self {
         Self {
@@ -55,16 +55,16 @@
         if first_contact || cluster == self.cluster.0 {
             return Ok(());
         }
-        log::warn!("refused an entry VM of another cluster");
+        log::warn!("rejected an entry VM of another cluster");
         Err(Status::failed_precondition("another cluster"))
     }
 
     async fn ask_leader(&self, leader: &LeaderLink, request: SyncRequest) -> SyncReply {
         let wait = Duration::from_millis(request.wait_ms.into());
-        // Longer silence than an election's means that the leader is gone.
+        // A leader that is silent for longer than an election takes is considered gone.
         let timeout = wait + self.timing.election_max();
-        let passed_on = relayed_request(request, timeout);
-        match session_client(leader).sync(passed_on).await {
+        let relayed = relayed_request(request, timeout);
+        match session_client(leader).sync(relayed).await {
             Ok(reply) => reply.into_inner(),
             Err(status) => {
                 log::debug!(leader = leader.replica.0, error:% = status.message(); "the leader did not answer");
@@ -78,11 +78,11 @@
         leader: &LeaderLink,
         request: SyncBatchRequest,
     ) -> SyncBatchReply {
-        let passed_on = relayed_request(request, self.timing.election_max());
-        match session_client(leader).sync_batch(passed_on).await {
+        let relayed = relayed_request(request, self.timing.election_max());
+        match session_client(leader).sync_batch(relayed).await {
             Ok(reply) => reply.into_inner(),
             Err(status) => {
-                log::debug!(leader = leader.replica.0, error:% = status.message(); "the leader did not answer a relay");
+                log::debug!(leader = leader.replica.0, error:% = status.message(); "the leader did not answer the renewals of a relay");
                 batch_without_quorum()
             }
         }
@@ -142,7 +142,7 @@
 #[tonic::async_trait]
 impl Session for SessionService {
     async fn sync(&self, request: Request<SyncRequest>) -> Result<Response<SyncReply>, Status> {
-        let passed_on = is_relayed(request.metadata());
+        let already_relayed = is_relayed(request.metadata());
         let request = request.into_inner();
         self.check_cluster(&request.cluster_id)?;
         let answer = self.node.sync(sync_call(&request)?).await;
@@ -155,7 +155,7 @@
             Ok(SyncAnswer::Lost) => self.reply(SyncOutcome::SessionLost),
             Ok(SyncAnswer::NotCurrent {
                 leader: Some(leader),
-            }) if !passed_on => self.ask_leader(&leader, request).await,
+            }) if !already_relayed => self.ask_leader(&leader, request).await,
             Ok(SyncAnswer::NotCurrent { .. }) | Err(_) => self.reply(SyncOutcome::NoQuorum),
         };
         Ok(Response::new(reply))
@@ -165,7 +165,7 @@
         &self,
         request: Request<SyncBatchRequest>,
     ) -> Result<Response<SyncBatchReply>, Status> {
-        let passed_on = is_relayed(request.metadata());
+        let already_relayed = is_relayed(request.metadata());
         let request = request.into_inner();
         self.check_cluster(&request.cluster_id)?;
         let renewals = request.renewals.iter().map(acknowledgement).collect();
@@ -173,7 +173,7 @@
             Ok(BatchAnswer::Granted(grant)) => batch_granted(&grant),
             Ok(BatchAnswer::NotCurrent {
                 leader: Some(leader),
-            }) if !passed_on => self.ask_leader_batch(&leader, request).await,
+            }) if !already_relayed => self.ask_leader_batch(&leader, request).await,
             Ok(BatchAnswer::NotCurrent { .. }) | Err(_) => batch_without_quorum(),
         };
         Ok(Response::new(reply))
