--- a/server/src/leader_sessions.rs
+++ b/server/src/leader_sessions.rs
@@ -120,7 +120,7 @@
 }
 
 impl LeaderSessions {
-    /// Creates the state of a replica that doesn't lead.
+    /// Creates the state of a replica that is not the leader.
     #[must_use]
     pub fn new(timing: &ControlTiming) -> Self {
         let lease = timing.session_lease();
