--- a/cli/tests/common/mod.rs
+++ b/cli/tests/common/mod.rs
@@ -1,46 +1,44 @@
-//! What several tests share: running the command.
+//! Helpers shared by the tests of the command line.
 
 #![allow(
     dead_code,
-    reason = "each test file is a crate, and uses a part of this"
+    reason = "each test file is a crate of its own and uses only some of the helpers"
 )]
 
 use std::path::Path;
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Holds what a run of the command left.
-pub struct Ran {
-    /// The exit code.
+/// Holds the exit code and output of one run of the command.
+pub struct CommandOutput {
     pub code: i32,
-    /// What it printed.
     pub stdout: String,
-    /// What it reported.
+    /// Errors and warnings.
     pub stderr: String,
 }
 
-/// Runs the command in a folder, without a terminal and with a fixed width.
-pub fn run(folder: &Path, arguments: &[&str]) -> Ran {
+/// Runs the command in `folder`, without a terminal and with a fixed output width.
+pub fn run(folder: &Path, arguments: &[&str]) -> CommandOutput {
     let output = Command::new(env!("CARGO_BIN_EXE_heatherring"))
         .args(arguments)
         .current_dir(folder)
         .env("COLUMNS", "100")
         .output()
         .unwrap();
-    Ran {
+    CommandOutput {
         code: output.status.code().unwrap(),
         stdout: String::from_utf8(output.stdout).unwrap(),
         stderr: String::from_utf8(output.stderr).unwrap(),
     }
 }
 
-/// Returns the path of a file at the repository's root.
+/// Returns the path of a file, given relative to the repository's root.
 pub fn repository_file(name: &str) -> PathBuf {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
     root.join(name)
 }
 
-/// Returns the path of a sample.
+/// Returns the path of a file in the `samples` folder.
 pub fn sample(name: &str) -> PathBuf {
     repository_file("samples").join(name)
 }
--- a/cli/tests/control_run/entry_client.rs
+++ b/cli/tests/control_run/entry_client.rs
@@ -1,4 +1,5 @@
-//! An entry VM's session with control: follows the view, forgets it, starts anew.
+//! A simulated entry VM that holds a session with control, follows the view and now and then
+//! restarts without its state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,13 +30,13 @@
 use super::Client;
 use super::channel;
 
-/// Time for which control may hold a reply back.
+/// Time for which control may delay a reply that has no news.
 const WAIT_MS: u32 = 100;
 const MAX_PAUSE_MS: u64 = 40;
-/// A pause that outlasts lease and margin.
+/// A pause longer than the lease and its margin.
 const LONG_PAUSE: Duration = Duration::from_millis(2_500);
 
-/// Holds what an entry VM was told, and on what it acted when.
+/// Records the replies that an entry VM received and which view it acted on at which time.
 #[derive(Debug, Default)]
 pub struct EntryRecord {
     pub operations: Vec<Operation>,
@@ -45,7 +46,7 @@
 }
 
 impl EntryRecord {
-    /// Notes that the view acted on so far isn't acted on any more.
+    /// Records that the entry VM stopped acting on its current view at `now_us`.
     fn stop_acting(&mut self, now_us: u64) {
         if let Some(last) = self.acting.last_mut() {
             last.until_us = last.until_us.min(now_us);
@@ -54,34 +55,34 @@
 }
 
 #[derive(Debug, Default)]
-struct Life {
+struct Incarnation {
     session: u64,
     view: ControlView,
     settled: u64,
     lease: EntryLease,
 }
 
-/// Follows the view until it is stopped.
+/// Follows the view until the run is stopped; returns what was recorded.
 pub async fn run(mut client: Client) -> EntryRecord {
     let mut record = EntryRecord::default();
-    let mut life = Life::default();
+    let mut incarnation = Incarnation::default();
     while !client.is_stopped() {
-        // A process that restarts remembers nothing.
+        // Simulates a restart: a restarted process has no session and no view.
         if client.rng.random_ratio(1, 20) {
-            life = Life::default();
+            incarnation = Incarnation::default();
             record.stop_acting(client.clock.now_us());
         }
         let address = client.addresses.choose(&mut client.rng);
-        let address = *address.expect("there are replicas");
+        let address = *address.expect("the cluster has replicas");
         let sent_at = Instant::now();
-        let reply = sync(&client, &life, address).await;
+        let reply = sync(&client, &incarnation, address).await;
         match reply {
             Some(reply) if reply.outcome() == SyncOutcome::Granted => {
-                take(&mut life, &reply, sent_at);
-                note(&mut record, &client, &life, &reply, sent_at);
+                apply_reply(&mut incarnation, &reply, sent_at);
+                record_reply(&mut record, &client, &incarnation, &reply, sent_at);
             }
             Some(reply) if reply.outcome() == SyncOutcome::SessionLost => {
-                life = Life::default();
+                incarnation = Incarnation::default();
                 record.stop_acting(client.clock.now_us());
             }
             _ => {}
@@ -100,16 +101,16 @@
     tokio::time::sleep(pause).await;
 }
 
-fn note(
+fn record_reply(
     record: &mut EntryRecord,
     client: &Client,
-    life: &Life,
+    incarnation: &Incarnation,
     reply: &SyncReply,
     sent_at: Instant,
 ) {
     let now_us = client.clock.now_us();
     record.stop_acting(now_us);
-    let shown = shown(&life.view);
+    let shown = shown_manifest(&incarnation.view);
     record.operations.push(Operation {
         client: client.name.clone(),
         sent_us: client.clock.us(sent_at),
@@ -126,21 +127,25 @@
     });
     record
         .acting
-        .extend(life.lease.expires_at().map(|until| Acting {
+        .extend(incarnation.lease.expires_at().map(|until| Acting {
             entry: client.name.clone(),
-            opened: life.session,
-            revision: life.view.revision.0,
+            opened: incarnation.session,
+            revision: incarnation.view.revision.0,
             from_us: now_us,
             until_us: client.clock.us(until),
         }));
 }
 
-async fn sync(client: &Client, life: &Life, address: SocketAddr) -> Option<SyncReply> {
+async fn sync(
+    client: &Client,
+    incarnation: &Incarnation,
+    address: SocketAddr,
+) -> Option<SyncReply> {
     let request = SyncRequest {
         entry_encoded: postcard::to_stdvec(&info(&client.name)).expect("info is encodable"),
-        session: life.session,
-        applied_revision: life.view.revision.0,
-        known_settled: life.settled,
+        session: incarnation.session,
+        applied_revision: incarnation.view.revision.0,
+        known_settled: incarnation.settled,
         wait_ms: WAIT_MS,
         ..SyncRequest::default()
     };
@@ -150,48 +155,62 @@
 }
 
 fn info(vm: &str) -> EntryInfo {
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
     EntryInfo {
         vm: VmName::new(vm),
         place: PlaceName::new("alm-a"),
         region: RegionName::new("almaty"),
-        callers: nowhere,
-        backend_servers: nowhere,
-        peers: nowhere,
-        forward: nowhere,
+        callers: unused_address,
+        backend_servers: unused_address,
+        peers: unused_address,
+        forward: unused_address,
     }
 }
 
-/// Takes a granted reply; a view that doesn't fit is a fault of control.
-fn take(life: &mut Life, reply: &SyncReply, sent_at: Instant) {
+/// Applies a granted reply. A view or change that does not follow from the current view is a
+/// fault of control.
+///
+/// # Panics
+///
+/// Panics on such a fault.
+fn apply_reply(incarnation: &mut Incarnation, reply: &SyncReply, sent_at: Instant) {
     let session = SessionId(reply.session);
     let lease = Duration::from_millis(reply.lease_ms.into());
-    if life.session == 0 {
-        life.lease.opened(session, sent_at, lease);
+    if incarnation.session == 0 {
+        incarnation.lease.opened(session, sent_at, lease);
     } else {
-        life.lease.renewed(session, sent_at, lease, Instant::now());
+        incarnation
+            .lease
+            .renewed(session, sent_at, lease, Instant::now());
     }
-    life.session = reply.session;
-    life.settled = life.settled.max(reply.settled_revision);
+    incarnation.session = reply.session;
+    incarnation.settled = incarnation.settled.max(reply.settled_revision);
     if !reply.view_encoded.is_empty() {
-        let view: ControlView = postcard::from_bytes(&reply.view_encoded).expect("a view");
-        assert!(view.revision >= life.view.revision, "the view went back");
-        life.view = view;
+        let view: ControlView =
+            postcard::from_bytes(&reply.view_encoded).expect("the view is decodable");
+        assert!(
+            view.revision >= incarnation.view.revision,
+            "the view's revision decreased"
+        );
+        incarnation.view = view;
     }
     for encoded in &reply.changes_encoded {
-        let change: ViewChange = postcard::from_bytes(encoded).expect("a change");
-        life.view.apply(&change).expect("a change that fits");
+        let change: ViewChange = postcard::from_bytes(encoded).expect("the change is decodable");
+        incarnation
+            .view
+            .apply(&change)
+            .expect("the change applies to the current view");
     }
     assert!(
-        life.settled <= life.view.revision.0,
-        "settled without this entry's acknowledgement"
+        incarnation.settled <= incarnation.view.revision.0,
+        "the settled revision is ahead of this entry VM's acknowledged revision"
     );
 }
 
-fn shown(view: &ControlView) -> Option<Shown> {
-    view.manifest.as_ref().map(|held| Shown {
-        version: held.manifest.version.0,
-        digest: held.digest.to_string().into(),
-        revision: held.revision.0,
+fn shown_manifest(view: &ControlView) -> Option<Shown> {
+    view.manifest.as_ref().map(|current| Shown {
+        version: current.manifest.version.0,
+        digest: current.digest.to_string().into(),
+        revision: current.revision.0,
     })
 }
--- a/cli/tests/control_run/fault_schedule.rs
+++ b/cli/tests/control_run/fault_schedule.rs
@@ -12,69 +12,69 @@
 
 const SHORTEST_FAULT_MS: u64 = 500;
 const LONGEST_FAULT_MS: u64 = 2_000;
-const LONGEST_CALM_MS: u64 = 600;
+const MAX_FAULT_FREE_MS: u64 = 600;
 
-/// Names a fault; replicas, where they aren't given, and times are drawn.
+/// A kind of fault. The replicas that it affects and its duration are drawn at random.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// Nothing happens for a while.
-    Calm,
-    /// A process is killed and started again later.
+    /// Injects nothing for the drawn duration.
+    NoFault,
+    /// Kills a process and restarts it later.
     Kill,
-    /// All processes are killed at once and started again.
+    /// Kills all processes at once and restarts them.
     KillAll,
-    /// Two processes are killed and started again later: no quorum.
+    /// Kills two processes, so that there is no quorum, and restarts them later.
     KillTwo,
-    /// A process is frozen for a while.
+    /// Freezes a process and resumes it later.
     Freeze,
-    /// All processes are frozen for a while, then wake up one after the other.
+    /// Freezes all processes and resumes them one after the other.
     FreezeAll,
-    /// A replica is cut off in both directions.
+    /// Cuts all links of a replica in both directions.
     Isolate,
-    /// A replica is heard but hears nothing.
-    Deafen,
-    /// A replica hears but isn't heard.
-    Mute,
-    /// One link is cut in one direction.
+    /// Cuts all links to a replica; what it sends still arrives.
+    CutInbound,
+    /// Cuts all links from a replica; what others send still arrives.
+    CutOutbound,
+    /// Cuts one link in one direction.
     CutLink,
-    /// A replica loses its disk and is repaired.
+    /// Destroys the disk of a replica and repairs it.
     LoseDisk,
-    /// A replica loses its disk and is repaired, and at once another one does as well.
+    /// Destroys and repairs the disk of a replica, and at once that of another one.
     LoseDiskTwice,
 }
 
-/// All faults.
+/// All kinds of faults, each drawn with equal probability.
 const FAULTS: [Fault; 12] = [
-    Fault::Calm,
+    Fault::NoFault,
     Fault::Kill,
     Fault::KillAll,
     Fault::KillTwo,
     Fault::Freeze,
     Fault::FreezeAll,
     Fault::Isolate,
-    Fault::Deafen,
-    Fault::Mute,
+    Fault::CutInbound,
+    Fault::CutOutbound,
     Fault::CutLink,
     Fault::LoseDisk,
     Fault::LoseDiskTwice,
 ];
 
 impl Fault {
-    /// Draws `count` faults.
+    /// Draws `count` faults, with repetition.
     pub fn draw(rng: &mut ChaCha8Rng, count: usize) -> Vec<Self> {
         let draw = || FAULTS[rng.random_range(0..FAULTS.len())];
         std::iter::repeat_with(draw).take(count).collect()
     }
 }
 
-/// Lets a fault happen, and mends it after a time.
+/// Injects a fault, and reverts it after a drawn time.
 pub async fn apply(
     cluster: &mut ControlCluster,
     fault: &Fault,
     rng: &mut ChaCha8Rng,
 ) -> Result<(), ClusterError> {
-    // Followers' faults alone would hardly show anything, and a leader that stays away
-    // from faults stays the leader.
+    // Two thirds of the faults affect the leader: faults of followers alone reveal little, and
+    // a leader without faults is never replaced.
     let first = if rng.random_ratio(2, 3) {
         cluster.leader().await?
     } else {
@@ -82,7 +82,7 @@
     };
     let second = (first + rng.random_range(1..REPLICAS)) % REPLICAS;
     match fault {
-        Fault::Calm => {}
+        Fault::NoFault => {}
         Fault::Kill => cluster.kill(first)?,
         Fault::KillTwo => kill(cluster, &[first, second])?,
         Fault::KillAll => {
@@ -92,21 +92,21 @@
         Fault::Freeze => cluster.freeze(first)?,
         Fault::FreezeAll => freeze_all(cluster)?,
         Fault::Isolate => {
-            cut_from_others(cluster, first);
-            cut_to_others(cluster, first);
+            cut_outbound(cluster, first);
+            cut_inbound(cluster, first);
         }
-        Fault::Deafen => cut_to_others(cluster, first),
-        Fault::Mute => cut_from_others(cluster, first),
+        Fault::CutInbound => cut_inbound(cluster, first),
+        Fault::CutOutbound => cut_outbound(cluster, first),
         Fault::CutLink => cluster.cut(first, second),
-        Fault::LoseDisk => lose_disk(cluster, first).await?,
+        Fault::LoseDisk => lose_and_repair_disk(cluster, first).await?,
         Fault::LoseDiskTwice => {
-            lose_disk(cluster, first).await?;
+            lose_and_repair_disk(cluster, first).await?;
             cluster.lose_and_repair(second).await?;
         }
     }
     pause(rng, SHORTEST_FAULT_MS..LONGEST_FAULT_MS).await;
-    mend(cluster, rng).await?;
-    pause(rng, 0..LONGEST_CALM_MS).await;
+    revert(cluster, rng).await?;
+    pause(rng, 0..MAX_FAULT_FREE_MS).await;
     Ok(())
 }
 
@@ -122,38 +122,41 @@
     (0..REPLICAS).try_for_each(|number| cluster.freeze(number))
 }
 
-/// Cuts what others send to `to`.
-fn cut_to_others(cluster: &ControlCluster, to: usize) {
+/// Cuts the links from all other replicas to `to`.
+fn cut_inbound(cluster: &ControlCluster, to: usize) {
     let others = (0..REPLICAS).filter(|&other| other != to);
     others.for_each(|other| cluster.cut(other, to));
 }
 
-/// Cuts what `from` sends to others.
-fn cut_from_others(cluster: &ControlCluster, from: usize) {
+/// Cuts the links from `from` to all other replicas.
+fn cut_outbound(cluster: &ControlCluster, from: usize) {
     let others = (0..REPLICAS).filter(|&other| other != from);
     others.for_each(|other| cluster.cut(from, other));
 }
 
-/// Loses a disk. Others must be whole: with three replicas, one disk is what may be
-/// lost at a time.
-async fn lose_disk(cluster: &mut ControlCluster, number: usize) -> Result<(), ClusterError> {
+/// Destroys and repairs the disk of a replica, after all replicas have recovered: with three
+/// replicas, only one disk may be lost at a time.
+async fn lose_and_repair_disk(
+    cluster: &mut ControlCluster,
+    number: usize,
+) -> Result<(), ClusterError> {
     heal(cluster).await?;
     cluster.lose_and_repair(number).await
 }
 
-async fn mend(cluster: &mut ControlCluster, rng: &mut ChaCha8Rng) -> Result<(), ClusterError> {
+async fn revert(cluster: &mut ControlCluster, rng: &mut ChaCha8Rng) -> Result<(), ClusterError> {
     cluster.mend();
     for number in 0..REPLICAS {
         cluster.thaw(number)?;
         if !cluster.is_running(number) {
             cluster.restart(number)?;
-            pause(rng, 0..LONGEST_CALM_MS).await;
+            pause(rng, 0..MAX_FAULT_FREE_MS).await;
         }
     }
     Ok(())
 }
 
-/// Mends everything and waits until all replicas vote.
+/// Reverts all faults and waits until all replicas vote.
 pub async fn heal(cluster: &mut ControlCluster) -> Result<(), ClusterError> {
     cluster.mend();
     for number in 0..REPLICAS {
--- a/cli/tests/control_run/mod.rs
+++ b/cli/tests/control_run/mod.rs
@@ -1,5 +1,5 @@
-//! Runs operators and entry VMs against real control replicas while faults happen, and
-//! records what all of them were told.
+//! Runs simulated operators and entry VMs against real control replicas while faults are
+//! injected, and records the answers that they received.
 
 mod entry_client;
 mod fault_schedule;
@@ -31,15 +31,15 @@
 const OPERATORS: u64 = 4;
 const ENTRIES: u64 = 2;
 
-/// Longest time for which a client waits for one answer. Shorter than most faults: a
-/// client that waits for a replica that is cut off does nothing that could show a fault.
+/// Longest time for which a client waits for one answer. Shorter than most faults, because a
+/// client that is blocked on an isolated replica makes no calls that could reveal a violation.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Accepted manifests that are read back at the end; more than a run makes.
+/// Limit on the accepted manifests read back at the end; above the number that a run produces.
 const FINAL_RECORDS: u32 = 1_000;
 
-/// Counts microseconds from the start of a run.
+/// Measures microseconds since the start of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunClock(Instant);
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Holds what each client needs.
+/// The state that simulated operators and entry VMs have in common.
 #[derive(Clone, Debug)]
 struct Client {
     name: String,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Runs clients through `faults` and returns what they recorded.
+/// Runs clients while `faults` are injected one after another; returns what they recorded.
 pub async fn run(
     binary: &Path,
     seed: u64,
@@ -116,7 +116,7 @@
     Ok(history)
 }
 
-/// Reads back what was accepted from each majority: each replica is missing in turn.
+/// Reads the accepted manifests back from each majority, with each replica stopped in turn.
 async fn final_records(
     cluster: &mut ControlCluster,
 ) -> Result<BTreeMap<String, Vec<Shown>>, ClusterError> {
@@ -159,7 +159,7 @@
 
 fn channel(address: SocketAddr) -> Channel {
     let endpoint = Endpoint::from_shared(format!("http://{address}"));
-    let endpoint = endpoint.expect("an address makes a URI");
+    let endpoint = endpoint.expect("a socket address forms a valid URI");
     endpoint
         .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
--- a/cli/tests/control_run/operator_client.rs
+++ b/cli/tests/control_run/operator_client.rs
@@ -1,4 +1,5 @@
-//! An operator that races others: equal versions, resends, lost answers, reads.
+//! A simulated operator that races others: it submits versions that others submit too, resends,
+//! drops calls before the answer and reads.
 
 use std::time::Duration;
 
@@ -22,10 +23,10 @@
 
 /// Longest pause between two operations.
 const MAX_PAUSE_MS: u64 = 60;
-/// Longest time after which an operator that loses patience drops its connection.
-const MAX_PATIENCE_MS: u64 = 15;
-/// Highest step between versions. Steps over one leave versions that others may still
-/// try.
+/// Longest time-out of a call that is meant to be dropped before its answer.
+const MAX_DROPPED_CALL_MS: u64 = 15;
+/// Largest step between versions. Steps above one leave gaps that other operators may still
+/// try to fill.
 const MAX_STEP: u64 = 3;
 
 #[derive(Clone, Debug)]
@@ -53,7 +54,7 @@
     }
 }
 
-/// Submits and reads until it is stopped; returns what it was told.
+/// Submits and reads until the run is stopped; returns the operations with their answers.
 pub async fn run(mut client: Client) -> Vec<Operation> {
     let mut operations = Vec::new();
     let mut submitted: Vec<Manifest> = Vec::new();
@@ -63,7 +64,7 @@
             0..3 => show(&mut client).await,
             3..5 if !submitted.is_empty() => {
                 let manifest = submitted.choose(&mut client.rng).cloned();
-                let manifest = manifest.expect("there is one");
+                let manifest = manifest.expect("a manifest was submitted");
                 Some(submit(&mut client, &manifest).await)
             }
             5 if highest > 1 => {
@@ -79,7 +80,7 @@
             }
         };
         if let Some(operation) = operation {
-            highest = highest.max(version_told(&operation.call));
+            highest = highest.max(highest_version_learned(&operation.call));
             operations.push(operation);
         }
         let pause = client.rng.random_range(0..MAX_PAUSE_MS);
@@ -88,7 +89,7 @@
     operations
 }
 
-fn version_told(call: &Call) -> u64 {
+fn highest_version_learned(call: &Call) -> u64 {
     match call {
         Call::Show(shown) => shown.as_ref().map_or(0, |shown| shown.version),
         Call::Submit {
@@ -103,13 +104,13 @@
 
 fn any_replica(client: &mut Client) -> OperatorClient<tonic::transport::Channel> {
     let address = client.addresses.choose(&mut client.rng);
-    OperatorClient::new(channel(*address.expect("there are replicas")))
+    OperatorClient::new(channel(*address.expect("the cluster has replicas")))
 }
 
 async fn submit(client: &mut Client, manifest: &Manifest) -> Operation {
     let mut replica = any_replica(client);
-    let patience = if client.rng.random_ratio(1, 6) {
-        Duration::from_millis(client.rng.random_range(1..MAX_PATIENCE_MS))
+    let timeout = if client.rng.random_ratio(1, 6) {
+        Duration::from_millis(client.rng.random_range(1..MAX_DROPPED_CALL_MS))
     } else {
         CALL_TIMEOUT
     };
@@ -118,8 +119,8 @@
         operator: client.name.clone(),
     };
     let sent_us = client.clock.now_us();
-    // Dropping the call drops the connection with it.
-    let reply = tokio::time::timeout(patience, replica.submit(request)).await;
+    // On a time-out the call is dropped, and its connection with it.
+    let reply = tokio::time::timeout(timeout, replica.submit(request)).await;
     let answered_us = client.clock.now_us();
     let answer = match reply {
         Ok(Ok(reply)) => answer(&reply.into_inner()),
@@ -151,12 +152,12 @@
         SubmitOutcome::NotAccepted => SubmitAnswer::NotAccepted,
         SubmitOutcome::Unknown => SubmitAnswer::Unknown,
         SubmitOutcome::Invalid | SubmitOutcome::Unspecified => {
-            panic!("a correct manifest was called wrong: {reply:?}")
+            panic!("a valid manifest was rejected as invalid: {reply:?}")
         }
     }
 }
 
-/// Reads the manifest in force; a read without an answer says nothing.
+/// Reads the manifest in force; `None` if no answer arrives.
 async fn show(client: &mut Client) -> Option<Operation> {
     let mut replica = any_replica(client);
     let sent_us = client.clock.now_us();
--- a/cli/tests/test_actions.rs
+++ b/cli/tests/test_actions.rs
@@ -1,4 +1,4 @@
-//! Actions over real processes, with the ledgers of backend servers as the truth.
+//! Tests of actions over real processes. The ledgers of backend servers show what ran.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -19,8 +19,8 @@
 const SERVICE: &str = "registry";
 const PLACE: &str = "fko-hakata";
 
-/// Time that a backend server takes for an action: long enough to be hit by a fault,
-/// and well below the deadline.
+/// Time that a backend server takes for an action: long enough for a fault to occur in the
+/// meantime, and well below the deadline.
 const SLOW: ServiceTime = ServiceTime::Fixed { ms: 800.0 };
 
 fn plan() -> DeploymentPlan {
@@ -47,7 +47,7 @@
     started.expect("the deployment starts")
 }
 
-/// One action with what is needed to resend it.
+/// An action with everything that is needed to resend it.
 struct Action {
     look_up: LookUp,
     spec: CallSpec,
@@ -62,7 +62,7 @@
             let look_up = caller.look_up(SERVICE).await?;
             look_up.ticket.is_some().then_some(look_up)
         });
-        let look_up = look_up.await.expect("there is a ticket");
+        let look_up = look_up.await.expect("the look-up returns a ticket");
         let nonce = caller.next_nonce();
         let key = caller.new_key(&look_up);
         Self {
@@ -80,7 +80,7 @@
     }
 
     /// Returns an entry VM of the other region, which has no part in the action.
-    fn bystander(&self, deployment: &Deployment) -> SocketAddr {
+    fn uninvolved_entry(&self, deployment: &Deployment) -> SocketAddr {
         let entries = &deployment.plan.cluster.entries;
         let own = entries
             .iter()
@@ -91,7 +91,7 @@
         deployment.cluster.callers_address(&other.vm)
     }
 
-    /// Returns the other entry VM of the region, which keeps the second record.
+    /// Returns the other entry VM of the region, which keeps the backup record.
     fn backup(&self, deployment: &Deployment) -> String {
         let entries = &deployment.plan.cluster.entries;
         let own = entries
@@ -130,9 +130,9 @@
     }
 }
 
-// Symptom: an action runs once for each copy of it, or a copy gets another answer.
-// Sequence: copies through all entry VMs while it runs, and again afterwards.
-// Cause: entry VMs that don't agree on who runs a key.
+// Guards against an action that runs once per copy, or whose copies get different answers.
+// Copies are sent through all entry VMs while the action runs, and again afterwards. It would
+// fail if entry VMs disagreed on which of them runs a key.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_actions_copies_through_all_entry_vms() {
     let deployment = start(slow_plan()).await;
@@ -150,9 +150,8 @@
     assert_eq!(action.runs(&deployment), 1);
 }
 
-// Symptom: a caller gets the answer to another request.
-// Sequence: a key is used again with another body, through another entry VM.
-// Cause: records that are found by key alone.
+// Guards against a caller that gets the answer to another request: a key is reused with another
+// body through another entry VM, and records are looked up by key alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_actions_refused_keys() {
     let deployment = start(plan()).await;
@@ -184,9 +183,8 @@
     assert_eq!(action.runs(&deployment), 1);
 }
 
-// Symptom: a booking lands twice.
-// Sequence: the primary dies while the action runs; the caller resends elsewhere.
-// Cause: a successor that dispatches what it finds recorded.
+// Guards against a booking that runs twice: the primary is killed while the action runs, the
+// caller resends through another entry VM, and the successor dispatches the recorded action.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_actions_primary_killed_in_the_run() {
     let mut deployment = start(slow_plan()).await;
@@ -202,18 +200,17 @@
             .expect("the primary is killed");
     });
     assert!(matches!(lost.told, Told::Lost { .. }), "{:?}", lost.told);
-    let bystander = action.bystander(&deployment);
+    let uninvolved_entry = action.uninvolved_entry(&deployment);
     for _ in 0..3 {
-        let resent = action.send(&caller, bystander).await;
+        let resent = action.send(&caller, uninvolved_entry).await;
         expect_refused(&resent, "unknown", &["action_recorded"]);
     }
     assert_eq!(action.runs(&deployment), 1);
 }
 
-// Symptom: an action runs after its caller was told "not run".
-// Sequence: the primary is frozen before the action reaches it; the backup fences the
-// key; the primary wakes up and finds the action in its socket.
-// Cause: a "not run" that nothing keeps from becoming false.
+// Guards against an action that runs after its caller was told "not run": the primary is frozen
+// before the action reaches it, the backup fences the key, and the resumed primary reads the
+// action from its socket and dispatches it in spite of the fence.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_actions_primary_frozen_before_the_run() {
     let mut deployment = start(plan()).await;
@@ -222,11 +219,11 @@
     let primary = action.look_up.entry.clone();
     let process = deployment.cluster.process(&primary.vm);
     process.freeze().expect("the primary is frozen");
-    let bystander = action.bystander(&deployment);
-    let fenced = action.send(&caller, bystander).await;
+    let uninvolved_entry = action.uninvolved_entry(&deployment);
+    let fenced = action.send(&caller, uninvolved_entry).await;
     expect_refused(&fenced, "not_run", &["key_fenced"]);
     let process = deployment.cluster.process(&primary.vm);
-    process.thaw().expect("the primary wakes up");
+    process.thaw().expect("the primary resumes");
     for entry in deployment.cluster.callers_addresses() {
         let resent = action.send(&caller, entry).await;
         assert!(resent.told.is_not_run(), "{:?}", resent.told);
@@ -234,23 +231,23 @@
     assert_eq!(action.runs(&deployment), 0);
 }
 
-// Symptom: a booking lands twice, or its answer is lost for good.
-// Sequence: the primary is frozen while the action runs, and wakes up again.
-// Cause: a resend that is taken for a new action while the primary is silent.
+// Guards against a booking that runs twice or whose answer is lost for good: the primary is
+// frozen while the action runs and resumes later, and a resend in the meantime is treated as a
+// new action.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_actions_primary_frozen_in_the_run() {
     let mut deployment = start(slow_plan()).await;
     let mut caller = deployment.caller("frozen-in-run", PLACE, 0);
     let action = Action::new(&mut caller).await;
     let primary = action.look_up.entry.clone();
-    let bystander = action.bystander(&deployment);
+    let uninvolved_entry = action.uninvolved_entry(&deployment);
     let (_, resent) = tokio::join!(action.send(&caller, primary.address), async {
         action.wait_until_it_runs(&deployment).await;
         let process = deployment.cluster.process(&primary.vm);
         process.freeze().expect("the primary is frozen");
-        let resent = action.send(&caller, bystander).await;
+        let resent = action.send(&caller, uninvolved_entry).await;
         let process = deployment.cluster.process(&primary.vm);
-        process.thaw().expect("the primary wakes up");
+        process.thaw().expect("the primary resumes");
         resent
     });
     expect_refused(&resent, "unknown", &["action_recorded"]);
@@ -261,9 +258,8 @@
     assert_eq!(action.runs(&deployment), 1);
 }
 
-// Symptom: an action runs that only one process knows of.
-// Sequence: the backup dies after the look-up.
-// Cause: a dispatch that doesn't wait for the backup's record.
+// Guards against an action that runs with a record in only one process: the backup is killed
+// after the look-up, and the primary dispatches without waiting for the backup's record.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_actions_backup_killed() {
     let mut deployment = start(plan()).await;
@@ -272,16 +268,19 @@
     let backup = action.backup(&deployment);
     let process = deployment.cluster.process(&backup);
     process.kill().expect("the backup is killed");
-    for entry in [action.look_up.entry.address, action.bystander(&deployment)] {
+    for entry in [
+        action.look_up.entry.address,
+        action.uninvolved_entry(&deployment),
+    ] {
         let refused = action.send(&caller, entry).await;
         expect_refused(&refused, "not_run", &["backup_unreachable"]);
     }
     assert_eq!(action.runs(&deployment), 0);
 }
 
-// Symptom: a caller whose answer was lost never learns what became of its booking.
-// Sequence: the action has ended, its primary leaves for good, the caller resends.
-// Cause: an end that the backup was never told.
+// Guards against a caller that lost its answer and can't find out the result of its booking:
+// the action has ended, its primary is stopped for good, the caller resends, and the backup was
+// never told of the end.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_actions_answer_outlives_its_primary() {
     let mut deployment = start(plan()).await;
@@ -292,15 +291,16 @@
     assert!(first.told.is_answer(), "{:?}", first.told);
     let stopped = deployment.cluster.stop(&primary.vm).await;
     assert!(stopped.expect("the primary ends").success());
-    let resent = action.send(&caller, action.bystander(&deployment)).await;
+    let resent = action
+        .send(&caller, action.uninvolved_entry(&deployment))
+        .await;
     assert_eq!(resent.told, first.told);
     assert_eq!(action.runs(&deployment), 1);
 }
 
-// Symptom: an action runs after its caller was told "not run".
-// Sequence: the backup's acknowledgement is held back by a cut of one direction, the
-// primary gives the action up, the cut is mended and the acknowledgement arrives.
-// Cause: an acknowledgement that is taken however late it comes.
+// Guards against an action that runs after its caller was told "not run": a cut in one direction
+// delays the backup's acknowledgement, the primary abandons the action, the link recovers, and
+// the late acknowledgement is still accepted.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_actions_acknowledgement_held_back() {
     let mut deployment = start(relayed_plan()).await;
@@ -320,9 +320,8 @@
     assert_eq!(action.runs(&deployment), 0);
 }
 
-// Symptom: "not run" is told of an action that ran.
-// Sequence: an action runs, control falls silent, all leases lapse; the caller resends.
-// Cause: a refusal of all new work that doesn't ask whether the work is new.
+// Guards against "not run" for an action that ran: the action runs, control stops answering, all
+// leases expire, the caller resends, and the refusal of new work also covers resends.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_actions_without_leases() {
     let mut deployment = start(plan()).await;
@@ -339,12 +338,12 @@
     }
     let entries = deployment.cluster.callers_addresses();
     for entry in &entries {
-        let lapsed = wait_for("the lease lapses", async || {
+        let expired = wait_for("the lease expires", async || {
             let nonce = caller.next_nonce();
             let attempt = caller.send(*entry, &search(SERVICE), &nonce, None).await;
             attempt.told.is_not_run().then_some(())
         });
-        lapsed.await.expect("the lease lapses");
+        expired.await.expect("the lease expires");
     }
 
     for entry in &entries {
@@ -360,7 +359,7 @@
     expect_refused(&refused, "not_run", &["lease_lapsed"]);
     for control in &controls {
         let process = deployment.cluster.process(&control.vm);
-        process.thaw().expect("control wakes up");
+        process.thaw().expect("control resumes");
     }
     for entry in &entries {
         let resent = never_sent.send(&caller, *entry).await;
@@ -369,9 +368,9 @@
     assert_eq!(never_sent.runs(&deployment), 0);
 }
 
-// Symptom: an action is cut off half-way, and its caller never gets the answer.
-// Sequence: the caller's connection goes away while the action runs; the caller resends.
-// Cause: a run that belongs to the connection of whoever asked for it first.
+// Guards against an action that is cancelled half-way and whose caller never gets the answer:
+// the caller's connection closes while the action runs, the caller resends, and the execution
+// was tied to the first connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_actions_caller_goes_away_in_the_run() {
     let deployment = start(slow_plan()).await;
@@ -379,10 +378,12 @@
     let action = Action::new(&mut caller).await;
     let primary = action.look_up.entry.address;
     tokio::select! {
-        early = action.send(&caller, primary) => panic!("too early: {:?}", early.told),
+        early = action.send(&caller, primary) => panic!("answered before the caller disconnected: {:?}", early.told),
         () = action.wait_until_it_runs(&deployment) => {}
     }
-    let resent = action.send(&caller, action.bystander(&deployment)).await;
+    let resent = action
+        .send(&caller, action.uninvolved_entry(&deployment))
+        .await;
     assert!(resent.told.is_answer(), "{:?}", resent.told);
     assert_eq!(action.runs(&deployment), 1);
 }
--- a/cli/tests/test_check.rs
+++ b/cli/tests/test_check.rs
@@ -1,20 +1,20 @@
-//! `heatherring check`: one line a fault, with its position, and exit code 2.
+//! `heatherring check` prints one line per fault, with its position, and exits with code 2.
 
 mod common;
 
 use std::fs;
 
-use common::Ran;
+use common::CommandOutput;
 use common::run;
 use common::sample;
 use rstest::rstest;
 use tempfile::TempDir;
 
-/// Changes a sample, and runs `check` on the result in a folder of its own.
-fn check_changed(name: &str, from: &str, to: &str, arguments: &[&str]) -> Ran {
+/// Replaces `from` by `to` in a sample and runs `check` on the result in a new folder.
+fn check_changed(name: &str, from: &str, to: &str, arguments: &[&str]) -> CommandOutput {
     let folder = TempDir::new().unwrap();
     let text = fs::read_to_string(sample(name)).unwrap();
-    assert!(text.contains(from), "the sample has no {from:?}");
+    assert!(text.contains(from), "the sample does not contain {from:?}");
     fs::write(folder.path().join(name), text.replacen(from, to, 1)).unwrap();
     let mut all = vec!["check", name];
     all.extend(arguments);
@@ -34,8 +34,8 @@
 fn test_check_samples_pass(#[case] name: &str) {
     let folder = TempDir::new().unwrap();
     let path = sample(name);
-    let ran = run(folder.path(), &["check", path.to_str().unwrap()]);
-    assert_eq!((ran.code, ran.stderr.as_str()), (0, ""));
+    let output = run(folder.path(), &["check", path.to_str().unwrap()]);
+    assert_eq!((output.code, output.stderr.as_str()), (0, ""));
 }
 
 macro_rules! fault_cases {
@@ -43,9 +43,9 @@
         $(
             #[test]
             fn $name() {
-                let ran = check_changed($sample, $from, $to, &[]);
-                assert_eq!(ran.stderr, concat!($sample, $expected, "\n"));
-                assert_eq!((ran.code, ran.stdout.as_str()), (2, ""));
+                let output = check_changed($sample, $from, $to, &[]);
+                assert_eq!(output.stderr, concat!($sample, $expected, "\n"));
+                assert_eq!((output.code, output.stdout.as_str()), (2, ""));
             }
         )*
     };
@@ -71,10 +71,10 @@
 #[test]
 fn test_check_file_that_is_not_there() {
     let folder = TempDir::new().unwrap();
-    let ran = run(folder.path(), &["check", "none.jsonc"]);
-    assert_eq!(ran.code, 2);
+    let output = run(folder.path(), &["check", "none.jsonc"]);
+    assert_eq!(output.code, 2);
     assert_eq!(
-        ran.stderr,
+        output.stderr,
         "none.jsonc: can't be read (No such file or directory (os error 2)); \
          allowed is a file in UTF-8, or - for the standard input\n"
     );
@@ -85,13 +85,13 @@
     let folder = TempDir::new().unwrap();
     fs::copy(sample("entry-1.jsonc"), folder.path().join("entry-1.jsonc")).unwrap();
     fs::copy(sample("qazyna.jsonc"), folder.path().join("qazyna.jsonc")).unwrap();
-    let ran = run(
+    let output = run(
         folder.path(),
         &["check", "entry-1.jsonc", "--against", "qazyna.jsonc"],
     );
-    assert_eq!(ran.code, 2);
+    assert_eq!(output.code, 2);
     assert_eq!(
-        ran.stderr,
+        output.stderr,
         "entry-1.jsonc:4:12: the manifest has no place fko-hakata; allowed are its places\n"
     );
 }
@@ -100,13 +100,13 @@
 fn test_check_tells_what_a_manifest_changes() {
     let old = sample("kyushu.jsonc");
     let against = ["--against", old.to_str().unwrap()];
-    let ran = check_changed(
+    let output = check_changed(
         "kyushu.jsonc",
         "// {\"place\": \"fko-kokura\"}",
         "{\"place\": \"fko-kokura\"}",
         &against,
     );
-    assert_eq!(ran.code, 0, "{}", ran.stderr);
-    let lines: Vec<&str> = ran.stdout.lines().skip(1).collect();
+    assert_eq!(output.code, 0, "{}", output.stderr);
+    let lines: Vec<&str> = output.stdout.lines().skip(1).collect();
     assert_eq!(lines, ["+ drains: place fko-kokura"]);
 }
--- a/cli/tests/test_control_history.rs
+++ b/cli/tests/test_control_history.rs
@@ -1,8 +1,8 @@
-//! Checks the history of concurrent operators and entry VMs while control replicas
+//! Checks the recorded history of concurrent operators and entry VMs while control replicas
 //! fail.
 //!
-//! The seeds are fixed. `HEATHERRING_CASES` sets a number of further cases with drawn
-//! faults, as docs/PROOFS.md says.
+//! The seeds are fixed. `HEATHERRING_CASES` sets the number of additional cases with
+//! randomly drawn faults, as described in docs/PROOFS.md.
 
 mod control_run;
 
@@ -17,7 +17,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Number of faults in a drawn case.
+/// Number of faults in a randomly drawn case.
 const DRAWN_FAULTS: usize = 6;
 const CASES_VARIABLE: &str = "HEATHERRING_CASES";
 
@@ -28,13 +28,13 @@
 async fn check(seed: u64, faults: &[Fault]) {
     let history = run(binary(), seed, faults).await.unwrap();
     println!("{}", summary(&history));
-    let complaints = history.complaints();
-    if !complaints.is_empty() {
+    let violations = history.violations();
+    if !violations.is_empty() {
         for operation in &history.operations {
             println!("{operation:?}");
         }
     }
-    assert!(complaints.is_empty(), "seed {seed}: {complaints:?}");
+    assert!(violations.is_empty(), "seed {seed}: {violations:?}");
 }
 
 fn summary(history: &ControlHistory) -> String {
@@ -73,7 +73,7 @@
 histories! {
     test_control_history_killed: 1, [Kill, Kill, KillTwo, KillAll];
     test_control_history_frozen: 2, [Freeze, Freeze, FreezeAll, Freeze];
-    test_control_history_cut: 3, [Isolate, Deafen, Mute, CutLink, Isolate];
+    test_control_history_cut: 3, [Isolate, CutInbound, CutOutbound, CutLink, Isolate];
     test_control_history_lost_disk: 4, [LoseDisk, Kill, LoseDiskTwice, KillAll];
 }
 
