--- a/cli/examples/action_cost.rs
+++ b/cli/examples/action_cost.rs
@@ -1,11 +1,11 @@
-//! Measures what the record of an action adds to a request, over real processes on
+//! Measures the latency that recording an action adds to a request, with real processes on
 //! loopback.
 //!
 //! `cargo build --release --bins && cargo run --release --example action_cost`
 //!
-//! Searches and bookings take turns, one at a time, so that both see the same machine.
-//! A backend server answers at once; what differs is the record at the primary and the
-//! round to the backup before the dispatch.
+//! Searches and bookings alternate, one at a time, so that both run under the same load of the
+//! machine. Backend servers answer without delay, so the difference is the record at the primary
+//! and the round trip to the backup before the dispatch.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -22,8 +22,8 @@
 
 const SERVICE: &str = "registry";
 const PLACE: &str = "fko-hakata";
-const WARM_UP: usize = 200;
-const MEASURED: usize = 3_000;
+const WARM_UP_REQUESTS: usize = 200;
+const MEASURED_REQUESTS: usize = 3_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 #[tokio::main]
@@ -59,20 +59,20 @@
 ) -> Result<(), Box<dyn Error>> {
     let mut searches = Histogram::<u64>::new(SIGNIFICANT_DIGITS)?;
     let mut bookings = Histogram::<u64>::new(SIGNIFICANT_DIGITS)?;
-    for number in 0..WARM_UP + MEASURED {
-        let search_us = timed(caller, primary, entry, &search(SERVICE)).await?;
-        let book_us = timed(caller, primary, entry, &book(SERVICE)).await?;
-        if number >= WARM_UP {
+    for number in 0..WARM_UP_REQUESTS + MEASURED_REQUESTS {
+        let search_us = measure_latency_us(caller, primary, entry, &search(SERVICE)).await?;
+        let book_us = measure_latency_us(caller, primary, entry, &book(SERVICE)).await?;
+        if number >= WARM_UP_REQUESTS {
             searches.record(search_us)?;
             bookings.record(book_us)?;
         }
     }
-    print(name, "search", &searches);
-    print(name, "booking", &bookings);
+    print_quantiles(name, "search", &searches);
+    print_quantiles(name, "booking", &bookings);
     Ok(())
 }
 
-async fn timed(
+async fn measure_latency_us(
     caller: &mut Caller,
     primary: SocketAddr,
     entry: SocketAddr,
@@ -92,7 +92,8 @@
     }
 }
 
-/// Draws a key whose primary is the entry VM at `primary`; look-ups may name others.
+/// Returns a new key whose primary is the entry VM at `primary`. Look-ups are repeated, because
+/// they may name other entry VMs.
 async fn key_for(caller: &mut Caller, primary: SocketAddr) -> Result<String, Box<dyn Error>> {
     for _ in 0..100 {
         let look_up = caller.look_up(SERVICE).await.ok_or("no look-up")?;
@@ -104,7 +105,7 @@
     Err("no look-up names the primary".into())
 }
 
-fn print(name: &str, request: &str, micros: &Histogram<u64>) {
+fn print_quantiles(name: &str, request: &str, micros: &Histogram<u64>) {
     let p50 = micros.value_at_quantile(0.5);
     let p99 = micros.value_at_quantile(0.99);
     let p999 = micros.value_at_quantile(0.999);
--- a/cli/tests/test_bad_input.rs
+++ b/cli/tests/test_bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad settings and manifests, and what the program says of them.
+//! The errors that the program reports for invalid settings and manifests.
 
 use std::net::SocketAddr;
 use std::net::TcpListener;
@@ -11,7 +11,7 @@
 use heatherring_testutils::loopback::LoopbackBlock;
 use tempfile::TempDir;
 
-/// Exit code of faults in what the user gave; that of an internal error is 70.
+/// Exit code for errors in the user's input; an internal error exits with 70.
 const EXIT_USER: i32 = 2;
 
 const MANIFEST: &str = include_str!("../../samples/kyushu.jsonc");
@@ -25,7 +25,7 @@
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
-/// Holds a folder with a file in it.
+/// A temporary folder that contains one input file.
 struct Fixture {
     folder: TempDir,
     file: PathBuf,
@@ -43,7 +43,7 @@
         self.file.to_str().unwrap()
     }
 
-    /// Returns where `text` first stands in the file, as `line:column` from 1.
+    /// Returns the position of the first `text` in the file as `line:column`, counted from 1.
     fn position(&self, text: &str) -> String {
         let content = std::fs::read_to_string(&self.file).unwrap();
         let before = &content[..content.find(text).unwrap()];
@@ -52,8 +52,9 @@
         format!("{line}:{column}")
     }
 
-    /// Asserts that there is one line for the fault, at `text`, that says all of `said`.
-    fn assert_reported(&self, output: &Output, text: &str, said: &[&str]) {
+    /// Asserts that exactly one line reports an error at the position of `text`, and that the line
+    /// contains each of `expected`.
+    fn assert_reported(&self, output: &Output, text: &str, expected: &[&str]) {
         let errors = errors(output);
         assert_eq!(output.status.code(), Some(EXIT_USER), "{errors}");
         let at = format!("{}:{}: ", self.path(), self.position(text));
@@ -62,7 +63,7 @@
             .filter(|line| line.starts_with(&at))
             .collect();
         assert_eq!(lines.len(), 1, "expected one line at {at}: {errors}");
-        for words in said {
+        for words in expected {
             assert!(lines[0].contains(words), "{words} not in {}", lines[0]);
         }
     }
@@ -73,11 +74,11 @@
         $(
             #[test]
             fn $name() {
-                assert!(MANIFEST.contains($good), "the sample has no {}", $good);
+                assert!(MANIFEST.contains($good), "the sample does not contain {}", $good);
                 let fixture = Fixture::new(&MANIFEST.replacen($good, $bad, 1));
                 let output = heatherring(&["check", fixture.path(), "--as", "manifest"]);
                 fixture.assert_reported(&output, $position, &$said);
-                // A command that would send it must not get as far as connecting.
+                // A command that sends the manifest must report the error before it connects.
                 let submit = ["manifest", "submit", fixture.path(), "--control", "127.0.0.1:9"];
                 fixture.assert_reported(&heatherring(&submit), $position, &$said);
             }
@@ -133,11 +134,11 @@
     let missing = fixture.folder.path().join("missing");
     std::fs::write(&fixture.file, control_settings(listen, &missing)).unwrap();
     let output = heatherring(&["control", "--settings", fixture.path()]);
-    let shown = format!("\"{}\"", missing.display());
-    fixture.assert_reported(&output, &shown, &["no such folder", "control init"]);
+    let quoted_path = format!("\"{}\"", missing.display());
+    fixture.assert_reported(&output, &quoted_path, &["no such folder", "control init"]);
     assert!(
         !missing.exists(),
-        "a folder was made although the start failed"
+        "the data folder was created although the start failed"
     );
 }
 
@@ -151,7 +152,7 @@
     std::fs::write(&fixture.file, control_settings(listen, &data)).unwrap();
     let init = heatherring(&["control", "init", "--settings", fixture.path()]);
     assert!(init.status.success(), "{}", errors(&init));
-    let _holder = TcpListener::bind(listen).unwrap();
+    let _port_holder = TcpListener::bind(listen).unwrap();
     let output = heatherring(&["control", "--settings", fixture.path()]);
     fixture.assert_reported(
         &output,
@@ -180,7 +181,7 @@
 }}"#
     );
     let fixture = Fixture::new(&settings);
-    let _holder = TcpListener::bind(forward).unwrap();
+    let _port_holder = TcpListener::bind(forward).unwrap();
     let output = heatherring(&["entry", "--settings", fixture.path()]);
     fixture.assert_reported(
         &output,
--- a/cli/tests/test_cli_help.rs
+++ b/cli/tests/test_cli_help.rs
@@ -1,4 +1,5 @@
-//! The help texts, as committed snapshots, and the endings of wrong arguments.
+//! Compares the help texts with committed snapshots, and checks exit codes and messages for
+//! invalid arguments.
 
 mod common;
 
@@ -36,7 +37,7 @@
     test_cli_help_completions: "completions";
 }
 
-macro_rules! ending_cases {
+macro_rules! exit_cases {
     ($($name:ident: [$($argument:expr),*] => $code:literal, $part:literal;)*) => {
         $(
             #[test]
@@ -49,7 +50,7 @@
     };
 }
 
-ending_cases! {
+exit_cases! {
     test_cli_unknown_subcommand: ["manifset"] => 2, "a similar subcommand exists: 'manifest'";
     test_cli_control_missing: ["status"] => 2, "--control <ADDRESSES>";
     test_cli_control_that_does_not_parse: ["status", "--control", "nowhere"] => 2, "invalid value 'nowhere'";
--- a/cli/tests/test_control_failure.rs
+++ b/cli/tests/test_control_failure.rs
@@ -1,4 +1,5 @@
-//! Control replicas as real processes: cut off, robbed, damaged, frozen, restarted.
+//! Control replicas as real processes that are isolated, lose or damage their disk, freeze and
+//! restart.
 
 use std::path::Path;
 use std::process::Child;
@@ -17,14 +18,14 @@
 
 const NAMES: [&str; 3] = ["control-1", "control-2", "control-3"];
 
-/// Log positions after which a snapshot is taken: few, so that tests meet several.
+/// Number of log entries after which a snapshot is taken; low, so that a test takes several.
 const SNAPSHOT_EVERY: u64 = 50;
 
-/// Silence after which a replica counts as lost, well above the election timeout.
-const SURELY_SILENT_MS: u64 = 3_000;
+/// Silence after which a replica is considered lost; well above the election timeout.
+const LOST_AFTER_MS: u64 = 3_000;
 
-/// Time within which a question surely arrives at a process that takes none in.
-const ARRIVAL: Duration = Duration::from_secs(1);
+/// Time after which a request has reached the socket of a frozen process.
+const REQUEST_ARRIVAL_TIME: Duration = Duration::from_secs(1);
 
 /// Exit codes of the command, as documented.
 const EXIT_REFUSED: i32 = 1;
@@ -32,7 +33,7 @@
 const EXIT_UNAVAILABLE: i32 = 3;
 const EXIT_INTERNAL: i32 = 70;
 
-/// Three control replicas and what operators ask of them.
+/// Three control replicas and the operators' commands sent to them.
 struct Fleet {
     cluster: Cluster,
 }
@@ -82,13 +83,13 @@
         output.unwrap().status.code().unwrap()
     }
 
-    /// Returns the version that one replica shows as the one in force, if it shows any.
+    /// Returns the version that one replica reports as in force; `None` if it reports none.
     fn shown(&self, name: &str) -> Option<u64> {
-        version_of(&self.ask_to_show(name).wait_with_output().unwrap())
+        version_of(&self.start_show(name).wait_with_output().unwrap())
     }
 
-    /// Begins to ask one replica for the version in force.
-    fn ask_to_show(&self, name: &str) -> Child {
+    /// Starts a command that requests the version in force from one replica.
+    fn start_show(&self, name: &str) -> Child {
         let address = self.address(name);
         let mut command = Command::new(env!("CARGO_BIN_EXE_heatherring"));
         command
@@ -99,7 +100,7 @@
         command.spawn().unwrap()
     }
 
-    /// Returns one replica's report, whether or not it is current.
+    /// Returns the status reported by one replica, which may be outdated; null if it doesn't answer.
     fn status(&self, name: &str) -> Value {
         let address = self.address(name);
         let output = self.cluster.operate_raw(&[
@@ -114,7 +115,7 @@
         serde_json::from_slice(&output.unwrap().stdout).unwrap_or(Value::Null)
     }
 
-    /// Waits until one of the named replicas leads and says so; returns its name.
+    /// Waits until one of the named replicas reports itself as the leader; returns its name.
     async fn leader_among(&self, names: &[&'static str]) -> &'static str {
         wait_for("a leader", async || {
             let mut candidates = names.iter().copied();
@@ -144,11 +145,11 @@
         .unwrap();
     }
 
-    /// Puts a fresh replica in the place of one whose folder is empty.
+    /// Replaces the replica `lost`, whose data folder is empty, by a new one on the same VM.
     async fn repair(&mut self, name: &str, lost: &str) {
         let settings = self.cluster.settings_of(name);
         let control = self.cluster.control_argument();
-        wait_for("the repair is taken in", async || {
+        wait_for("the repair is accepted", async || {
             let arguments = [
                 "control",
                 "repair",
@@ -166,7 +167,7 @@
         self.cluster.start_vm(name).unwrap();
         self.cluster
             .wait_for_status(
-                "the fresh replica votes and the lost one is gone",
+                "the new replica votes and the lost one is removed",
                 |status| {
                     let fresh = replica_of(status, name);
                     let voters = list(status, "replicas")
@@ -186,14 +187,14 @@
         self.cluster.process(name).kill().unwrap();
     }
 
-    /// Waits until a process ends by itself; returns its exit code.
+    /// Waits until a process exits by itself; returns its exit code.
     async fn exit_code(&mut self, name: &str) -> Option<i32> {
         let process = self.cluster.process(name);
         let status = process.wait(heatherring_testutils::wait::BOUND).await;
         status.unwrap().code()
     }
 
-    fn cut_off(&mut self, name: &str) {
+    fn cut_from_replicas(&mut self, name: &str) {
         for other in NAMES.iter().filter(|other| **other != name) {
             self.cluster.network.cut(name, other);
         }
@@ -209,7 +210,7 @@
     value.as_str().unwrap_or_default().to_owned()
 }
 
-/// Returns the identity that a report gives for a VM.
+/// Returns the identity of the replica on a VM, as listed in a status report.
 fn replica_of(status: &Value, name: &str) -> Option<String> {
     let replicas = list(status, "replicas");
     let replica = replicas.iter().find(|replica| replica["vm"] == name)?;
@@ -223,15 +224,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_isolated_leader_accepts_and_shows_nothing() {
-    // Symptom: operators of one VM are told "accepted", and its entry VMs go on with an
-    // old manifest, while the rest of the fleet has another one.
-    // Sequence: a cut separates the leader from both other replicas, not from its
-    // operators; both sides are asked.
-    // Cause: a leader takes its own word for being the leader.
+    // Guards against an isolated leader that answers "accepted" and keeps its entry VMs on an old
+    // manifest, while the rest of the fleet has another one. A cut separates the leader from both
+    // other replicas but not from its operators; the failure occurs if the leader relies on its own
+    // view of being the leader.
     let mut fleet = Fleet::start().await;
     fleet.wait_until_accepted("control-1", 1).await;
     let leader = fleet.leader_among(&NAMES).await;
-    fleet.cut_off(leader);
+    fleet.cut_from_replicas(leader);
     assert_eq!(fleet.submit(leader, 2), EXIT_UNAVAILABLE);
     let majority = fleet.leader_among(&others(leader)).await;
     fleet.wait_until_accepted(majority, 3).await;
@@ -239,18 +239,16 @@
     assert_eq!(fleet.status(leader)["current"], json!(false));
     fleet.cluster.network.mend();
     fleet.wait_until_shown(leader, 3).await;
-    // What the isolated leader had taken in is gone, and its version is too low by now.
+    // The submission to the isolated leader was discarded, and its version is too low by now.
     assert_eq!(fleet.submit(leader, 2), EXIT_REFUSED);
     assert_eq!(fleet.shown(majority), Some(3));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_lost_disk_then_second_loss_after_repair() {
-    // Symptom: an accepted manifest is gone.
-    // Sequence: a replica loses its disk and is repaired; right after that a second one
-    // loses its disk.
-    // Cause: the first one came back under its old identity, with forgotten votes, or
-    // counted towards a quorum before it had the log.
+    // Guards against the loss of an accepted manifest: a replica loses its disk and is repaired, and
+    // right after that a second one loses its disk. The failure occurs if the first one returns
+    // under its old identity without its votes, or counts towards a quorum before it has the log.
     let mut fleet = Fleet::start().await;
     for version in 1..=5 {
         fleet.wait_until_accepted("control-1", version).await;
@@ -259,7 +257,7 @@
         let lost = replica_of(&fleet.cluster.status().unwrap(), name).unwrap();
         fleet.kill(name);
         fleet.cluster.rob(name).unwrap();
-        // An empty folder is no replica: the process refuses to start.
+        // The process refuses to start with an empty data folder.
         fleet.cluster.start_vm(name).unwrap();
         assert_eq!(fleet.exit_code(name).await, Some(EXIT_USER));
         fleet.repair(name, &lost).await;
@@ -272,9 +270,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_damaged_log_stops_the_replica() {
-    // Symptom: a replica votes twice in a term, or leads without a committed entry.
-    // Sequence: a bit in the middle of its log flips while it is down; it restarts.
-    // Cause: it cuts the log at the damage and goes on.
+    // Guards against a replica that votes twice in a term, or leads without a committed entry: a bit
+    // in the middle of its log flips while it is down, and after the restart it truncates the log at
+    // the damage and continues.
     let mut fleet = Fleet::start().await;
     for version in 1..=5 {
         fleet.wait_until_accepted("control-1", version).await;
@@ -282,7 +280,7 @@
     let lost = replica_of(&fleet.cluster.status().unwrap(), "control-2").unwrap();
     fleet.kill("control-2");
     let folder = fleet.cluster.folder().join("control-2-data");
-    flip_a_bit_of_the_log(&folder);
+    flip_log_bit(&folder);
     fleet.cluster.start_vm("control-2").unwrap();
     assert_eq!(fleet.exit_code("control-2").await, Some(EXIT_INTERNAL));
     let log = fleet.cluster.process("control-2").log().to_owned();
@@ -294,7 +292,7 @@
     fleet.wait_until_shown("control-2", 5).await;
 }
 
-fn flip_a_bit_of_the_log(folder: &Path) {
+fn flip_log_bit(folder: &Path) {
     let files = std::fs::read_dir(folder).unwrap();
     let paths = files.map(|file| file.unwrap().path());
     let segment = paths
@@ -309,10 +307,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_restart_hundreds_of_changes_later() {
-    // Symptom: a replica that was down for long never catches up, or loses history.
-    // Sequence: hundreds of manifests are accepted while it is down, the log before
-    // them is compacted; it restarts, and one of the others stops for good.
-    // Cause: the entries that it needs are gone and no snapshot takes their place.
+    // Guards against a replica that never catches up or loses history after a long outage: hundreds
+    // of manifests are accepted while it is down, the log before them is compacted, it restarts, and
+    // one of the others stops for good. The failure occurs if the entries that it needs are gone and
+    // no snapshot replaces them.
     let mut fleet = Fleet::start().await;
     fleet.wait_until_accepted("control-1", 1).await;
     fleet.kill("control-3");
@@ -339,9 +337,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_whole_fleet_restarts() {
-    // Symptom: after a power cut the fleet runs on an older manifest.
-    // Sequence: all replicas are killed at once and start again.
-    // Cause: "accepted" was answered before a quorum had synced it.
+    // Guards against a fleet that runs on an older manifest after a power cut: all replicas are
+    // killed at once and restarted, and "accepted" was answered before a quorum had synced the entry.
     let mut fleet = Fleet::start().await;
     for round in 1..=3 {
         fleet.wait_until_accepted("control-2", round).await;
@@ -358,40 +355,38 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_frozen_leader_wakes_up_deposed() {
-    // Symptom: an operator is shown an old manifest as the one in force.
-    // Sequence: the leader freezes; the others elect another one and accept a manifest;
-    // the frozen one is asked and wakes up.
-    // Cause: it acts on a leadership that ended while it was frozen.
+    // Guards against an old manifest reported as in force: the leader freezes, the others elect
+    // another one and accept a manifest, and the frozen one receives a request and resumes. The
+    // failure occurs if it acts on a leadership that ended while it was frozen.
     let mut fleet = Fleet::start().await;
     fleet.wait_until_accepted("control-1", 1).await;
     let frozen = fleet.leader_among(&NAMES).await;
     fleet.cluster.process(frozen).freeze().unwrap();
     let leader = fleet.leader_among(&others(frozen)).await;
     fleet.wait_until_accepted(leader, 2).await;
-    // The question waits at the frozen process when it wakes up.
-    let asked = fleet.ask_to_show(frozen);
-    tokio::time::sleep(ARRIVAL).await;
+    // The request is already in the frozen process's socket when the process resumes.
+    let pending_show = fleet.start_show(frozen);
+    tokio::time::sleep(REQUEST_ARRIVAL_TIME).await;
     fleet.cluster.process(frozen).thaw().unwrap();
-    let shown = version_of(&asked.wait_with_output().unwrap());
+    let shown = version_of(&pending_show.wait_with_output().unwrap());
     assert_ne!(shown, Some(1));
     fleet.wait_until_shown(frozen, 2).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_removal_that_would_lose_the_quorum_is_refused() {
-    // Symptom: no submission is accepted any more, and none can ever be.
-    // Sequence: one of three replicas is lost; the removal of another one, which lives,
-    // is asked for by mistake.
-    // Cause: a removal is taken in that leaves no majority of live replicas.
+    // Guards against a fleet that can never accept a submission again: one of three replicas is
+    // lost, an operator requests the removal of another, live one by mistake, and control accepts a
+    // removal that leaves no majority of live replicas.
     let mut fleet = Fleet::start().await;
     fleet.wait_until_accepted("control-1", 1).await;
     fleet.kill("control-3");
     let leader = fleet.leader_among(&others("control-3")).await;
-    wait_for("the loss is noticed", async || {
+    wait_for("the loss is detected", async || {
         let status = fleet.status(leader);
         let mut replicas = list(&status, "replicas").iter();
         let lost = replicas.find(|replica| replica["vm"] == "control-3")?;
-        (lost["last_heard_ms"].as_u64()? > SURELY_SILENT_MS).then_some(())
+        (lost["last_heard_ms"].as_u64()? > LOST_AFTER_MS).then_some(())
     })
     .await
     .unwrap();
--- a/cli/tests/test_explain.rs
+++ b/cli/tests/test_explain.rs
@@ -1,4 +1,4 @@
-//! `heatherring explain` over real processes: what was decided, and by which rule.
+//! `heatherring explain` over real processes reports decisions and the rules behind them.
 
 use std::path::Path;
 
@@ -18,15 +18,19 @@
         .unwrap()
 }
 
-/// Asks every entry VM; each keeps its own decisions.
+/// Returns the joined reports of all entry VMs, because each keeps only its own decisions.
 fn explain_everywhere(cluster: &Cluster, arguments: &[&str]) -> String {
-    let ask = |address: &std::net::SocketAddr| {
+    let explain_at = |address: &std::net::SocketAddr| {
         let entry = address.to_string();
         let mut all = vec!["explain", "--entry", &entry];
         all.extend(arguments);
         cluster.operate(&all).unwrap()
     };
-    let reports: Vec<String> = cluster.announce_addresses().iter().map(ask).collect();
+    let reports: Vec<String> = cluster
+        .announce_addresses()
+        .iter()
+        .map(explain_at)
+        .collect();
     reports.join("\n")
 }
 
@@ -36,7 +40,7 @@
     let mut caller = deployment.caller("caller", "fko-hakata", 1);
     let look_up = caller.look_up("registry").await.unwrap();
     let refused = caller.call(&search("nowhere")).await;
-    assert!(refused.outcome().is_none_or(|told| !told.is_answer()));
+    assert!(refused.outcome().is_none_or(|outcome| !outcome.is_answer()));
 
     let look_ups = explain_everywhere(&deployment.cluster, &["--kind", "look_up"]);
     let expected = format!(
--- a/cli/tests/test_explain_logs.rs
+++ b/cli/tests/test_explain_logs.rs
@@ -1,4 +1,5 @@
-//! From the id of a failed request to its cause, by the log lines of real processes.
+//! `heatherring explain` finds the cause of a failed request by its id in the log lines of real
+//! processes.
 
 use std::io::Read;
 use std::io::Write;
@@ -22,11 +23,11 @@
 use serde_json::json;
 use tempfile::TempDir;
 
-const BOUND: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const POLL: Duration = Duration::from_millis(50);
 const PLACE: &str = "fko-hakata";
 
-/// One control replica and one entry VM, each a process.
+/// One control replica and one entry VM, each in its own process.
 struct Deployment {
     folder: TempDir,
     control: SocketAddr,
@@ -97,19 +98,19 @@
         ["control.log", "direct.log"].map(|name| self.folder.path().join(name))
     }
 
-    /// Puts a route of the service `registry` in force, and waits until the entry VM has it.
+    /// Submits a route of the service `registry` and waits until it is in force on the entry VM.
     fn submit_routes(&self) {
         let change = json!({"version": 1, "base": 0, "content": {"Whole": {
             "routes": routes(), "services": services(),
             "limits": heatherring_lib::route_manifest::CallerLimits::default(),
         }}});
-        until(
+        call_until(
             self.orders,
             "POST /v1/routes",
             &change.to_string(),
             &["HTTP/1.1 200"],
         );
-        let answer = until(
+        let answer = call_until(
             self.callers,
             "GET /nowhere/ HTTP/1.1\r\nhost: registry.example\r\nx: ",
             "",
@@ -118,7 +119,7 @@
         assert!(answer.contains("404"), "{answer}");
     }
 
-    /// Sends one request; returns its answer, which may be empty.
+    /// Sends one request; returns its answer, or an empty string if the call fails.
     fn request(&self, id: &str, path: &str) -> String {
         let head = format!(
             "GET {path} HTTP/1.1\r\nhost: registry.example\r\nheatherring-request-id: {id}\r\nx: "
@@ -127,7 +128,7 @@
     }
 
     fn explain(&self, id: &str) -> String {
-        let begun = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         loop {
             let [control, entry] = self.logs();
             let output = Command::new(env!("CARGO_BIN_EXE_heatherring"))
@@ -138,14 +139,14 @@
             if output.status.success() {
                 return String::from_utf8(output.stdout).unwrap();
             }
-            // Lines are written a moment after the answer.
-            assert!(begun.elapsed() < BOUND, "{output:?}");
+            // Log lines may be written shortly after the answer was sent.
+            assert!(started_at.elapsed() < TIMEOUT, "{output:?}");
             std::thread::sleep(POLL);
         }
     }
 }
 
-/// One route, of the service `registry`.
+/// Returns one route, to the service `registry`.
 fn routes() -> Value {
     json!({"r-1": {
         "host": "registry.example", "prefix": "/once/", "idempotent": false,
@@ -163,19 +164,19 @@
 }
 
 /// Repeats a call until its answer begins with one of `statuses`.
-fn until(address: SocketAddr, head: &str, body: &str, statuses: &[&str]) -> String {
-    let begun = std::time::Instant::now();
+fn call_until(address: SocketAddr, head: &str, body: &str, statuses: &[&str]) -> String {
+    let started_at = std::time::Instant::now();
     loop {
         let answer = call(address, head, body).unwrap_or_default();
         if statuses.iter().any(|status| answer.starts_with(status)) {
             return answer;
         }
-        assert!(begun.elapsed() < BOUND, "{head}: {answer}");
+        assert!(started_at.elapsed() < TIMEOUT, "{head}: {answer}");
         std::thread::sleep(POLL);
     }
 }
 
-/// Sends one request over a connection of its own and reads until it is closed.
+/// Sends one request over a new connection and reads until the connection is closed.
 fn call(address: SocketAddr, head: &str, body: &str) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
@@ -200,10 +201,10 @@
     deployment.submit_routes();
     let answer = deployment.request("a1", "/once/7");
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    let told = deployment.explain("a1");
+    let explanation = deployment.explain("a1");
     assert!(
-        told.contains("no backend server of registry could be used"),
-        "{told}"
+        explanation.contains("no backend server of registry could be used"),
+        "{explanation}"
     );
 }
 
@@ -222,15 +223,15 @@
         "service": "registry", "address": deployment.backend, "place": PLACE, "slots": 3,
         "state": "Ready", "sequence": 1, "cold_for": {"secs": 0, "nanos": 0},
     }});
-    until(
+    call_until(
         deployment.orders,
         "POST /v1/announcements",
         &record.to_string(),
         &["HTTP/1.1 204"],
     );
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let mut number = 0;
-    // Until the entry VM knows of the backend server, requests are refused.
+    // Requests are refused until the entry VM has learned of the backend server.
     let id = loop {
         number += 1;
         let id = format!("b{number}");
@@ -240,12 +241,18 @@
         {
             break id;
         }
-        assert!(begun.elapsed() < BOUND);
+        assert!(started_at.elapsed() < TIMEOUT);
         std::thread::sleep(POLL);
     };
-    let told = deployment.explain(&id);
-    assert!(told.contains("broke after the request was sent"), "{told}");
-    assert!(told.contains("server-4: data at hand"), "{told}");
+    let explanation = deployment.explain(&id);
+    assert!(
+        explanation.contains("broke after the request was sent"),
+        "{explanation}"
+    );
+    assert!(
+        explanation.contains("server-4: data at hand"),
+        "{explanation}"
+    );
     let metrics = call(deployment.metrics, "GET /", "").unwrap();
     assert!(
         metrics.contains("heatherring_sends_total{verdict=\"broken\"}"),
@@ -262,16 +269,20 @@
     std::thread::sleep(Duration::from_secs(2));
     let answer = deployment.request("c1", "/added-meanwhile/7");
     assert!(answer.starts_with("HTTP/1.1 404"), "{answer}");
-    let told = deployment.explain("c1");
+    let explanation = deployment.explain("c1");
+    assert!(
+        explanation.contains("no route of manifest version 1 matches"),
+        "{explanation}"
+    );
     assert!(
-        told.contains("no route of manifest version 1 matches"),
-        "{told}"
+        explanation.contains("had not heard from control"),
+        "{explanation}"
     );
-    assert!(told.contains("had not heard from control"), "{told}");
-    assert!(told.contains("lost control"), "{told}");
+    assert!(explanation.contains("lost control"), "{explanation}");
 }
 
-/// Symptom: whoever reads logs, metrics or what operators' commands print has the keys of teams.
+/// Guards against keys of teams that leak through logs, metrics or the output of operators'
+/// commands.
 #[test]
 fn test_explain_logs_and_other_pages_show_no_key() {
     const KEYS: [&str; 3] = ["key-of-one", "key-taken-away", "key-of-nobody"];
@@ -283,7 +294,7 @@
     }}});
     let submit = |change: &Value| {
         let body = change.to_string();
-        until(
+        call_until(
             deployment.orders,
             "POST /v1/routes",
             &body,
@@ -303,29 +314,29 @@
              heatherring-request-id: {status}\r\nx: "
         );
         let expected = format!("HTTP/1.1 {status}");
-        until(deployment.callers, &head, "", &[&expected]);
+        call_until(deployment.callers, &head, "", &[&expected]);
     }
     let control = deployment.control.to_string();
-    let mut shown = vec![
+    let mut texts = vec![
         deployment.explain("401"),
         deployment.explain("503"),
         call(deployment.metrics, "GET /", "").unwrap(),
     ];
     for command in ["team", "audit", "status"] {
-        let ran = Command::new(env!("CARGO_BIN_EXE_heatherring"))
+        let output = Command::new(env!("CARGO_BIN_EXE_heatherring"))
             .args([command, "--control", &control])
             .output()
             .unwrap();
-        assert!(ran.status.success(), "{command}: {ran:?}");
-        shown.push(String::from_utf8(ran.stdout).unwrap());
+        assert!(output.status.success(), "{command}: {output:?}");
+        texts.push(String::from_utf8(output.stdout).unwrap());
     }
-    assert!(shown[3].contains("t-1"), "{}", shown[3]);
+    assert!(texts[3].contains("t-1"), "{}", texts[3]);
     for log in deployment.logs() {
-        shown.push(std::fs::read_to_string(log).unwrap());
+        texts.push(std::fs::read_to_string(log).unwrap());
     }
-    for page in shown {
-        assert!(!page.is_empty());
-        let leaked = KEYS.iter().find(|key| page.contains(**key));
-        assert_eq!(leaked, None, "{page}");
+    for text in texts {
+        assert!(!text.is_empty());
+        let leaked = KEYS.iter().find(|key| text.contains(**key));
+        assert_eq!(leaked, None, "{text}");
     }
 }
--- a/cli/tests/test_log_start.rs
+++ b/cli/tests/test_log_start.rs
@@ -1,4 +1,4 @@
-//! A process's first log lines.
+//! Start of the log writer.
 
 use std::net::SocketAddr;
 use std::process::Child;
@@ -11,16 +11,13 @@
 use tempfile::TempDir;
 
 const ROUNDS: u32 = 20;
-/// Processes that start at once, so that their threads run in different orders.
-const TOGETHER: usize = 16;
+/// Processes that start at the same time, so that their threads are scheduled in different orders.
+const PROCESSES_PER_ROUND: usize = 16;
 
-/// Symptom: processes die at their start, now and then, by a signal.
-///
-/// Sequence: the thread that writes the log is the first to need the system's time zone, and
-/// reading that takes more stack than it has.
-///
-/// Cause: that thread formatted lines. It only writes now. Which thread comes first is a matter
-/// of chance, so many processes are started.
+/// Guards against processes that are occasionally killed by a signal at their start: if the log
+/// writer's thread formats lines and is the first to load the system's time zone, that overflows its
+/// stack. The thread must only write. The order of the threads is random, so many processes are
+/// started.
 #[test]
 fn test_log_start_never_ends_the_process() {
     let mut block = LoopbackBlock::claim().unwrap();
@@ -42,9 +39,11 @@
             .unwrap()
     };
     for _ in 0..ROUNDS {
-        let started: Vec<Child> = std::iter::repeat_with(start).take(TOGETHER).collect();
+        let started: Vec<Child> = std::iter::repeat_with(start)
+            .take(PROCESSES_PER_ROUND)
+            .collect();
         for child in started {
-            // The folder isn't formatted: the process says so and exits by itself.
+            // The data folder isn't formatted: the process reports that and exits by itself.
             let output = child.wait_with_output().unwrap();
             let errors = String::from_utf8_lossy(&output.stderr);
             let code = output.status.code();
--- a/cli/tests/test_region_loss.rs
+++ b/cli/tests/test_region_loss.rs
@@ -1,4 +1,4 @@
-//! Control replicas of a whole region are lost, over real processes.
+//! RegionLossTest of all control replicas of a region, over real processes.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 
 const REGIONS: [&str; 3] = ["east", "west", "north"];
 
-/// Changes that are confirmed before each loss: the replicas have joined by then.
-const CALM_CHANGES: usize = 12;
+/// Changes that must be confirmed before each loss, so that all replicas have joined by then.
+const FAULT_FREE_CHANGES: usize = 12;
 
-struct Loss {
+struct RegionLossTest {
     cluster: DirectCluster,
     probe: ConfigProbe,
 }
 
-impl Loss {
+impl RegionLossTest {
     /// Starts eleven control replicas in three regions, and entry VMs.
     async fn start(entries: usize) -> Self {
         let plan = DirectPlan {
@@ -37,8 +37,8 @@
         Self { cluster, probe }
     }
 
-    /// Has the control replicas of a region answer nobody.
-    fn lose(&mut self, region: &str) {
+    /// Isolates the control replicas of a region from the network.
+    fn isolate_region(&mut self, region: &str) {
         let controls = self.cluster.controls.iter();
         let lost = controls.filter(|vm| vm.plan.region == region);
         let lost: Vec<String> = lost.map(|vm| vm.plan.vm.clone()).collect();
@@ -47,7 +47,7 @@
         }
     }
 
-    async fn until_confirmed(&self, more: usize, what: &str) {
+    async fn wait_until_confirmed(&self, more: usize, what: &str) {
         let before = self.probe.confirmed();
         wait_for(what, async || {
             (self.probe.confirmed() >= before + more).then_some(())
@@ -56,8 +56,8 @@
         .unwrap();
     }
 
-    /// Waits until all that is confirmed by now is in force at every entry VM.
-    async fn until_in_force(&self, what: &str) {
+    /// Waits until the latest change confirmed so far is in force on every entry VM.
+    async fn wait_until_in_force(&self, what: &str) {
         let last = u64::try_from(self.probe.confirmed()).unwrap();
         let entries = self.cluster.entries.len();
         wait_for(what, async || {
@@ -70,32 +70,35 @@
     }
 }
 
-/// Guards against control that confirms nothing while one region is lost.
+/// Guards against control that confirms no change while the replicas of one region are lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_control_confirms_changes_whichever_region_is_lost() {
-    let mut loss = Loss::start(0).await;
+    let mut test = RegionLossTest::start(0).await;
     for region in REGIONS {
-        let calm = "changes while nothing is lost";
-        loss.until_confirmed(CALM_CHANGES, calm).await;
-        loss.lose(region);
+        let fault_free = "changes without a fault";
+        test.wait_until_confirmed(FAULT_FREE_CHANGES, fault_free)
+            .await;
+        test.isolate_region(region);
         let what = format!("changes without {region}");
-        loss.until_confirmed(2, &what).await;
-        loss.cluster.network.mend();
+        test.wait_until_confirmed(2, &what).await;
+        test.cluster.network.mend();
     }
 }
 
-/// Guards against an old configuration in force for as long as the near replicas are lost.
+/// Guards against entry VMs that keep an old configuration while the control replicas of their
+/// own region are lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_changes_are_in_force_while_the_near_replicas_are_lost() {
-    let mut loss = Loss::start(6).await;
+    let mut test = RegionLossTest::start(6).await;
     for region in REGIONS {
-        let calm = "changes while nothing is lost";
-        loss.until_confirmed(CALM_CHANGES, calm).await;
-        loss.until_in_force(calm).await;
-        loss.lose(region);
+        let fault_free = "changes without a fault";
+        test.wait_until_confirmed(FAULT_FREE_CHANGES, fault_free)
+            .await;
+        test.wait_until_in_force(fault_free).await;
+        test.isolate_region(region);
         let what = format!("changes without {region}");
-        loss.until_confirmed(2, &what).await;
-        loss.until_in_force(&format!("{what} in force")).await;
-        loss.cluster.network.mend();
+        test.wait_until_confirmed(2, &what).await;
+        test.wait_until_in_force(&format!("{what} in force")).await;
+        test.cluster.network.mend();
     }
 }
--- a/cli/tests/test_request_history.rs
+++ b/cli/tests/test_request_history.rs
@@ -1,8 +1,8 @@
-//! Requests and actions under failure, over real processes: what callers were told is
-//! joined with what the backend servers' ledgers hold, and checked.
+//! Requests and actions under failure, over real processes: the answers that callers received
+//! are joined with the backend servers' ledgers and checked.
 //!
 //! `HEATHERRING_CASES=20 cargo test -p heatherring --test test_request_history random`
-//! runs that many drawn sequences of faults; seeds are printed.
+//! runs that many randomly drawn sequences of faults; seeds are printed.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -31,36 +31,36 @@
 const PAUSE: Duration = Duration::from_millis(20);
 /// Time after which a leaving backend server receives no new work, in microseconds.
 const DRAIN_BOUND_US: u64 = 4_000_000;
-/// Longer than any deadline, and shorter than a freeze: callers resend while the entry
-/// VM that they asked stands still, and it finds their first attempts when it goes on.
-const PATIENCE: Duration = Duration::from_millis(3_500);
-/// Longer than a session's lease with its margin, so that a fault outlasts it.
-const OUTLASTS_LEASE: Duration = Duration::from_secs(5);
-/// Longer than the longest deadline: whatever still runs then has got stuck.
-const LAST_DEADLINE: Duration = Duration::from_secs(4);
-/// Requests between two events.
-const SOME: usize = 40;
-/// Faults of a drawn case.
-const FAULTS: usize = 3;
+/// Time-out of a caller's attempt. Longer than any deadline and shorter than a freeze: callers
+/// resend while their entry VM is frozen, and it reads their first attempts when it resumes.
+const CALLER_TIMEOUT: Duration = Duration::from_millis(3_500);
+/// Duration of a fault; longer than a session's lease with its margin.
+const FAULT_DURATION: Duration = Duration::from_secs(5);
+/// Wait after the load; longer than the longest deadline, so what still runs then is stuck.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// Requests to wait for between two events.
+const REQUESTS_BETWEEN_EVENTS: usize = 40;
+/// Number of faults in a drawn case.
+const FAULTS_PER_CASE: usize = 3;
 
-/// Names what goes wrong in the middle of the load.
+/// A fault or planned change injected under load.
 #[derive(Clone, Debug)]
 enum Fault {
-    /// A process dies and is started again.
+    /// Kills a process and restarts it.
     Kill(&'static str),
-    /// A process stands still for longer than a lease, and goes on.
+    /// Freezes a process for longer than a lease, then resumes it.
     Freeze(&'static str),
-    /// Nothing flows between two processes for longer than a lease.
+    /// Cuts the link between two processes, in both directions, for longer than a lease.
     Cut(&'static str, &'static str),
-    /// Nothing flows from the first process to the second one for longer than a lease.
+    /// Cuts the link from the first process to the second one for longer than a lease.
     CutOneWay(&'static str, &'static str),
-    /// Nothing flows to or from a process for longer than a lease.
+    /// Cuts all links to and from a process for longer than a lease.
     Isolate(&'static str),
-    /// All processes of a failure domain die.
+    /// Kills several processes, such as all of a failure domain, for good.
     Lose(&'static [&'static str]),
-    /// A backend server is drained by a manifest.
+    /// Drains a backend server by a manifest.
     Drain(&'static str),
-    /// A process is asked to stop.
+    /// Requests a planned stop of a process.
     Stop(&'static str),
 }
 
@@ -73,8 +73,8 @@
     "kikuyo-certdesk",
 ];
 
-/// Faults of drawn cases: those after which everything can go on.
-const DRAWN: &[Fault] = &[
+/// Faults that drawn cases choose from: those that leave the deployment able to continue.
+const DRAWABLE_FAULTS: &[Fault] = &[
     Fault::Kill("entry-1"),
     Fault::Kill("entry-4"),
     Fault::Kill("control-1"),
@@ -94,8 +94,8 @@
     Fault::Drain("registry-fko-kokura-1"),
 ];
 
-/// Deployments that run at once. More of them take so much of a small machine that
-/// leases lapse without any fault.
+/// Limits the deployments that run at the same time. More of them load a small machine so much
+/// that leases expire without any fault.
 static RUNNING: Semaphore = Semaphore::const_new(3);
 
 struct Run {
@@ -116,7 +116,7 @@
         println!("seed {seed}");
         let mut plan = DeploymentPlan::small(ENTRIES, seed);
         plan.cluster.relayed = true;
-        plan.patience = PATIENCE;
+        plan.patience = CALLER_TIMEOUT;
         plan.behaviour = behaviour;
         let binary = Path::new(env!("CARGO_BIN_EXE_heatherring"));
         let deployment = Deployment::start(plan, binary).await.unwrap();
@@ -137,35 +137,35 @@
             manifest_version: 1,
             _running: running,
         };
-        run.load.wait_for_more(SOME).await;
+        run.load.wait_for_more(REQUESTS_BETWEEN_EVENTS).await;
         run
     }
 
-    async fn suffer(&mut self, fault: &Fault) {
+    async fn inject(&mut self, fault: &Fault) {
         println!("{} {fault:?}", now_us());
         let cluster = &mut self.deployment.cluster;
         match fault {
             Fault::Kill(name) => {
                 cluster.process(name).kill().unwrap();
-                self.load.wait_for_more(SOME).await;
+                self.load.wait_for_more(REQUESTS_BETWEEN_EVENTS).await;
                 self.deployment.cluster.start_vm(name).unwrap();
             }
             Fault::Freeze(name) => {
                 cluster.process(name).freeze().unwrap();
-                tokio::time::sleep(OUTLASTS_LEASE).await;
+                tokio::time::sleep(FAULT_DURATION).await;
                 cluster.process(name).thaw().unwrap();
             }
             Fault::Cut(one, other) => {
                 cluster.network.cut(one, other);
-                self.until_mended().await;
+                self.wait_and_restore_network().await;
             }
             Fault::CutOneWay(from, to) => {
                 cluster.network.cut_one_way(from, to);
-                self.until_mended().await;
+                self.wait_and_restore_network().await;
             }
             Fault::Isolate(name) => {
                 cluster.network.isolate(name);
-                self.until_mended().await;
+                self.wait_and_restore_network().await;
             }
             Fault::Lose(names) => {
                 for name in *names {
@@ -178,11 +178,11 @@
                 assert!(status.success(), "{name}: {status}");
             }
         }
-        self.load.wait_for_more(SOME).await;
+        self.load.wait_for_more(REQUESTS_BETWEEN_EVENTS).await;
     }
 
-    async fn until_mended(&mut self) {
-        tokio::time::sleep(OUTLASTS_LEASE).await;
+    async fn wait_and_restore_network(&mut self) {
+        tokio::time::sleep(FAULT_DURATION).await;
         self.deployment.cluster.network.mend();
     }
 
@@ -192,7 +192,7 @@
         let services = self.deployment.plan.services();
         let mut manifest = cluster.manifest(self.manifest_version, &services);
         manifest["drains"] = json!([{"backend_server": backend}]);
-        // The command returns when the manifest is in force everywhere.
+        // The command returns once the manifest is in force on all entry VMs.
         cluster.submit(&manifest).unwrap();
         self.history.drains.push(DrainMark {
             backends: BTreeSet::from([backend.to_owned()]),
@@ -201,10 +201,10 @@
         });
     }
 
-    /// Lets everything come to an end and checks the history.
+    /// Ends the load, waits for the last deadline and checks the history.
     async fn check(mut self) {
         self.history.calls = self.load.finish().await;
-        tokio::time::sleep(LAST_DEADLINE).await;
+        tokio::time::sleep(SETTLE_TIME).await;
         self.history.events = self.deployment.cluster.ledgers().unwrap();
         let violations = self.history.check();
         assert!(violations.is_empty(), "{violations:#?}");
@@ -220,7 +220,7 @@
 async fn run_case(seed: u64, faults: &[Fault]) {
     let mut run = Run::start(seed).await;
     for fault in faults {
-        run.suffer(fault).await;
+        run.inject(fault).await;
     }
     run.check().await;
 }
@@ -237,27 +237,28 @@
     };
 }
 
-// Symptom of each: an action in two ledger lines, "not run" with a ledger line, a
-// backend server above its slots, or an answer that isn't the caller's own.
+// Each case guards against an action with two ledger lines, "not run" for an action with a ledger
+// line, a backend server above its slots, or an answer to another caller's request. The comments
+// say how the failure would come about.
 fault_cases! {
-    // Cause: the primary of tickets dies with actions recorded and in flight; a resend
-    // through the backup runs them again, or its new life takes them for new.
+    // The primary of tickets is killed with actions recorded and in flight; a resend through the
+    // backup runs them again, or the primary's new incarnation treats them as new.
     test_request_history_killed_entries: 11, [Fault::Kill("entry-1"), Fault::Kill("entry-4")];
-    // Cause: an owner and primary wakes up after its lease is over and another has taken
-    // over, and goes on with what it was about to dispatch.
+    // An owner and primary resumes after its lease has expired and another entry VM has taken
+    // over, and still dispatches its pending requests.
     test_request_history_frozen_entries: 12, [Fault::Freeze("entry-2"), Fault::Freeze("entry-3")];
-    // Cause: primary and backup can't talk, and each decides for itself.
+    // Primary and backup can't reach each other, and each decides on its own.
     test_request_history_cut_entries: 13, [
         Fault::Cut("entry-1", "entry-2"),
         Fault::CutOneWay("entry-4", "entry-3"),
     ];
-    // Cause: an entry VM that nobody reaches goes on as the owner that it was.
+    // An unreachable entry VM continues to act as an owner.
     test_request_history_isolated: 14, [Fault::Isolate("entry-3"), Fault::Isolate("control-1")];
-    // Cause: all that is left in the region decides without its lost half.
+    // The remaining processes of the region decide without the state of the lost ones.
     test_request_history_lost_place: 15, [Fault::Lose(HAKATA)];
-    // Cause: the other region takes over at once what the lost one may still run.
+    // The other region takes over at once actions that the lost one may still run.
     test_request_history_lost_region: 16, [Fault::Lose(KUMAMOTO)];
-    // Cause: new work goes on to a drained or leaving backend server.
+    // New work is still dispatched to a drained or leaving backend server.
     test_request_history_drains: 17, [
         Fault::Drain("registry-fko-kokura-1"),
         Fault::Stop("hakata-registry"),
@@ -265,11 +266,10 @@
     ];
 }
 
-// Symptom: more arrivals from Fukuoka in Kumamoto within a second than the cap allows.
-// Sequence: Fukuoka's own backend servers of the service die, and all its callers' work
-// would go to Kumamoto.
-// Cause: entry VMs that each take the whole cap for themselves, or a cap that isn't
-// shared out again when one of them dies.
+// Guards against more arrivals per second from Fukuoka in Kumamoto than the cap allows. Fukuoka's
+// own backend servers of the service are killed, so that all its callers' work would go to Kumamoto.
+// The failure occurs if each entry VM uses the whole cap, or if the cap isn't redistributed when an
+// entry VM is killed.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_request_history_cap_after_loss() {
     const PER_SECOND: usize = 100;
@@ -287,11 +287,11 @@
     }]);
     cluster.submit(&manifest).unwrap();
     let capped_from_us = now_us();
-    run.suffer(&Fault::Lose(&["hakata-registry", "kokura-registry"]))
+    run.inject(&Fault::Lose(&["hakata-registry", "kokura-registry"]))
         .await;
-    run.suffer(&Fault::Kill("entry-5")).await;
-    tokio::time::sleep(OUTLASTS_LEASE).await;
-    run.load.wait_for_more(SOME).await;
+    run.inject(&Fault::Kill("entry-5")).await;
+    tokio::time::sleep(FAULT_DURATION).await;
+    run.load.wait_for_more(REQUESTS_BETWEEN_EVENTS).await;
     let cap = ArrivalCap {
         service: "registry".to_owned(),
         origins: ["fko-hakata", "fko-kokura"].map(ToOwned::to_owned).into(),
@@ -303,10 +303,9 @@
     run.check().await;
 }
 
-// Symptom: a backend server above its slots.
-// Sequence: all backend servers report that nothing is in flight, whatever they run, and
-// the entry VM that owns some of them is replaced.
-// Cause: a report that is believed where it says less than the owner's own count.
+// Guards against a backend server above its slots: all backend servers always report that nothing
+// is in flight, and the entry VM that owns some of them is replaced. The failure occurs if a report
+// below the owner's own count is trusted.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_request_history_lying_reports() {
     let lying = Behaviour {
@@ -314,8 +313,8 @@
         ..Behaviour::default()
     };
     let mut run = Run::start_with(19, lying).await;
-    run.suffer(&Fault::Kill("entry-3")).await;
-    run.suffer(&Fault::Freeze("entry-1")).await;
+    run.inject(&Fault::Kill("entry-3")).await;
+    run.inject(&Fault::Freeze("entry-1")).await;
     run.check().await;
 }
 
@@ -325,8 +324,8 @@
     let cases = cases.and_then(|cases| cases.parse().ok()).unwrap_or(1);
     for seed in 100..100 + cases {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let faults: Vec<_> = (0..FAULTS)
-            .map(|_| DRAWN[rng.random_range(0..DRAWN.len())].clone())
+        let faults: Vec<_> = (0..FAULTS_PER_CASE)
+            .map(|_| DRAWABLE_FAULTS[rng.random_range(0..DRAWABLE_FAULTS.len())].clone())
             .collect();
         run_case(seed, &faults).await;
     }
--- a/cli/tests/test_rolling_replacement.rs
+++ b/cli/tests/test_rolling_replacement.rs
@@ -1,4 +1,4 @@
-//! Replacing every entry VM, one after another, under load.
+//! Replacement of every entry VM, one after another, under load.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,17 +12,16 @@
 use heatherring_testutils::steady_load::SteadyLoad;
 
 const SEED: u64 = 20_261_203;
-/// Two at each place, so that a region can keep two copies of an action's record while
-/// one of its entry VMs is replaced.
+/// Two entry VMs per place, so that a region can keep two copies of an action's record while one
+/// of its entry VMs is replaced.
 const ENTRIES: usize = 8;
 const DRAIN_BOUND_US: u64 = 4_000_000;
 
-// Symptom to exclude: a request fails, or runs without being told of, while entry VMs
-// are upgraded.
-// Sequence: under load each entry VM in turn gets SIGTERM, ends, and is started again.
-// Cause if it happened: an entry VM that ends before callers have stopped using it, or
-// a new owner that refuses what waits instead of queueing it.
-async fn replace_all(relay_min_entries: usize) {
+// Guards against a request that fails, or runs without an answer to its caller, while entry VMs are
+// upgraded: under load each entry VM in turn gets SIGTERM, exits and is restarted. The failure
+// occurs if an entry VM exits before callers have stopped using it, or if a new owner refuses
+// waiting requests instead of queueing them.
+async fn check_rolling_replacement(relay_min_entries: usize) {
     println!("seed {SEED}");
     let binary = Path::new(env!("CARGO_BIN_EXE_heatherring"));
     let mut plan = DeploymentPlan::small(ENTRIES, SEED);
@@ -65,7 +64,7 @@
         $(
             #[tokio::test(flavor = "multi_thread")]
             async fn $name() {
-                replace_all($relay_min_entries).await;
+                check_rolling_replacement($relay_min_entries).await;
             }
         )*
     };
--- a/cli/tests/test_schema.rs
+++ b/cli/tests/test_schema.rs
@@ -1,4 +1,4 @@
-//! The committed JSON Schemas are those of the types.
+//! The committed JSON Schemas match the types and are covered by the docs.
 
 mod common;
 
@@ -18,22 +18,26 @@
 fn test_schema_is_up_to_date(#[case] kind: &str) {
     let name = format!("docs/schema/{kind}.schema.json");
     let committed = fs::read_to_string(repository_file(&name)).unwrap();
-    let ran = run(Path::new("."), &["schema", kind]);
+    let output = run(Path::new("."), &["schema", kind]);
     assert!(
-        committed == ran.stdout,
-        "write it anew with `heatherring schema {kind} > {name}`"
+        committed == output.stdout,
+        "{name} is out of date: run `heatherring schema {kind} > {name}`"
     );
 }
 
-/// Collects the names of all fields that a schema describes.
-fn fields(schema: &Value, names: &mut Vec<String>) {
+/// Appends the names of all fields that a schema describes to `names`, nested ones included.
+fn collect_fields(schema: &Value, names: &mut Vec<String>) {
     match schema {
-        Value::Array(schemas) => schemas.iter().for_each(|schema| fields(schema, names)),
+        Value::Array(schemas) => schemas
+            .iter()
+            .for_each(|schema| collect_fields(schema, names)),
         Value::Object(entries) => {
             if let Some(Value::Object(properties)) = entries.get("properties") {
                 names.extend(properties.keys().cloned());
             }
-            entries.values().for_each(|schema| fields(schema, names));
+            entries
+                .values()
+                .for_each(|schema| collect_fields(schema, names));
         }
         _ => {}
     }
@@ -45,11 +49,11 @@
 #[case("entry", "docs/config.md")]
 #[case("direct", "docs/config.md")]
 fn test_schema_fields_are_in_the_docs(#[case] kind: &str, #[case] page: &str) {
-    let ran = run(Path::new("."), &["schema", kind]);
-    let schema = serde_json::from_str(&ran.stdout).unwrap();
+    let output = run(Path::new("."), &["schema", kind]);
+    let schema = serde_json::from_str(&output.stdout).unwrap();
     let mut names = Vec::new();
-    fields(&schema, &mut names);
+    collect_fields(&schema, &mut names);
     let page = fs::read_to_string(repository_file(page)).unwrap();
-    let unlisted: Vec<&String> = names.iter().filter(|name| !page.contains(*name)).collect();
-    assert_eq!(unlisted, Vec::<&String>::new());
+    let undocumented: Vec<&String> = names.iter().filter(|name| !page.contains(*name)).collect();
+    assert_eq!(undocumented, Vec::<&String>::new());
 }
--- a/cli/tests/test_session_relay.rs
+++ b/cli/tests/test_session_relay.rs
@@ -1,4 +1,4 @@
-//! Sessions through relays, over real processes.
+//! Sessions of entry VMs through relays, over real processes.
 
 use std::path::Path;
 
@@ -30,11 +30,11 @@
     plan
 }
 
-/// Returns the sessions of all entry VMs but `left_out`.
-fn sessions(status: &Value, left_out: &str) -> Vec<(String, String)> {
+/// Returns the names and sessions of all entry VMs except `excluded`, sorted.
+fn sessions(status: &Value, excluded: &str) -> Vec<(String, String)> {
     let others = list(status, "entries")
         .iter()
-        .filter(|entry| entry["vm"] != left_out);
+        .filter(|entry| entry["vm"] != excluded);
     let mut sessions: Vec<_> = others
         .map(|entry| (entry["vm"].to_string(), entry["session"].to_string()))
         .collect();
@@ -44,15 +44,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_session_relay_killed() {
-    // Symptom: the entry VMs of a region lose their sessions, and refuse callers,
-    // because one of them died.
-    // Sequence: each entry VM in turn is killed, two of them relays; the others keep
-    // their sessions, and a manifest comes into force on them.
-    // Cause: entry VMs that wait for a dead relay until their leases are over.
+    // Guards against entry VMs of a region that lose their sessions and refuse callers because one
+    // of them was killed. Each entry VM in turn is killed, two of them relays; the others must keep
+    // their sessions, and a manifest must come into force on them. The failure occurs if entry VMs
+    // wait for a dead relay until their leases expire.
     let binary = Path::new(env!("CARGO_BIN_EXE_heatherring"));
     let mut cluster = Cluster::start(plan(), binary).await.unwrap();
     let mut version = 1;
-    // Without a session nobody is a relay; this one is in force through them.
+    // Entry VMs become relays only once they have sessions; this manifest is distributed by them.
     cluster
         .submit(&cluster.manifest(version, &json!({})))
         .unwrap();
@@ -66,7 +65,7 @@
             .submit(&cluster.manifest(version, &json!({})))
             .unwrap();
         let after = sessions(&cluster.status().unwrap(), &name);
-        assert_eq!(after, before, "{name} was killed");
+        assert_eq!(after, before, "sessions changed after {name} was killed");
         cluster.start_vm(&name).unwrap();
         cluster.wait_for_sessions(ENTRIES).await.unwrap();
     }
--- a/cli/tests/test_team.rs
+++ b/cli/tests/test_team.rs
@@ -1,4 +1,4 @@
-//! `heatherring team`: what became of the requests of teams, by log lines.
+//! `heatherring team` counts the outcomes of teams' requests from log lines.
 
 use std::process::Command;
 
@@ -6,7 +6,7 @@
 use serde_json::json;
 use tempfile::TempDir;
 
-fn line(event: &str, team: &str, reason: &str) -> String {
+fn log_line(event: &str, team: &str, reason: &str) -> String {
     json!({
         "timestamp": "2026-12-03T10:00:00.000000Z",
         "level": "INFO",
@@ -17,13 +17,13 @@
 }
 
 fn run(arguments: &[&str]) -> String {
-    let ran = Command::new(env!("CARGO_BIN_EXE_heatherring"))
+    let output = Command::new(env!("CARGO_BIN_EXE_heatherring"))
         .args(arguments)
         .output()
         .unwrap();
-    let errors = String::from_utf8_lossy(&ran.stderr);
-    assert!(ran.status.success(), "{errors}");
-    String::from_utf8(ran.stdout).unwrap()
+    let errors = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{errors}");
+    String::from_utf8(output.stdout).unwrap()
 }
 
 #[test]
@@ -31,21 +31,21 @@
     let folder = TempDir::new().unwrap();
     let file = folder.path().join("entry.log");
     let lines = [
-        line("answered", "t-1", ""),
-        line("refused", "t-1", "team_limit"),
-        line("refused", "t-1", "team_limit"),
-        line("refused", "t-1", "overloaded"),
-        line("caller_left", "t-2", ""),
-        line("refused", "", "credential_unknown"),
-        line("view_applied", "t-3", ""),
+        log_line("answered", "t-1", ""),
+        log_line("refused", "t-1", "team_limit"),
+        log_line("refused", "t-1", "team_limit"),
+        log_line("refused", "t-1", "overloaded"),
+        log_line("caller_left", "t-2", ""),
+        log_line("refused", "", "credential_unknown"),
+        log_line("view_applied", "t-3", ""),
         "no line of heatherring".to_owned(),
     ];
     std::fs::write(&file, lines.join("\n")).unwrap();
     let file = file.to_str().unwrap();
-    let counted: Value =
+    let counts: Value =
         serde_json::from_str(&run(&["team", "--logs", file, "--output", "json"])).unwrap();
     assert_eq!(
-        counted,
+        counts,
         json!({
             "": {"answered": 0, "left": 0, "refused": {"credential_unknown": 1}},
             "t-1": {"answered": 1, "left": 0, "refused": {"team_limit": 2, "overloaded": 1}},
--- a/cli/tests/test_whole_path.rs
+++ b/cli/tests/test_whole_path.rs
@@ -1,5 +1,5 @@
-//! The whole path over real processes: three control replicas, entry VMs in two
-//! regions, backend servers, callers and an operator.
+//! End-to-end tests over real processes: three control replicas, entry VMs in two regions,
+//! backend servers, callers and an operator.
 
 use std::path::Path;
 use std::time::Duration;
@@ -33,7 +33,7 @@
         .unwrap()
 }
 
-/// Waits until the accepted manifest with this version is in force on every entry VM.
+/// Waits until the accepted manifest `version` is in force on every entry VM; returns the status.
 async fn wait_until_in_force(cluster: &Cluster, version: u64) -> Value {
     let in_force = |status: &Value| {
         let revision = status["manifest"]["revision"].as_u64();
@@ -73,9 +73,9 @@
     assert_eq!(shown["manifest"], manifest);
     let audit = cluster.operate(&["audit", "--control", &control]).unwrap();
     let line = audit.lines().find(|line| line.contains(digest));
-    let record: Value = serde_json::from_str(line.expect("the manifest is in the audit")).unwrap();
+    let record: Value = serde_json::from_str(line.expect("the audit lists the manifest")).unwrap();
     assert!(record.is_object());
-    // The same submission again: the same answer.
+    // A repeated submission gets the same answer.
     let again = cluster.submit_text("kyushu.jsonc", &manifest).unwrap();
     assert_eq!(again, submitted);
 }
@@ -132,11 +132,9 @@
     }
 }
 
-// Symptom to exclude: a request in flight is cut off by a planned stop.
-// Sequence: under load one process after another gets SIGTERM: an entry VM, a host of
-// backend servers, a control replica.
-// Cause if it happened: a process that stops before its work is finished, or before
-// others have stopped sending it work.
+// Guards against a planned stop that aborts a request in flight: under load an entry VM, a host of
+// backend servers and a control replica get SIGTERM, one after another. The failure occurs if a
+// process exits before its work is finished, or before others have stopped sending it work.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_whole_path_planned_stops() {
     let mut deployment = start(ENTRIES + 2).await;
