--- a/server/tests/support/mod.rs
+++ b/server/tests/support/mod.rs
@@ -1,8 +1,9 @@
-//! A disk in memory that loses, tears and refuses writes as a real one may.
+//! An in-memory [`Disk`] with injected faults: lost, torn and refused writes, and failing,
+//! delayed or full devices.
 
 #![allow(
     dead_code,
-    reason = "each test file is a crate, and uses a part of this"
+    reason = "each test file is a crate of its own and uses only a part of this module"
 )]
 
 use std::collections::BTreeMap;
@@ -16,16 +17,18 @@
 
 pub const SECTOR_BYTES: usize = 512;
 
-/// Says what a crash leaves of bytes that were appended and not synced.
+/// Determines what a crash leaves of the bytes that were appended but not synced.
 #[derive(Clone, Copy, Debug)]
 pub enum Unsynced {
-    /// All of them.
+    /// All of them survive.
     Kept,
-    /// The first ones, per thousand.
+    /// Only the given share of them survives, from the start, per thousand.
     Cut(usize),
-    /// All, but with zeros from a sector's boundary on.
+    /// The length survives, but everything from the start of the sector at the given position
+    /// (per thousand) reads as zeros.
     ZeroEnd(usize),
-    /// All, but with one sector of zeros.
+    /// The length survives, but the one sector at the given position (per thousand) reads as
+    /// zeros.
     ZeroSector(usize),
 }
 
@@ -40,24 +43,25 @@
     files: Vec<FakeFile>,
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
-    /// Operations until everything fails.
-    budget: Option<usize>,
+    /// Number of operations that still succeed; `None` is unlimited.
+    remaining_operations: Option<usize>,
     failing_sync: bool,
     free_bytes: Option<usize>,
 }
 
-/// Says whether syncs are held up, and whether one is.
+/// Records whether syncs are to block, and whether one has blocked since then.
 #[derive(Clone, Copy, Debug, Default)]
-struct Holding {
-    wanted: bool,
+struct SyncHold {
+    requested: bool,
     reached: bool,
 }
 
-/// Shares one disk between a test and the log that writes to it.
+/// A disk whose clones share their state, so that a test can inject faults while the log under
+/// test writes to it.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk {
     inner: Arc<Mutex<Inner>>,
-    holding: Arc<(Mutex<Holding>, Condvar)>,
+    sync_hold: Arc<(Mutex<SyncHold>, Condvar)>,
 }
 
 impl FaultyDisk {
@@ -65,49 +69,52 @@
         self.inner.lock().unwrap()
     }
 
-    /// Fails everything after so many more operations.
+    /// Fails every operation after the given number of further ones.
     pub fn fail_after(&self, operations: usize) {
-        self.inner().budget = Some(operations);
+        self.inner().remaining_operations = Some(operations);
     }
 
-    /// Fails every sync from now on; the bytes may be lost in a crash.
+    /// Fails every sync from now on; bytes appended before it may be lost in a crash.
     pub fn fail_syncs(&self) {
         self.inner().failing_sync = true;
     }
 
-    /// Holds every sync up until [`Self::let_go`], as a disk does that others use up.
+    /// Blocks every sync until [`Self::release_syncs`], as a disk does that is saturated by others.
     pub fn hold_syncs(&self) {
-        self.holding.0.lock().unwrap().wanted = true;
+        self.sync_hold.0.lock().unwrap().requested = true;
     }
 
-    /// Returns whether a sync is held up.
-    pub fn is_holding(&self) -> bool {
-        self.holding.0.lock().unwrap().reached
+    /// Returns whether a sync has blocked since [`Self::hold_syncs`].
+    pub fn is_sync_held(&self) -> bool {
+        self.sync_hold.0.lock().unwrap().reached
     }
 
-    /// Lets the syncs go on that are held up.
-    pub fn let_go(&self) {
-        *self.holding.0.lock().unwrap() = Holding::default();
-        self.holding.1.notify_all();
+    /// Lets blocked syncs continue and blocks no further ones.
+    pub fn release_syncs(&self) {
+        *self.sync_hold.0.lock().unwrap() = SyncHold::default();
+        self.sync_hold.1.notify_all();
     }
 
-    fn wait_until_let_go(&self) {
-        let mut holding = self.holding.0.lock().unwrap();
-        while holding.wanted {
-            holding.reached = true;
-            holding = self.holding.1.wait(holding).unwrap();
+    fn wait_until_released(&self) {
+        let mut hold = self.sync_hold.0.lock().unwrap();
+        while hold.requested {
+            hold.reached = true;
+            hold = self.sync_hold.1.wait(hold).unwrap();
         }
     }
 
-    /// Leaves room for so many more bytes.
-    pub fn fill_up(&self, free_bytes: usize) {
+    /// Limits the free space to the given number of bytes. An append that exceeds it writes what
+    /// fits and fails.
+    pub fn limit_free_space(&self, free_bytes: usize) {
         self.inner().free_bytes = Some(free_bytes);
     }
 
-    /// Returns the disk as the next process finds it after a crash of the VM.
+    /// Returns the disk as the next process finds it after a crash of the VM, without the injected
+    /// faults. `keep_names` keeps created, renamed and removed files although the folder was not
+    /// synced.
     pub fn crash(&self, unsynced: Unsynced, keep_names: bool) -> Self {
         let mut inner = self.inner().clone();
-        inner.budget = None;
+        inner.remaining_operations = None;
         inner.failing_sync = false;
         inner.free_bytes = None;
         if !keep_names {
@@ -115,18 +122,18 @@
         }
         inner.durable_names.clone_from(&inner.names);
         for file in &mut inner.files {
-            let left = torn(&file.durable, &file.content, unsynced);
+            let left = content_after_crash(&file.durable, &file.content, unsynced);
             file.content.clone_from(&left);
             file.durable = left;
         }
         Self {
             inner: Arc::new(Mutex::new(inner)),
-            holding: Arc::default(),
+            sync_hold: Arc::default(),
         }
     }
 
-    /// Flips one bit of a file.
-    pub fn flip(&self, name: &str, bit: usize) {
+    /// Flips one bit of a file, also in its durable content.
+    pub fn flip_bit(&self, name: &str, bit: usize) {
         let mut inner = self.inner();
         let file = inner.names[name];
         let file = &mut inner.files[file];
@@ -134,7 +141,7 @@
         file.durable = file.content.clone();
     }
 
-    /// Fills one sector of a file with zeros.
+    /// Overwrites one sector of a file with zeros.
     pub fn zero_sector(&self, name: &str, sector: usize) {
         let mut inner = self.inner();
         let file = inner.names[name];
@@ -147,14 +154,14 @@
     }
 
     /// Lists the files whose names start with `prefix`.
-    pub fn named(&self, prefix: &str) -> Vec<String> {
+    pub fn files_with_prefix(&self, prefix: &str) -> Vec<String> {
         let mut names = self.list().unwrap();
         names.retain(|name| name.starts_with(prefix));
         names
     }
 }
 
-fn torn(durable: &[u8], content: &[u8], unsynced: Unsynced) -> Vec<u8> {
+fn content_after_crash(durable: &[u8], content: &[u8], unsynced: Unsynced) -> Vec<u8> {
     if content.len() <= durable.len() {
         return content.to_vec();
     }
@@ -178,7 +185,8 @@
     left
 }
 
-/// Zeroes a part; one of three bytes or fewer can't be told from a damaged one.
+/// Zeroes a range. Ranges of three bytes or fewer are left alone, because the log cannot tell
+/// such a torn write from a damaged record.
 fn zero(bytes: &mut [u8], start: usize, end: usize) {
     if end - start > 3 {
         bytes[start..end].fill(0);
@@ -186,9 +194,9 @@
 }
 
 impl Inner {
-    fn spend(&mut self) -> io::Result<()> {
-        match &mut self.budget {
-            Some(0) => Err(io::Error::other("the disk is gone")),
+    fn count_operation(&mut self) -> io::Result<()> {
+        match &mut self.remaining_operations {
+            Some(0) => Err(io::Error::other("injected fault: the disk has failed")),
             Some(left) => {
                 *left -= 1;
                 Ok(())
@@ -203,7 +211,7 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.spend()?;
+        self.count_operation()?;
         let room = self.free_bytes.unwrap_or(bytes.len()).min(bytes.len());
         if let Some(free) = &mut self.free_bytes {
             *free -= room;
@@ -216,9 +224,9 @@
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.spend()?;
+        self.count_operation()?;
         if self.failing_sync {
-            return Err(io::Error::other("the sync failed"));
+            return Err(io::Error::other("injected fault: sync failed"));
         }
         let file = self.file(name)?;
         file.durable.clone_from(&file.content);
@@ -237,7 +245,7 @@
 
     fn write_whole(&mut self, name: &str, content: &[u8]) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.spend()?;
+        inner.count_operation()?;
         inner.files.push(FakeFile::default());
         let file = inner.files.len() - 1;
         inner.names.insert(name.to_owned(), file);
@@ -250,13 +258,13 @@
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.wait_until_let_go();
+        self.wait_until_released();
         self.inner().sync(name)
     }
 
     fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.spend()?;
+        inner.count_operation()?;
         let length = usize::try_from(length).unwrap();
         inner.file(name)?.content.truncate(length);
         inner.sync(name)
@@ -264,7 +272,7 @@
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.spend()?;
+        inner.count_operation()?;
         let file = inner.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         inner.names.insert(to.to_owned(), file);
         Ok(())
@@ -272,14 +280,14 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.spend()?;
+        inner.count_operation()?;
         inner.names.remove(name).ok_or(io::ErrorKind::NotFound)?;
         Ok(())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
         let mut inner = self.inner();
-        inner.spend()?;
+        inner.count_operation()?;
         let names = inner.names.clone();
         inner.durable_names = names;
         Ok(())
--- a/server/tests/test_control_disk.rs
+++ b/server/tests/test_control_disk.rs
@@ -1,4 +1,4 @@
-//! Tests of a control replica whose disk fails under it.
+//! Tests of a control replica whose disk fails or stalls while it runs.
 
 mod support;
 
@@ -49,7 +49,7 @@
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
-fn formatted() -> FaultyDisk {
+fn formatted_disk() -> FaultyDisk {
     let info = ReplicaInfo {
         vm: VmName::new("control-1"),
         address: address(),
@@ -58,7 +58,7 @@
     format(FaultyDisk::default(), IDENTITY, &writes).unwrap()
 }
 
-/// Starts a cluster of one replica on a disk.
+/// Starts a cluster of one replica that stores its log on `disk`.
 fn start(disk: &FaultyDisk) -> (NodeHandle, JoinHandle<Result<(), ControlNodeError>>) {
     let (log, recovered) = LogDisk::open(disk.clone()).unwrap();
     let channels = PeerChannels::new(PeerSecurity::open_loopback());
@@ -87,7 +87,7 @@
 }
 
 async fn open_session(handle: &NodeHandle) {
-    wait_for("a session is opened", async || {
+    wait_for("the session to be opened", async || {
         handle.propose(opening()).await.ok()
     })
     .await
@@ -96,7 +96,7 @@
 
 async fn sessions(disk: &FaultyDisk) -> usize {
     let (handle, _task) = start(disk);
-    wait_for("the state can be read", async || {
+    wait_for("the state to be readable", async || {
         let read = handle.read(|state| state.view().sessions.len()).await;
         read.ok()
     })
@@ -104,17 +104,16 @@
     .unwrap()
 }
 
-/// Names each case: how the disk fails.
+/// Generates a test for each way in which the disk can fail.
 macro_rules! failing_disk_cases {
     ($($name:ident: $fail:expr;)*) => {
         $(
             #[tokio::test]
             async fn $name() {
-                // Symptom: a command that was answered "committed" is gone.
-                // Sequence: the disk fails under a running replica; commands come in;
-                // the VM crashes and restarts.
-                // Cause: the replica answers before, or in spite of, the failed write.
-                let disk = formatted();
+                // Guards against the loss of a command that was reported as committed: the
+                // disk of a running replica fails, the replica acknowledges a command before
+                // or despite the failed write, and the VM crashes and restarts.
+                let disk = formatted_disk();
                 let (handle, task) = start(&disk);
                 open_session(&handle).await;
                 let fail: fn(&FaultyDisk) = $fail;
@@ -132,22 +131,21 @@
 
 failing_disk_cases! {
     test_failed_sync_answers_nothing: FaultyDisk::fail_syncs;
-    test_full_disk_answers_nothing: |disk| disk.fill_up(20);
+    test_full_disk_answers_nothing: |disk| disk.limit_free_space(20);
     test_vanished_disk_answers_nothing: |disk| disk.fail_after(0);
 }
 
-/// Symptom: the leases of all entry VMs lapse at once, and callers are refused everywhere, while
-/// control's processes and theirs all run.
+/// Guards against the leases of all entry VMs expiring at once, so that callers are refused
+/// everywhere although all control and entry processes run.
 ///
-/// Sequence: a session is opened, and the disk takes seconds to make that durable: 7 to 9 were
-/// seen on replicas that share one with others. Renewals come meanwhile, and get no answer.
-///
-/// Cause: a replica handles nothing while its records are written, although a renewal needs none:
-/// it only has to be shown that the replica leads. Where most replicas write at that moment,
-/// nobody can grant anything until their disks are done.
+/// This happens if a replica handles nothing while it writes its records. Opening a session
+/// can take seconds to become durable: 7 to 9 s were observed on replicas that share a disk with
+/// others. Renewals that arrive meanwhile get no answer, although they need no record, only a
+/// proof that the replica leads. While most replicas are writing, no renewal can be granted
+/// until their disks are done.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_renewals_are_granted_while_records_are_written() {
-    let disk = formatted();
+    let disk = formatted_disk();
     let (handle, _task) = start(&disk);
     open_session(&handle).await;
     let read = handle.read(|state| *state.view().sessions.keys().next().unwrap());
@@ -170,14 +168,14 @@
         let handle = handle.clone();
         async move { handle.propose(opening()).await }
     });
-    wait_for("a sync is held up", async || {
-        disk.is_holding().then_some(())
+    wait_for("a sync to block", async || {
+        disk.is_sync_held().then_some(())
     })
     .await
     .unwrap();
     let lease = ControlTiming::default().session_lease();
     let renewed = tokio::time::timeout(lease, handle.sync(renewal())).await;
-    disk.let_go();
+    disk.release_syncs();
     opening.await.unwrap().unwrap();
     assert!(
         matches!(renewed, Ok(Ok(SyncAnswer::Granted { .. }))),
--- a/server/tests/test_decoders.rs
+++ b/server/tests/test_decoders.rs
@@ -1,7 +1,7 @@
-//! No decoder of what is on a disk panics, whatever it is given.
+//! Tests that no decoder of on-disk data panics, whatever its input.
 //!
-//! Symptom that this is for: a replica whose disk has one damaged byte dies at each
-//! start instead of reporting the damage.
+//! Guards against a replica that panics at every start, instead of reporting the damage, because
+//! one byte on its disk is corrupt.
 
 use heatherring_server::data_folder::Identity;
 use heatherring_server::log_record::segment_number;
@@ -23,8 +23,8 @@
     }
 }
 
-/// Reads a file of frames as a replay does: frame after frame, then a verdict on what
-/// is left.
+/// Reads a file of frames as a replay does: decodes frame after frame, and classifies the rest
+/// at the first one that fails.
 fn replay(file: &[u8]) {
     let mut offset = 0;
     while offset < file.len() {
--- a/server/tests/test_log_disk.rs
+++ b/server/tests/test_log_disk.rs
@@ -1,4 +1,4 @@
-//! Tests of the write-ahead log on disks that lose, tear, flip and refuse.
+//! Tests of the write-ahead log on disks that lose, tear, corrupt or refuse writes.
 
 mod support;
 
@@ -34,10 +34,10 @@
     replica: ReplicaId(42),
 };
 
-/// Seed of the random crashes; another one finds other sequences.
+/// Seed of the randomized crash test; other seeds generate other sequences.
 const SEED: u64 = 20_261_202;
 
-fn formatted() -> FaultyDisk {
+fn formatted_disk() -> FaultyDisk {
     format(FaultyDisk::default(), IDENTITY, &[]).unwrap()
 }
 
@@ -54,7 +54,7 @@
 fn damage(disk: &FaultyDisk) -> DamagedLog {
     match open(disk) {
         Err(DiskError::Damaged { source }) => source,
-        other => panic!("expected damage, got {other:?}"),
+        other => panic!("expected the log to be reported as damaged, got {other:?}"),
     }
 }
 
@@ -91,16 +91,17 @@
 }
 
 fn last_segment(disk: &FaultyDisk) -> String {
-    disk.named("log-").pop().unwrap()
+    disk.files_with_prefix("log-").pop().unwrap()
 }
 
-/// Names each case: the batches that are written, one after the other, and come back.
+/// Generates a test for each list of batches: writes them in order, and expects to recover them
+/// after a crash that loses everything not synced.
 macro_rules! read_back_cases {
     ($($name:ident: $batches:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                let disk = formatted();
+                let disk = formatted_disk();
                 let batches: Vec<Vec<LogWrite>> = $batches;
                 let (mut log, _) = open(&disk).unwrap();
                 for batch in &batches {
@@ -142,17 +143,17 @@
 
 #[test]
 fn test_snapshot_deletes_old_segments() {
-    let disk = formatted();
+    let disk = formatted_disk();
     let (mut log, _) = open(&disk).unwrap();
     for index in 1..=4 {
         log.write(&[append(index, 9 << 20)]).unwrap();
     }
-    assert_eq!(disk.named("log-").len(), 5);
+    assert_eq!(disk.files_with_prefix("log-").len(), 5);
     log.write(&[snapshot(4)]).unwrap();
-    assert_eq!(disk.named("log-").len(), 1);
+    assert_eq!(disk.files_with_prefix("log-").len(), 1);
     log.write(&[append(5, 1)]).unwrap();
     log.write(&[snapshot(5)]).unwrap();
-    assert_eq!(disk.named("snapshot-").len(), 1);
+    assert_eq!(disk.files_with_prefix("snapshot-").len(), 1);
 }
 
 #[rstest]
@@ -168,10 +169,10 @@
     )]
     unsynced: Unsynced,
 ) {
-    // Symptom: a replica refuses to start after an ordinary power cut.
-    // Sequence: a batch is being written when the VM dies; part of it reaches the disk.
-    // Cause: a write that was never acknowledged looks like damage.
-    let disk = formatted();
+    // Guards against a replica that refuses to start after an ordinary power failure: the VM
+    // fails while a batch is being written, and the part of it that reached the disk, which was
+    // never acknowledged, is reported as damage.
+    let disk = formatted_disk();
     let (mut log, _) = open(&disk).unwrap();
     let kept = [vote(1), append(1, 100)];
     log.write(&kept).unwrap();
@@ -180,7 +181,7 @@
     let crashed = disk.crash(unsynced, true);
     let (mut log, durable) = open(&crashed).unwrap();
     assert_eq!(durable, state_after(&kept));
-    // The next write continues where the cut was made.
+    // The next write continues at the end of the records that were kept.
     log.write(&[append(2, 7)]).unwrap();
     let expected = state_after(&[vote(1), append(1, 100), append(2, 7)]);
     assert_eq!(recovered(&crashed), expected);
@@ -188,17 +189,17 @@
 
 #[test]
 fn test_flipped_bit_is_damage() {
-    // Symptom: a replica votes twice in a term, or a committed entry is gone.
-    // Sequence: a bit of an acknowledged record flips; the process restarts.
-    // Cause: the record is taken for a torn write and cut off.
-    let disk = formatted();
+    // Guards against a second vote in a term and the loss of a committed entry: a bit of an
+    // acknowledged record flips, and the restarted process mistakes the record for a torn write
+    // and truncates the log there.
+    let disk = formatted_disk();
     let (mut log, _) = open(&disk).unwrap();
     log.write(&[vote(1), append(1, 40)]).unwrap();
     log.write(&[append(2, 40)]).unwrap();
     let name = last_segment(&disk);
     for bit in 0..disk.content(&name).len() * 8 {
         let copy = disk.crash(Unsynced::Kept, true);
-        copy.flip(&name, bit);
+        copy.flip_bit(&name, bit);
         let damage = damage(&copy);
         assert!(
             matches!(damage, DamagedLog::Frame { .. }),
@@ -209,10 +210,10 @@
 
 #[test]
 fn test_lost_sector_before_valid_records_is_damage() {
-    // Symptom: all records from the middle of the log on are gone.
-    // Sequence: a sector of an acknowledged record reads as zeros; valid records follow.
-    // Cause: the zeros are taken for the end of an interrupted write.
-    let disk = formatted();
+    // Guards against the loss of all records from the middle of the log on: a sector of an
+    // acknowledged record reads as zeros and is mistaken for the end of an interrupted write,
+    // although valid records follow.
+    let disk = formatted_disk();
     let (mut log, _) = open(&disk).unwrap();
     log.write(&[append(1, 3_000)]).unwrap();
     log.write(&[append(2, 10)]).unwrap();
@@ -223,15 +224,15 @@
 
 #[test]
 fn test_shortened_segment_before_last_is_damage() {
-    // Symptom: acknowledged entries are gone from the middle of the log.
-    // Sequence: a segment that has a successor loses its end.
-    // Cause: the loss is taken for the interrupted write of the segment's seal.
-    let mut disk = formatted();
+    // Guards against the loss of acknowledged entries in the middle of the log: a segment that
+    // has a successor loses its end, which is mistaken for an interrupted write of the
+    // segment's seal.
+    let mut disk = formatted_disk();
     let (mut log, _) = open(&disk).unwrap();
     log.write(&[append(1, 10)]).unwrap();
     log.write(&[append(2, 9 << 20)]).unwrap();
     log.write(&[append(3, 10)]).unwrap();
-    let first = disk.named("log-").remove(0);
+    let first = disk.files_with_prefix("log-").remove(0);
     let length = disk.content(&first).len() as u64;
     Disk::cut(&mut disk, &first, length - 1_000).unwrap();
     assert!(matches!(damage(&disk), DamagedLog::Order { .. }));
@@ -239,39 +240,40 @@
 
 #[test]
 fn test_flipped_bit_of_snapshot_is_damage() {
-    let disk = formatted();
+    let disk = formatted_disk();
     let (mut log, _) = open(&disk).unwrap();
     log.write(&[append(1, 1)]).unwrap();
     log.write(&[snapshot(1)]).unwrap();
-    let name = disk.named("snapshot-").pop().unwrap();
-    disk.flip(&name, 8 * 40);
+    let name = disk.files_with_prefix("snapshot-").pop().unwrap();
+    disk.flip_bit(&name, 8 * 40);
     assert!(matches!(damage(&disk), DamagedLog::Snapshot { .. }));
 }
 
 #[test]
 fn test_flipped_bit_of_identity_is_damage() {
-    let disk = formatted();
-    disk.flip(IDENTITY_FILE, 8 * 30);
+    let disk = formatted_disk();
+    disk.flip_bit(IDENTITY_FILE, 8 * 30);
     assert_eq!(damage(&disk), DamagedLog::Identity);
 }
 
-/// Names each case: which of the log's files goes missing.
+/// Generates a test for each file of the log that can be missing: the one at `$position` among
+/// those whose names start with `$prefix`.
 macro_rules! missing_file_cases {
     ($($name:ident: $prefix:expr, $position:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                // Symptom: entries are gone from the middle or the end of the log.
-                // Sequence: a file of the folder is deleted, then the process restarts.
-                // Cause: the replay takes what is left for the whole.
-                let mut disk = formatted();
+                // Guards against the loss of entries in the middle or at the end of the log: a
+                // file of the data folder is deleted, and the replay after a restart takes the
+                // remaining files for the complete log.
+                let mut disk = formatted_disk();
                 let (mut log, _) = open(&disk).unwrap();
                 log.write(&[append(1, 1)]).unwrap();
                 log.write(&[snapshot(1)]).unwrap();
                 for index in 2..=4 {
                     log.write(&[append(index, 9 << 20)]).unwrap();
                 }
-                let name = disk.named($prefix).remove($position);
+                let name = disk.files_with_prefix($prefix).remove($position);
                 Disk::remove(&mut disk, &name).unwrap();
                 assert!(matches!(damage(&disk), DamagedLog::Missing { .. }));
             }
@@ -288,10 +290,10 @@
 
 #[test]
 fn test_failed_sync_stops_for_good() {
-    // Symptom: an acknowledged entry is gone after a crash.
-    // Sequence: a sync fails, the next one succeeds, the VM crashes.
-    // Cause: the operating system dropped the pages of the failed sync.
-    let disk = formatted();
+    // Guards against the loss of an acknowledged entry in a crash: after a failed sync the
+    // operating system may drop the dirty pages, so that the next sync succeeds without having
+    // written them.
+    let disk = formatted_disk();
     let (mut log, _) = open(&disk).unwrap();
     disk.fail_syncs();
     assert!(matches!(
@@ -305,10 +307,10 @@
 
 #[test]
 fn test_full_disk_stops_and_keeps_what_was_synced() {
-    let disk = formatted();
+    let disk = formatted_disk();
     let (mut log, _) = open(&disk).unwrap();
     log.write(&[append(1, 10)]).unwrap();
-    disk.fill_up(50);
+    disk.limit_free_space(50);
     log.write(&[append(2, 100)]).unwrap_err();
     assert!(matches!(log.write(&[vote(1)]), Err(DiskError::Stopped)));
     let restarted = disk.crash(Unsynced::Kept, true);
@@ -317,16 +319,16 @@
 
 #[test]
 fn test_format_refuses_used_folder() {
-    let disk = formatted();
+    let disk = formatted_disk();
     let again = format(disk, IDENTITY, &[]);
     assert!(matches!(again, Err(DiskError::NotEmpty { .. })));
 }
 
 #[test]
 fn test_format_interrupted_leaves_unformatted_folder() {
-    // Symptom: a replica runs on half of its first records.
-    // Sequence: the VM dies while the folder is formatted.
-    // Cause: the identity is written before what it vouches for.
+    // Guards against a replica that runs with only a part of its initial records: the VM fails
+    // while the data folder is formatted, and the identity, which marks the folder as complete,
+    // was written before them.
     for operations in 0..12 {
         let disk = FaultyDisk::default();
         disk.fail_after(operations);
@@ -339,7 +341,7 @@
                 format(restarted, IDENTITY, &[vote(1)]).unwrap();
             }
             Ok((_, durable)) => assert_eq!(durable, state_after(&[vote(1), append(1, 1)])),
-            Err(error) => panic!("after {operations} operations: {error}"),
+            Err(error) => panic!("disk failed after {operations} operations: {error}"),
         }
     }
 }
@@ -368,22 +370,22 @@
     assert_eq!(recovered.durable, state_after(&all));
 }
 
-/// Picks what a batch writes; positions are filled in so that the log has no gap.
+/// Kind of a generated write; [`to_writes`] chooses its index so that the log has no gap.
 #[derive(Clone, Debug)]
-enum Kind {
+enum WriteKind {
     Vote,
     Append(usize),
     Truncate,
     Snapshot,
 }
 
-fn kinds() -> impl Strategy<Value = Kind> {
+fn write_kinds() -> impl Strategy<Value = WriteKind> {
     prop_oneof![
-        Just(Kind::Vote),
-        (0_usize..2_000).prop_map(Kind::Append),
-        (0_usize..2_000).prop_map(Kind::Append),
-        Just(Kind::Truncate),
-        Just(Kind::Snapshot),
+        Just(WriteKind::Vote),
+        (0_usize..2_000).prop_map(WriteKind::Append),
+        (0_usize..2_000).prop_map(WriteKind::Append),
+        Just(WriteKind::Truncate),
+        Just(WriteKind::Snapshot),
     ]
 }
 
@@ -397,7 +399,7 @@
     ]
 }
 
-fn fill_in(batches: &[Vec<Kind>]) -> Vec<Vec<LogWrite>> {
+fn to_writes(batches: &[Vec<WriteKind>]) -> Vec<Vec<LogWrite>> {
     let mut state = DurableState::default();
     let mut term = 1;
     let mut filled = Vec::new();
@@ -407,14 +409,14 @@
             let first = state.snapshot.as_ref().map_or(1, |s| s.index.0 + 1);
             let last = state.last_index().0;
             let write = match kind {
-                Kind::Vote => {
+                WriteKind::Vote => {
                     term += 1;
                     vote(term)
                 }
-                Kind::Append(bytes) => append(last + 1, *bytes),
-                Kind::Truncate if last >= first => LogWrite::Truncate(Revision(last)),
-                Kind::Snapshot if last >= first => snapshot(first),
-                Kind::Truncate | Kind::Snapshot => continue,
+                WriteKind::Append(bytes) => append(last + 1, *bytes),
+                WriteKind::Truncate if last >= first => LogWrite::Truncate(Revision(last)),
+                WriteKind::Snapshot if last >= first => snapshot(first),
+                WriteKind::Truncate | WriteKind::Snapshot => continue,
             };
             state.apply(write.clone()).unwrap();
             writes.push(write);
@@ -429,33 +431,32 @@
 
     #[test]
     fn test_crash_never_loses_a_synced_record(
-        batches in prop::collection::vec(prop::collection::vec(kinds(), 0..5), 1..12),
+        batches in prop::collection::vec(prop::collection::vec(write_kinds(), 0..5), 1..12),
         operations in 0_usize..60,
         unsynced in unsynced(),
         keep_names in any::<bool>(),
     ) {
-        // Symptom: a replica has forgotten a vote or an entry that it acknowledged.
-        // Sequence: the VM dies at any operation of the disk, and loses or tears what
-        // was not synced.
-        // Cause: a record counted before it was durable, or was cut off on restart.
-        let disk = formatted();
+        // Guards against the loss of an acknowledged vote or entry: the VM fails at an arbitrary
+        // disk operation and loses or tears what was not synced, and a record was acknowledged
+        // before it was durable, or is truncated on restart.
+        let disk = formatted_disk();
         let (mut log, _) = open(&disk).unwrap();
         disk.fail_after(operations);
-        let batches = fill_in(&batches);
+        let batches = to_writes(&batches);
         let mut synced = Vec::new();
-        let mut in_doubt = Vec::new();
+        let mut unconfirmed = Vec::new();
         for batch in batches {
             if log.write(&batch).is_err() {
-                in_doubt = batch;
+                unconfirmed = batch;
                 break;
             }
             synced.extend(batch);
         }
         let found = recovered(&disk.crash(unsynced, keep_names));
-        let possible = (0..=in_doubt.len()).any(|count| {
-            let writes = [synced.as_slice(), &in_doubt[..count]].concat();
+        let possible = (0..=unconfirmed.len()).any(|count| {
+            let writes = [synced.as_slice(), &unconfirmed[..count]].concat();
             state_after(&writes) == found
         });
-        prop_assert!(possible, "found {found:?}");
+        prop_assert!(possible, "recovered neither the synced records nor these with a prefix of the failed batch: {found:?}");
     }
 }
--- a/server/tests/test_log_writer.rs
+++ b/server/tests/test_log_writer.rs
@@ -1,4 +1,4 @@
-//! Log lines that never hold the process up.
+//! Tests that writing log lines never blocks the process.
 
 use std::io;
 use std::io::Write;
@@ -15,7 +15,8 @@
 use logforth::record::Level;
 use logforth::record::RecordBuilder;
 
-/// What was written, and whether whoever reads has stopped.
+/// Collects what is written. While `stopped` is locked, writes block as on a full pipe that
+/// nobody reads.
 #[derive(Clone, Default)]
 struct Reader {
     text: Arc<Mutex<Vec<u8>>>,
@@ -24,7 +25,7 @@
 
 impl Write for Reader {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        let _reading = self.stopped.lock().unwrap();
+        let _unblocked = self.stopped.lock().unwrap();
         self.text.lock().unwrap().extend_from_slice(buf);
         Ok(buf.len())
     }
@@ -42,12 +43,10 @@
     writer.append(&record, &[]).unwrap();
 }
 
-/// Symptom: a process stops serving when whoever reads its log stops reading.
-///
-/// Sequence: the pipe fills up, and the thread that serves waits to write its next line.
-///
-/// Cause: lines were written by the thread that serves. Now they wait in a bounded queue, and
-/// what doesn't fit is dropped, counted and told of once somebody reads again.
+/// Guards against a process that stops serving when the reader of its log stops reading: the pipe
+/// fills up, and a serving thread that writes log lines itself blocks. Lines therefore go through
+/// a bounded queue; those that do not fit are dropped, counted, and reported once the log is
+/// read again.
 #[tokio::test]
 async fn test_log_writer_goes_on_when_its_reader_stops() {
     let reader = Reader::default();
@@ -55,7 +54,7 @@
     let text = Arc::clone(&reader.text);
     let writer = LogWriter::start(reader, Arc::new(SystemClock)).unwrap();
     let (tx, logged) = mpsc::channel();
-    let holding = stopped.lock().unwrap();
+    let blocked = stopped.lock().unwrap();
     std::thread::spawn(move || {
         for _ in 0..2_000 {
             log(&writer, Level::Warn);
@@ -64,10 +63,10 @@
     });
     let writer = logged.recv_timeout(Duration::from_secs(20)).unwrap();
     let dropped = writer.dropped();
-    assert!(dropped >= 1_000, "{dropped} dropped");
-    drop(holding);
+    assert!(dropped >= 1_000, "only {dropped} lines were dropped");
+    drop(blocked);
     writer.flush().unwrap();
-    let told = wait_for("a line on the dropped ones", async || {
+    let report = wait_for("a line that reports the dropped lines", async || {
         log(&writer, Level::Warn);
         tokio::time::sleep(Duration::from_millis(50)).await;
         let text = String::from_utf8(text.lock().unwrap().clone()).unwrap();
@@ -76,12 +75,12 @@
     })
     .await
     .unwrap();
-    let told = LogLine::read("log", &told).expect("a line that explain reads");
-    assert_eq!(told.event, "log_dropped");
-    assert!(told.number("lines") > 0, "{told:?}");
+    let report = LogLine::read("log", &report).expect("the line must be readable by explain");
+    assert_eq!(report.event, "log_dropped");
+    assert!(report.number("lines") > 0, "{report:?}");
 }
 
-/// The last lines before a process ends are written.
+/// Guards against the loss of the last lines before a process ends.
 #[test]
 fn test_log_writer_writes_the_last_lines() {
     let reader = Reader::default();
--- a/server/tests/test_peer_security.rs
+++ b/server/tests/test_peer_security.rs
@@ -1,4 +1,4 @@
-//! Tests of the proof of belonging between processes.
+//! Tests of mutual authentication between the processes of a deployment.
 
 use std::fs;
 use std::path::Path;
@@ -22,7 +22,7 @@
 
 const GREETING: &[u8] = b"greeting";
 
-/// An authority of a deployment, and the folder that its files are written to.
+/// Certificate authority of a deployment, and the folder for the files of its processes.
 struct Authority {
     issuer: CertifiedIssuer<'static, KeyPair>,
     folder: TempDir,
@@ -45,7 +45,8 @@
         path
     }
 
-    /// Returns the files of a process of this deployment that trusts `trusted`.
+    /// Returns the TLS files of a process with a certificate of this authority that trusts peers
+    /// certified by `trusted`.
     fn files_trusting(&self, trusted: &Self) -> TlsFiles {
         let key = KeyPair::generate().unwrap();
         let params = CertificateParams::new(vec![CERTIFICATE_NAME.to_owned()]).unwrap();
@@ -62,14 +63,15 @@
     }
 }
 
-/// Sends a greeting from `client` to `server`; returns what the server read.
+/// Sends a greeting from `client` to `server`, and returns what the server read.
 async fn greet(client: PeerSecurity, server: PeerSecurity) -> Result<Vec<u8>, PeerSecurityError> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let sender = tokio::spawn(async move {
         let stream = TcpStream::connect(address).await.unwrap();
         if let Ok(mut stream) = client.connect(stream).await {
-            // The server may have refused by now; its own verdict is what counts.
+            // The server may have refused the connection already; the test checks the result on
+            // the server's side.
             let _ = stream.write_all(GREETING).await;
             let _ = stream.shutdown().await;
         }
@@ -95,10 +97,10 @@
 }
 
 #[tokio::test]
-async fn test_peer_security_peer_in_the_clear() {
-    // Symptom: records in the audit trail that no operator made.
-    // Sequence: a program without a certificate connects and speaks at once.
-    // Cause: without a proof at the handshake, reaching the port would be enough.
+async fn test_peer_security_plaintext_peer() {
+    // Guards against records in the audit trail that no operator made: without authentication in
+    // the handshake, any program that reaches the port could connect without a certificate and
+    // send requests at once.
     let authority = Authority::new();
     let received = greet(PeerSecurity::open_loopback(), authority.security()).await;
     assert!(matches!(received, Err(PeerSecurityError::Handshake { .. })));
@@ -106,10 +108,9 @@
 
 #[tokio::test]
 async fn test_peer_security_certificate_of_another_deployment() {
-    // Symptom: entry VMs of one deployment take part in another.
-    // Sequence: a process with another deployment's certificate, that even trusts this
-    // deployment's authority, connects.
-    // Cause: an address in the settings names a VM of the other deployment.
+    // Guards against entry VMs of one deployment taking part in another: an address in the
+    // settings names a VM of the other deployment, and a process connects with that deployment's
+    // certificate. The client here even trusts this deployment's authority.
     let own = Authority::new();
     let other = Authority::new();
     let files = other.files_trusting(&own);
--- a/server/tests/test_session_desk.rs
+++ b/server/tests/test_session_desk.rs
@@ -1,4 +1,4 @@
-//! Tests of the leader's dealings with entry VMs.
+//! Tests of the leader's handling of the sessions of entry VMs.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -26,7 +26,7 @@
 const DIRECT: SessionId = SessionId(1);
 const RELAYED: SessionId = SessionId(2);
 
-/// Returns a state with two sessions and, at revision 3, one that begins to leave.
+/// Returns a state with two sessions, of which [`RELAYED`] begins to leave at revision 3.
 fn state() -> ControlState {
     let mut state = ControlState::default();
     for kind in [open(), open(), CommandKind::MarkLeaving(RELAYED)] {
@@ -50,7 +50,7 @@
 }
 
 fn renew_direct(
-    desk: &mut LeaderSessions,
+    sessions: &mut LeaderSessions,
     state: &ControlState,
     now: Instant,
     applied: u64,
@@ -64,12 +64,12 @@
         closing: false,
     };
     let (tx, rx) = oneshot::channel();
-    let _ = desk.admit(HeldSync::new(Box::new(call), tx, now), state);
+    let _ = sessions.admit(HeldSync::new(Box::new(call), tx, now), state);
     rx
 }
 
 fn renew_relayed(
-    desk: &mut LeaderSessions,
+    sessions: &mut LeaderSessions,
     state: &ControlState,
     now: Instant,
     applied: u64,
@@ -79,31 +79,33 @@
         applied: Revision(applied),
     }];
     let (tx, mut rx) = oneshot::channel();
-    desk.admit_batch(HeldBatch::new(renewals, tx, now), state);
+    sessions.admit_batch(HeldBatch::new(renewals, tx, now), state);
     rx.try_recv().unwrap()
 }
 
 #[test]
-fn test_session_desk_acknowledgement_through_a_relay_settles() {
-    // Symptom: with eight entry VMs in a region no new owner ever dispatches, and callers
-    // are refused, although `status` shows the manifest in force everywhere.
-    // Sequence: a change is acknowledged by an entry VM itself, then by another through a
-    // relay; the leader answers with the settled revision from before.
-    // Cause: the leader keeps the settled revision until something moves it, and a
-    // relay's batch wasn't taken for something that does.
+fn test_leader_sessions_relayed_acknowledgement_settles() {
+    // Guards against new owners that never dispatch, observed with eight entry VMs in a region:
+    // callers are refused although `status` shows the manifest in force everywhere. One entry VM
+    // acknowledges a change itself, then another through a relay. The leader caches the settled
+    // revision until an event advances it; if a relay's batch does not count as such an event,
+    // the leader keeps answering with the previous settled revision.
     let state = state();
     let now = Instant::now();
-    let mut desk = LeaderSessions::new(&ControlTiming::default());
-    desk.start(now, &state);
-    let mut direct = renew_direct(&mut desk, &state, now, 3);
-    desk.answer_held(now, &state);
-    assert!(direct.try_recv().is_err(), "nothing is settled yet");
+    let mut sessions = LeaderSessions::new(&ControlTiming::default());
+    sessions.start(now, &state);
+    let mut direct = renew_direct(&mut sessions, &state, now, 3);
+    sessions.answer_held(now, &state);
+    assert!(
+        direct.try_recv().is_err(),
+        "answered before the relayed session acknowledged the change"
+    );
 
-    let BatchAnswer::Granted(grant) = renew_relayed(&mut desk, &state, now, 3) else {
-        panic!("the relay's batch isn't granted");
+    let BatchAnswer::Granted(grant) = renew_relayed(&mut sessions, &state, now, 3) else {
+        panic!("the leader did not grant the relay's batch");
     };
     assert_eq!(grant.settled, Revision(3));
-    desk.answer_held(now, &state);
+    sessions.answer_held(now, &state);
     let answer = direct.try_recv().unwrap();
     assert!(matches!(
         answer,
--- a/server/tests/test_update_cache.rs
+++ b/server/tests/test_update_cache.rs
@@ -1,4 +1,4 @@
-//! Updates that are encoded once for many entry VMs.
+//! Tests of the cache of updates, which are encoded once for many entry VMs.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 use heatherring_lib::id::VmName;
 use heatherring_server::update_cache::UpdateCache;
 
-/// Enrolls one more entry VM.
+/// Enrolls one more entry VM, at revision `number`.
 fn enroll(fleet: &mut FleetState, number: u64) {
     let command = FleetCommand::EnrollEntry {
         vm: VmName::new(format!("entry-{number}")),
@@ -27,9 +27,10 @@
     command.apply(Revision(number), fleet);
 }
 
-/// Whichever revisions are asked for in turn, each entry VM gets what it lacks.
+/// Guards against a cached update for the wrong revision: in whatever order revisions are
+/// requested, each entry VM must get exactly the changes after its own.
 #[test]
-fn test_kept_updates_are_those_that_are_asked_for() {
+fn test_update_cache_returns_updates_from_requested_revision() {
     let cache = UpdateCache::default();
     let mut fleet = FleetState::default();
     for number in 1..=20 {
