--- a/server/tests/direct_support/mod.rs
+++ b/server/tests/direct_support/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)]
 
 pub mod backend;
-pub mod fragile;
+pub mod crashing_backend;
 mod own_process;
 pub mod stops;
 
