--- a/server/examples/control_slope.rs
+++ b/server/examples/control_slope.rs
@@ -1,7 +1,8 @@
-//! Measures what sessions cost the leading control replica, at several counts of them.
+//! Measures the resources that sessions cost the leading control replica, at several session
+//! counts.
 //!
-//! Real control processes serve stand-in entry VMs: bare `Session.Sync` loops, each with
-//! a connection of its own. Run it with
+//! Real control processes serve simulated entry VMs: plain `Session.Sync` loops, each with
+//! a connection of its own, or shared by a relay. Run it with
 //! `cargo build --release --bins && cargo run --release -p heatherring-server --example control_slope`.
 
 use std::error::Error;
@@ -42,20 +43,21 @@
 
 const SESSION_COUNTS: [usize; 4] = [100, 200, 400, 800];
 const PHASE: Duration = Duration::from_secs(8);
-/// Entry VMs of a deployment today, at the most.
+/// Largest number of entry VMs in a present deployment.
 const SESSIONS_TODAY: usize = 12;
-/// Each report of status costs control a quorum round, so they are asked for sparingly.
-const SLOPE_PACE: Pace = Pace {
+/// Changes at one per second. Every status request costs control a quorum round, hence the pause
+/// between them.
+const SLOPE_SCHEDULE: ChangeSchedule = ChangeSchedule {
     changes: 8,
     interval: Duration::from_secs(1),
     status_poll: Duration::from_millis(25),
 };
 const RELAYS: usize = 24;
-/// As long as a relay collects renewals.
+/// Time for which a relay collects renewals before it sends them as one batch.
 const BATCH_INTERVAL: Duration = Duration::from_millis(500);
 const SYNC_WAIT_MS: u32 = 500;
 
-/// Counts what the stand-ins exchange with control.
+/// Counts the calls and bytes that the simulated entry VMs exchange with control.
 #[derive(Debug, Default)]
 struct Traffic {
     calls: AtomicU64,
@@ -70,16 +72,16 @@
     }
 }
 
-/// Says how sessions reach control.
+/// Path by which sessions reach control.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Mode {
-    /// Each by its own calls.
+    /// Each session sends its own calls.
     Direct,
-    /// Through relays, two in each of twelve regions.
+    /// Sessions go through relays, two in each of twelve regions.
     Relayed,
 }
 
-/// Holds what one phase cost.
+/// Resources used and calls made during one phase.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cost {
     cpu_seconds: f64,
@@ -89,15 +91,16 @@
     seconds: f64,
 }
 
-/// Says how changes are made and watched.
+/// Number and timing of the submitted changes, and of the status requests that wait for each to
+/// settle.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
+struct ChangeSchedule {
     changes: u64,
     interval: Duration,
     status_poll: Duration,
 }
 
-/// Holds one row of the table.
+/// Result for one session count.
 #[derive(Clone, Copy, Debug)]
 struct Row {
     sessions: usize,
@@ -118,7 +121,7 @@
     for mode in [Mode::Direct, Mode::Relayed] {
         let mut rows = Vec::new();
         for sessions in SESSION_COUNTS {
-            let row = measure(binary, sessions, mode, SLOPE_PACE).await?;
+            let row = measure(binary, sessions, mode, SLOPE_SCHEDULE).await?;
             eprintln!("{row:?}");
             rows.push(row);
         }
@@ -128,22 +131,27 @@
     Ok(())
 }
 
-/// Measures how long a change takes to be in force at the size of today.
+/// Measures the time until a change is in force, at the size of a present deployment.
 async fn measure_today(binary: &Path) -> AnyResult<()> {
-    let pace = Pace {
+    let schedule = ChangeSchedule {
         changes: 300,
         interval: Duration::from_millis(50),
         status_poll: Duration::from_millis(1),
     };
-    let row = measure(binary, SESSIONS_TODAY, Mode::Direct, pace).await?;
+    let row = measure(binary, SESSIONS_TODAY, Mode::Direct, schedule).await?;
     println!(
         "{SESSIONS_TODAY} entry VMs, {} changes: p50 {:.1} ms, p99 {:.1} ms, max {:.1} ms",
-        pace.changes, row.settle_ms_p50, row.settle_ms_p99, row.settle_ms_max
+        schedule.changes, row.settle_ms_p50, row.settle_ms_p99, row.settle_ms_max
     );
     Ok(())
 }
 
-async fn measure(binary: &Path, sessions: usize, mode: Mode, pace: Pace) -> AnyResult<Row> {
+async fn measure(
+    binary: &Path,
+    sessions: usize,
+    mode: Mode,
+    schedule: ChangeSchedule,
+) -> AnyResult<Row> {
     let plan = ClusterPlan {
         controls: vec![
             VmPlan::new("control-1", "place-1", "region-1"),
@@ -160,7 +168,7 @@
 
     let traffic = Arc::new(Traffic::default());
     let stop = Arc::new(AtomicBool::new(false));
-    let stand_ins = start_stand_ins(mode, leader_vm.1, sessions, &traffic, &stop);
+    let entry_tasks = start_simulated_entries(mode, leader_vm.1, sessions, &traffic, &stop);
     tokio::time::sleep(Duration::from_secs(3)).await;
 
     let before = sample(pid, &traffic)?;
@@ -169,17 +177,17 @@
 
     let before = sample(pid, &traffic)?;
     let mut settle = Vec::new();
-    for version in 1..=pace.changes {
-        let begun = Instant::now();
+    for version in 1..=schedule.changes {
+        let started_at = Instant::now();
         let manifest = cluster.manifest(version, &services(version)).to_string();
-        settle.push(submit_and_settle(leader_vm.1, manifest, pace.status_poll).await?);
-        tokio::time::sleep(pace.interval.saturating_sub(begun.elapsed())).await;
+        settle.push(submit_and_settle(leader_vm.1, manifest, schedule.status_poll).await?);
+        tokio::time::sleep(schedule.interval.saturating_sub(started_at.elapsed())).await;
     }
     let changing = sample(pid, &traffic)?.since(before);
     let rss_kb = rss_kb(pid)?;
     stop.store(true, Ordering::Relaxed);
-    for stand_in in stand_ins {
-        stand_in.await??;
+    for entry_task in entry_tasks {
+        entry_task.await??;
     }
     settle.sort_by(f64::total_cmp);
     Ok(Row {
@@ -193,7 +201,7 @@
     })
 }
 
-fn start_stand_ins(
+fn start_simulated_entries(
     mode: Mode,
     leader: SocketAddr,
     sessions: usize,
@@ -203,8 +211,8 @@
     match mode {
         Mode::Direct => (0..sessions)
             .map(|index| {
-                let stand_in = keep_session(leader, index, traffic.clone(), stop.clone());
-                tokio::spawn(stand_in)
+                let entry_task = keep_session(leader, index, traffic.clone(), stop.clone());
+                tokio::spawn(entry_task)
             })
             .collect(),
         Mode::Relayed => (0..RELAYS)
@@ -264,7 +272,7 @@
     let reply = operator.submit(request).await?.into_inner();
     let accepted_at = Instant::now();
     if reply.revision == 0 {
-        return Err(format!("not accepted: {reply:?}").into());
+        return Err(format!("control did not accept the manifest: {reply:?}").into());
     }
     loop {
         let status = operator.status(StatusRequest {}).await?.into_inner();
@@ -293,7 +301,7 @@
             let reply = reply.into_inner();
             let bytes = u64::try_from(sent + reply.encoded_len())?;
             traffic.count(bytes);
-            follow(&mut request, &reply)?;
+            update_request(&mut request, &reply)?;
         } else {
             traffic.failures.fetch_add(1, Ordering::Relaxed);
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -302,7 +310,7 @@
     Ok(())
 }
 
-/// Opens sessions for `indices`, and renews them together.
+/// Opens a session for each of `indices`, and renews them in batches.
 async fn relay_sessions(
     leader: SocketAddr,
     indices: Vec<usize>,
@@ -339,7 +347,7 @@
     Ok(())
 }
 
-fn follow(request: &mut SyncRequest, reply: &SyncReply) -> AnyResult<()> {
+fn update_request(request: &mut SyncRequest, reply: &SyncReply) -> AnyResult<()> {
     request.cluster_id.clone_from(&reply.cluster_id);
     request.session = reply.session;
     request.entry_encoded.clear();
@@ -357,7 +365,7 @@
 }
 
 fn entry_info(index: usize) -> EntryInfo {
-    // Never connected to: the stand-ins only keep sessions.
+    // No process connects to this address: the simulated entry VMs only keep sessions.
     let unused = SocketAddr::from(([127, 0, 0, 1], 9));
     EntryInfo {
         vm: VmName::new(format!("stand-in-{index}")),
@@ -370,7 +378,7 @@
     }
 }
 
-/// Holds running totals at one moment.
+/// Cumulative totals at one instant.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at: Instant,
--- a/server/examples/entry_slope.rs
+++ b/server/examples/entry_slope.rs
@@ -1,7 +1,7 @@
-//! Measures what an entry VM spends on the others, at several counts of them, and how
-//! many look-ups a core answers.
+//! Measures the resources that an entry VM uses for its communication with the other entry VMs, at
+//! several counts of them, and the number of look-ups that one core answers.
 //!
-//! Real processes: one control replica, entry VMs of one region in two places, and a few
+//! Runs real processes: one control replica, entry VMs of one region in two places, and a few
 //! fake backend servers. Run it with `cargo build --release --bins -p heatherring
 //! -p heatherring-testutils && cargo run --release -p heatherring-server --example
 //! entry_slope`.
@@ -27,16 +27,16 @@
 const LOOK_UP_LOOPS: usize = 16;
 const SEED: u64 = 7;
 
-/// Holds one row of the table.
+/// Result for one number of entry VMs.
 #[derive(Clone, Copy, Debug)]
 struct Row {
     entries: usize,
-    /// Percent of a core, the mean and the highest of all entry VMs.
+    /// Mean idle load of all entry VMs, in percent of a core; `highest_core` is their maximum.
     mean_core: f64,
     highest_core: f64,
     rss_mb: f64,
-    /// Look-ups a second of processor time at the entry VM that was asked.
-    look_ups_a_core: f64,
+    /// Look-ups answered per second of CPU time, at the entry VM that received them.
+    look_ups_per_core: f64,
 }
 
 #[tokio::main]
@@ -70,13 +70,13 @@
         .zip(&after)
         .map(|(before, after)| 100.0 * (after - before) / PHASE.as_secs_f64())
         .collect();
-    let look_ups_a_core = look_up(&deployment, pids[0]).await?;
+    let look_ups_per_core = look_up(&deployment, pids[0]).await?;
     Ok(Row {
         entries,
         mean_core: cores.iter().sum::<f64>() / entries as f64,
         highest_core: cores.iter().copied().fold(0.0, f64::max),
         rss_mb: rss_kb(pids[0])? as f64 / 1e3,
-        look_ups_a_core,
+        look_ups_per_core,
     })
 }
 
@@ -102,7 +102,8 @@
     Ok(used?)
 }
 
-/// Asks one entry VM for look-ups for a while, as fast as it answers.
+/// Sends look-ups to one entry VM for the length of [`PHASE`], as fast as it answers, and returns
+/// the number answered per second of CPU time.
 #[expect(
     clippy::cast_precision_loss,
     reason = "counts of a short run fit a float's mantissa"
@@ -148,7 +149,7 @@
     for row in rows {
         println!(
             "| {} | {:.2} | {:.2} | {:.1} | {:.0} |",
-            row.entries, row.mean_core, row.highest_core, row.rss_mb, row.look_ups_a_core
+            row.entries, row.mean_core, row.highest_core, row.rss_mb, row.look_ups_per_core
         );
     }
     let points = rows.iter().map(|row| (row.entries as f64, row.mean_core));
--- a/server/tests/test_control_node.rs
+++ b/server/tests/test_control_node.rs
@@ -1,4 +1,5 @@
-//! Tests of three control replicas in one process, over loopback and real files.
+//! Tests of three control replicas in one process, which communicate over loopback and store their
+//! data in real files.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -74,7 +75,7 @@
         channel(self.settings.listen)
     }
 
-    /// Submits once; the answer may be that nothing is known or was done.
+    /// Submits once; the outcome may be unknown or not accepted.
     async fn submit_once(&self, manifest: &str) -> SubmitReply {
         let request = SubmitRequest {
             manifest: manifest.to_owned(),
@@ -84,8 +85,8 @@
         client.submit(request).await.unwrap().into_inner()
     }
 
-    /// Submits until the answer is final, as operators do: on a busy machine an
-    /// election may come in between.
+    /// Submits until the outcome is final, as operators do: on a busy machine an election may
+    /// interrupt a submission.
     async fn submit(&self, manifest: &str) -> SubmitReply {
         wait_for("a final answer", async || {
             let reply = self.submit_once(manifest).await;
@@ -102,13 +103,13 @@
         Some(reply.into_inner())
     }
 
-    /// Asks once; the answer may be that there is no quorum.
+    /// Sends one sync; the outcome may be that there is no quorum.
     async fn sync_once(&self, request: SyncRequest) -> SyncReply {
         let mut client = SessionClient::new(self.channel());
         client.sync(request).await.unwrap().into_inner()
     }
 
-    /// Asks until there is a quorum, as entry VMs do.
+    /// Repeats the sync until there is a quorum, as entry VMs do.
     async fn sync(&self, request: SyncRequest) -> SyncReply {
         wait_for("a quorum", async || {
             let reply = self.sync_once(request.clone()).await;
@@ -169,8 +170,8 @@
         let members = self.replicas.len();
         if let Some(first) = self.replicas.first() {
             let control = [first.settings.listen];
-            // Refused while an earlier change is under way, or an election.
-            wait_for("the replica is taken in", async || {
+            // Refused during an election and while an earlier membership change is in progress.
+            wait_for("the replica to be added", async || {
                 let joining = control_format::join(&settings, &control, None, "tester");
                 joining.await.ok()
             })
@@ -180,7 +181,7 @@
             control_format::init(&settings).unwrap();
         }
         self.replicas.push(Replica::start(settings));
-        wait_for("the replica votes", async || {
+        wait_for("the replica to be a voter", async || {
             let status = self.replicas[0].status().await?;
             let voters = status.replicas.iter().filter(|r| r.voter).count();
             (status.current && voters == members + 1).then_some(())
@@ -189,10 +190,10 @@
         .unwrap();
     }
 
-    /// Returns the position of the leader and that of a follower.
+    /// Returns the positions of the leader and of a follower in `replicas`.
     async fn leader(&self) -> (usize, usize) {
         let mut leader = 0;
-        wait_for("a leader that all know", async || {
+        wait_for("a leader known to all replicas", async || {
             let mut known = Vec::new();
             for replica in &self.replicas {
                 known.push(replica.status().await?);
@@ -290,7 +291,7 @@
     assert_eq!(accepted.outcome(), SubmitOutcome::Accepted, "{accepted:?}");
     let other = manifest(1, "other");
     for replica in &cluster.replicas {
-        // A resend gets the original answer, whichever replica takes it.
+        // A resend gets the original answer, whichever replica receives it.
         assert_eq!(replica.submit(&first).await, accepted);
         let conflict = replica.submit(&other).await;
         assert_eq!(conflict.outcome(), SubmitOutcome::VersionConflict);
@@ -303,11 +304,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn test_history_outlives_snapshots_and_restarts() {
-    // Symptom: a resend after a restart is accepted a second time or refused.
-    // Sequence: many manifests, hence several snapshots; all replicas restart; the
-    // first submissions are sent again.
-    // Cause: the snapshot doesn't hold the answers, or the log isn't replayed whole.
+async fn test_history_survives_snapshots_and_restarts() {
+    // Guards against a resend that is accepted a second time or refused after a restart: many
+    // manifests cause several snapshots, all replicas restart, and early submissions are sent
+    // again, but the snapshot lacks their answers or the log is not replayed completely.
     let mut cluster = Cluster::start().await;
     let mut accepted = Vec::new();
     for version in 1..=35 {
@@ -366,11 +366,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn test_session_survives_hand_over_and_lapses_when_silent() {
-    // Symptom: an entry VM loses its session in a planned stop, or keeps it for ever.
-    // Sequence: the leader stops; the entry goes on at another replica; later it falls
-    // silent.
-    // Cause: the new leader doesn't take over the sessions, or doesn't count them.
+async fn test_session_survives_handover_and_expires_without_renewals() {
+    // Guards against an entry VM that loses its session in a planned stop of the leader, or keeps
+    // it for ever: the entry VM continues at another replica and later stops renewing, but the
+    // new leader did not take over the sessions, or does not track their leases.
     let mut cluster = Cluster::start().await;
     let (leader, _) = cluster.leader().await;
     let opened = cluster.replicas[leader].sync(opening(1)).await;
@@ -378,14 +377,14 @@
     let stopping = cluster.replicas.remove(leader);
     stopping.stop().await;
     let control = &cluster.replicas[0];
-    wait_for("the session goes on", async || {
+    wait_for("the session to be renewed by another replica", async || {
         let reply = control.sync(renewal(1, &opened, revision)).await;
         assert_ne!(reply.outcome(), SyncOutcome::SessionLost);
         (reply.outcome() == SyncOutcome::Granted).then_some(())
     })
     .await
     .unwrap();
-    wait_for("the session lapses", async || {
+    wait_for("the session to expire", async || {
         let status = control.status().await?;
         (status.current && status.entries.is_empty()).then_some(())
     })
@@ -397,9 +396,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_replica_without_quorum_proves_nothing() {
-    // Symptom: an entry VM or an operator is given an outdated manifest as current.
-    // Sequence: two of three replicas stop; the third is asked.
-    // Cause: a replica answers from its own state without a quorum round.
+    // Guards against an outdated manifest that an entry VM or an operator receives as current:
+    // two of three replicas stop, and the third answers from its own state without a quorum
+    // round.
     let mut cluster = Cluster::start().await;
     let accepted = cluster.replicas[0].submit(&manifest(1, "one")).await;
     assert_eq!(accepted.outcome(), SubmitOutcome::Accepted);
@@ -423,10 +422,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn test_message_to_another_identity_is_refused() {
-    // Symptom: a committed entry is gone though a quorum acknowledged it.
-    // Sequence: a replica loses its disk, and its VM gets a replica with an empty log
-    // at the same address; the leader's messages to the old identity go on.
-    // Cause: the new one acknowledges and votes in the name of the old one.
+    // Guards against the loss of a committed entry that a quorum acknowledged: a replica loses
+    // its disk, its VM gets a new replica with an empty log at the same address, and the new one
+    // acknowledges and votes on messages that the leader still sends to the old identity.
     let cluster = Cluster::start().await;
     let replica = &cluster.replicas[0];
     let status = replica.status().await.unwrap();
--- a/server/tests/test_fleet_follower.rs
+++ b/server/tests/test_fleet_follower.rs
@@ -1,4 +1,5 @@
-//! Which control replica an entry VM follows, and what it takes from it.
+//! Tests of the choice of the control replica that an entry VM follows, and of the updates that it
+//! applies.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -53,22 +54,22 @@
 use tonic::Response;
 use tonic::Status;
 
-/// Time after which a test has failed; nothing is measured against it.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit after which a test fails. No result depends on it otherwise.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Stands in for a replica, which names itself and the other one.
+/// A fake control replica that reports the replicas in `sites`, itself among them.
 #[derive(Clone, Debug)]
 struct FakeReplica {
     address: SocketAddr,
     sites: Arc<watch::Sender<Vec<ReplicaSite>>>,
     current: Arc<AtomicBool>,
-    /// Answers nothing, as one that is frozen or cut off.
+    /// Whether it leaves all requests unanswered, like a frozen or partitioned replica.
     silent: Arc<AtomicBool>,
-    /// Questions of any kind that came while it was silent.
-    in_vain: Arc<AtomicUsize>,
-    /// Questions for the state.
-    asked: Arc<AtomicUsize>,
-    /// Numbers its verdicts.
+    /// Number of follow requests of any kind, probes included, received while it was silent.
+    requests_while_silent: Arc<AtomicUsize>,
+    /// Number of follow requests answered with the state; probes are not counted.
+    follow_requests: Arc<AtomicUsize>,
+    /// Number of its presence updates; it reports the entry VM of the same number as absent.
     number: u64,
 }
 
@@ -80,8 +81,8 @@
             sites: Arc::clone(sites),
             current: Arc::new(AtomicBool::new(true)),
             silent: Arc::default(),
-            in_vain: Arc::default(),
-            asked: Arc::default(),
+            requests_while_silent: Arc::default(),
+            follow_requests: Arc::default(),
             number,
         };
         let serving = tonic::transport::Server::builder()
@@ -91,23 +92,25 @@
         replica
     }
 
-    fn asked(&self) -> usize {
-        self.asked.load(Ordering::SeqCst)
+    fn follow_requests(&self) -> usize {
+        self.follow_requests.load(Ordering::SeqCst)
     }
 
-    /// Returns whether it was asked since it fell silent.
-    fn was_asked_in_vain(&self) -> bool {
-        self.in_vain.load(Ordering::SeqCst) > 0
+    /// Returns whether it has received a follow request while it was silent.
+    fn was_contacted_while_silent(&self) -> bool {
+        self.requests_while_silent.load(Ordering::SeqCst) > 0
     }
 
-    async fn until_asked_again(&self) {
-        let before = self.asked();
-        let asking = async {
-            while self.asked() == before {
+    async fn wait_for_follow_request(&self) {
+        let before = self.follow_requests();
+        let next_request = async {
+            while self.follow_requests() == before {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, asking).await.unwrap();
+        tokio::time::timeout(TEST_TIMEOUT, next_request)
+            .await
+            .unwrap();
     }
 }
 
@@ -119,7 +122,7 @@
     ) -> Result<Response<FollowReply>, Status> {
         let request = request.into_inner();
         if self.silent.load(Ordering::SeqCst) {
-            self.in_vain.fetch_add(1, Ordering::SeqCst);
+            self.requests_while_silent.fetch_add(1, Ordering::SeqCst);
             return std::future::pending().await;
         }
         let current = self.current.load(Ordering::SeqCst);
@@ -132,7 +135,7 @@
         if request.list_only || !current {
             return Ok(Response::new(reply));
         }
-        self.asked.fetch_add(1, Ordering::SeqCst);
+        self.follow_requests.fetch_add(1, Ordering::SeqCst);
         if request.known_presence == self.number {
             tokio::time::sleep(Duration::from_millis(20)).await;
         } else {
@@ -219,14 +222,12 @@
     (followed, ready_tx)
 }
 
-/// Symptom: what control sent crossed regions for two entry VMs in three.
-///
-/// Sequence: an entry VM knows a far replica from its settings. The near one that it learns of
-/// loses touch with the others for a while.
-///
-/// Cause: replicas were asked in turn, wherever they are.
+/// Guards against entry VMs that follow a replica in another region although a near one is usable.
+/// When replicas were chosen in turn, wherever they were, the updates of control crossed regions
+/// for two entry VMs in three. Here the entry VM knows only a far replica from its settings and
+/// learns of a near one, which is then out of contact with the other replicas for a while.
 #[tokio::test]
-async fn test_the_near_replica_is_followed_left_while_it_is_of_no_use_and_returned_to() {
+async fn test_near_replica_is_followed_left_while_unusable_and_returned_to() {
     let (sites, _) = watch::channel(Vec::new());
     let sites = Arc::new(sites);
     let near = FakeReplica::start(1, &sites).await;
@@ -237,24 +238,29 @@
     };
     sites.send_replace(vec![site(near.address, "near"), site(far.address, "far")]);
     let (followed, _ready) = follow(far.address);
-    near.until_asked_again().await;
-    assert_eq!(far.asked(), 0, "the far one was asked for the state");
+    near.wait_for_follow_request().await;
+    assert_eq!(
+        far.follow_requests(),
+        0,
+        "the far replica received a follow request for the state"
+    );
     near.current.store(false, Ordering::SeqCst);
-    far.until_asked_again().await;
-    // The verdicts of the one that is followed replace those of the other.
+    far.wait_for_follow_request().await;
+    // The presence updates of the replica now followed replace those of the other.
     let mut out_of_service = followed.out_of_service.clone();
     let is_far = |vms: &Arc<BTreeSet<VmName>>| vms.iter().map(VmName::as_str).eq(["entry-2"]);
-    let told = tokio::time::timeout(PATIENCE, out_of_service.wait_for(is_far)).await;
-    // What it returns keeps the value from being replaced.
-    assert!(matches!(told, Ok(Ok(_))));
-    drop(told);
+    let switched = tokio::time::timeout(TEST_TIMEOUT, out_of_service.wait_for(is_far)).await;
+    // The returned guard blocks updates of the watched value until it is dropped.
+    assert!(matches!(switched, Ok(Ok(_))));
+    drop(switched);
     near.current.store(true, Ordering::SeqCst);
-    near.until_asked_again().await;
+    near.wait_for_follow_request().await;
 }
 
-/// Guards against an entry VM without news while all replicas near it are lost.
+/// Guards against an entry VM that gets no updates while all replicas near it are lost, because it
+/// tries them one after the other before it turns to a far one.
 #[tokio::test]
-async fn test_near_replicas_that_are_lost_together_are_left_for_a_far_one() {
+async fn test_far_replica_is_followed_when_all_near_ones_are_lost() {
     let (sites, _) = watch::channel(Vec::new());
     let sites = Arc::new(sites);
     let mut near = Vec::new();
@@ -271,20 +277,24 @@
     sites.send_replace(named);
     let (_followed, _ready) = follow(far.address);
     let is_followed = async {
-        while near.iter().all(|near| near.asked() < 2) {
+        while near.iter().all(|near| near.follow_requests() < 2) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, is_followed).await.unwrap();
-    let lost = near.iter().filter(|near| near.asked() == 0);
+    tokio::time::timeout(TEST_TIMEOUT, is_followed)
+        .await
+        .unwrap();
+    let lost = near.iter().filter(|near| near.follow_requests() == 0);
     let lost: Vec<FakeReplica> = lost.cloned().collect();
     for replica in &near {
         replica.silent.store(true, Ordering::SeqCst);
     }
-    far.until_asked_again().await;
-    let others = lost.iter().filter(|replica| replica.was_asked_in_vain());
+    far.wait_for_follow_request().await;
+    let others = lost
+        .iter()
+        .filter(|replica| replica.was_contacted_while_silent());
     assert!(
         others.count() <= 1,
-        "one near replica was asked after the other"
+        "more than one other lost near replica was tried before the far one"
     );
 }
--- a/server/tests/test_operator_client.rs
+++ b/server/tests/test_operator_client.rs
@@ -1,4 +1,4 @@
-//! The operators' client against control replicas that answer by a script.
+//! Tests of the operators' client against fake control replicas with scripted answers.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -39,22 +39,22 @@
 use tonic::Status;
 use tonic::transport::Server;
 
-/// Time after which the client gives up. It bounds a test that ends without an answer.
-const GIVE_UP: Duration = Duration::from_millis(700);
+/// Time after which the client gives up. It bounds the duration of tests that get no answer.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What a replica does with one request.
+/// How a replica handles one submission.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Answer(SubmitOutcome),
-    /// The answer is lost: the connection breaks off, as far as the client can tell.
+    /// The answer is lost: to the client it looks as if the connection was reset.
     Lose,
-    /// Nothing comes back.
+    /// The call never returns.
     Hang,
-    /// The replica can't answer, and says that it did nothing.
+    /// The replica cannot answer, and reports that it did nothing.
     Decline,
 }
 
-/// Follows its script; the last step is repeated.
+/// A fake replica that follows its script and repeats the last step.
 #[derive(Clone, Debug)]
 struct Replica {
     script: Arc<Mutex<VecDeque<Step>>>,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Runs replicas with these scripts; one without a script doesn't run.
+/// Fake replicas, one for each script. An empty script leaves its address without a replica.
 struct Replicas {
     addresses: Vec<SocketAddr>,
     _block: LoopbackBlock,
@@ -170,26 +170,26 @@
 
     fn client(&self) -> OperatorClient {
         let security = PeerSecurity::open_loopback();
-        OperatorClient::new(self.addresses.clone(), security, GIVE_UP)
+        OperatorClient::new(self.addresses.clone(), security, CLIENT_TIMEOUT)
     }
 }
 
-/// Tells how a submission ended.
+/// Result of a submission as the client reports it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Ended {
+enum SubmissionResult {
     Final(SubmitOutcome),
-    /// Proved never to have been accepted.
+    /// The submission is proved never to have been accepted.
     NotAccepted,
     Unknown,
 }
 
-async fn submit(scripts: &[&[Step]]) -> Ended {
+async fn submit(scripts: &[&[Step]]) -> SubmissionResult {
     let replicas = Replicas::start(scripts).await;
     let result = replicas.client().submit(&SubmitRequest::default()).await;
     match result {
-        Ok(reply) => Ended::Final(reply.outcome()),
-        Err(OperatorClientError::Unreachable { .. }) => Ended::NotAccepted,
-        Err(OperatorClientError::SubmissionUnknown { .. }) => Ended::Unknown,
+        Ok(reply) => SubmissionResult::Final(reply.outcome()),
+        Err(OperatorClientError::Unreachable { .. }) => SubmissionResult::NotAccepted,
+        Err(OperatorClientError::SubmissionUnknown { .. }) => SubmissionResult::Unknown,
         Err(error) => panic!("{error}"),
     }
 }
@@ -212,25 +212,25 @@
 }
 
 submit_cases! {
-    test_operator_client_first_replica_answers: [&[ACCEPTED]] => Ended::Final(SubmitOutcome::Accepted);
-    test_operator_client_next_replica_is_asked: [&[], &[ACCEPTED]] => Ended::Final(SubmitOutcome::Accepted);
-    test_operator_client_conflict_is_final: [&[CONFLICT], &[ACCEPTED]] => Ended::Final(SubmitOutcome::VersionConflict);
-    test_operator_client_lost_answer_is_asked_for_again: [&[Step::Lose, ACCEPTED]] => Ended::Final(SubmitOutcome::Accepted);
-    test_operator_client_unknown_is_asked_for_again: [&[UNKNOWN, CONFLICT]] => Ended::Final(SubmitOutcome::VersionConflict);
-    test_operator_client_nobody_there_is_not_accepted: [&[], &[]] => Ended::NotAccepted;
-    test_operator_client_declined_is_not_accepted: [&[Step::Decline], &[NOT_ACCEPTED], &[]] => Ended::NotAccepted;
-    test_operator_client_silence_is_unknown: [&[Step::Hang]] => Ended::Unknown;
-    test_operator_client_unknown_stays_unknown: [&[UNKNOWN]] => Ended::Unknown;
+    test_operator_client_first_replica_answers: [&[ACCEPTED]] => SubmissionResult::Final(SubmitOutcome::Accepted);
+    test_operator_client_next_replica_is_asked: [&[], &[ACCEPTED]] => SubmissionResult::Final(SubmitOutcome::Accepted);
+    test_operator_client_conflict_is_final: [&[CONFLICT], &[ACCEPTED]] => SubmissionResult::Final(SubmitOutcome::VersionConflict);
+    test_operator_client_lost_answer_is_asked_for_again: [&[Step::Lose, ACCEPTED]] => SubmissionResult::Final(SubmitOutcome::Accepted);
+    test_operator_client_unknown_is_asked_for_again: [&[UNKNOWN, CONFLICT]] => SubmissionResult::Final(SubmitOutcome::VersionConflict);
+    test_operator_client_no_replica_is_not_accepted: [&[], &[]] => SubmissionResult::NotAccepted;
+    test_operator_client_declined_is_not_accepted: [&[Step::Decline], &[NOT_ACCEPTED], &[]] => SubmissionResult::NotAccepted;
+    test_operator_client_silence_is_unknown: [&[Step::Hang]] => SubmissionResult::Unknown;
+    test_operator_client_unknown_stays_unknown: [&[UNKNOWN]] => SubmissionResult::Unknown;
 }
 
-/// Symptom: an operator is told "not accepted", submits another content, and the first
-/// one comes into force. Sequence: the answer to the first copy is lost; later copies
-/// reach replicas without a quorum, which prove that they accepted nothing. Cause: the
-/// proof holds for the later copies alone.
+/// Guards against a manifest that comes into force although its operator was told "not accepted"
+/// and has submitted another. The answer to the first copy of the submission is lost, and later
+/// copies reach replicas without a quorum, which prove that they accepted nothing. That proof
+/// holds only for the later copies.
 #[tokio::test]
 async fn test_operator_client_lost_answer_outweighs_later_proofs() {
     let ended = submit(&[&[Step::Lose, NOT_ACCEPTED], &[NOT_ACCEPTED]]).await;
-    assert_eq!(ended, Ended::Unknown);
+    assert_eq!(ended, SubmissionResult::Unknown);
 }
 
 #[tokio::test]
