--- a/cli/src/commands/direct.rs
+++ b/cli/src/commands/direct.rs
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the settings are invalid or a listener can't be bound.
+/// Fails if the settings are invalid or a listener cannot be bound.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let input = read_settings_file(matches)?;
     let settings = read_direct_settings(&input.name, &input.text)?;
--- a/cli/src/commands/entry.rs
+++ b/cli/src/commands/entry.rs
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the settings are invalid or a listener can't be bound.
+/// Fails if the settings are invalid or a listener cannot be bound.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     let input = read_settings_file(matches)?;
     let settings = parse_settings(&input)?;
--- a/cli/src/log_input.rs
+++ b/cli/src/log_input.rs
@@ -22,7 +22,7 @@
 }
 
 fn read_file(name: &str, lines: &mut Vec<LogLine>) -> Result<(), CliError> {
-    let unreadable = |error: &io::Error| CliError::user(format!("can't read {name}: {error}"));
+    let unreadable = |error: &io::Error| CliError::user(format!("cannot read {name}: {error}"));
     if name == STDIN {
         return read_lines(name, io::stdin().lock(), lines).map_err(|error| unreadable(&error));
     }
--- a/cli/src/logging.rs
+++ b/cli/src/logging.rs
@@ -15,11 +15,11 @@
 /// since their records may contain parts of requests.
 const OWN_CRATES: [&str; 3] = ["heatherring", "heatherring_lib", "heatherring_server"];
 
-/// Reasons for which logging can't be set up.
+/// Reasons for which logging cannot be set up.
 #[derive(Debug, Snafu)]
 pub enum LoggingError {
-    /// The thread that writes the lines can't be started.
-    #[snafu(display("can't start the log writer's thread: {source}"))]
+    /// The thread that writes the lines cannot be started.
+    #[snafu(display("cannot start the log writer's thread: {source}"))]
     Thread {
         /// The operating system's error.
         source: std::io::Error,
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the process already has a logger or the writer's thread can't be started.
+/// Fails if the process already has a logger or the writer's thread cannot be started.
 pub fn start(level: LogLevel) -> Result<(), LoggingError> {
     let writer = LogWriter::start(std::io::stdout(), Arc::new(SystemClock)).context(ThreadSnafu)?;
     let own_level = LevelFilter::MoreSevereEqual(severity(level));
