--- a/server/tests/test_pipelining.rs
+++ b/server/tests/test_pipelining.rs
@@ -1,4 +1,4 @@
-//! Requests that a caller sends on one connection before earlier ones are answered.
+//! Pipelined requests: a caller sends several on one connection before the first is answered.
 
 mod pipelining_support;
 
@@ -17,13 +17,12 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Symptom: a third of one kind of requests was late at a site whose callers send them one
-/// behind the other, although backend servers had room. Sequence: a caller sends two lookups
-/// at once; the first takes long; the second isn't looked at until the first is answered.
-/// Cause: the HTTP library's server takes the next request of a connection when the answer
-/// before it is out.
+/// Guards against slow pipelined requests although backend servers have free slots; a third of one
+/// kind of requests was late at a site whose callers use pipelining. A caller sends two lookups at
+/// once, and the first takes long: the HTTP library's server reads the next request of a connection
+/// only once the previous answer is sent.
 #[tokio::test]
-async fn test_requests_are_handled_side_by_side_and_answered_in_order() {
+async fn test_requests_are_handled_concurrently_and_answered_in_order() {
     let server = Server::start().await;
     let mut stream = server.connect().await;
     let requests = get("/wait/1") + &get("/wait/2") + &get("/3");
@@ -37,18 +36,18 @@
     assert_eq!(answers.matches("HTTP/1.1 200 OK").count(), 3);
 }
 
-/// Symptom: an action ran although the lookup before it had broken its connection, and its
-/// caller could not know. Sequence: lookup, action and lookup come at once; the action begins
-/// while the first answer is due; that answer breaks off, and the connection with it. Cause:
-/// all requests of a connection were begun alike.
+/// Guards against an action that runs without its caller's knowledge: lookup, action and lookup
+/// arrive together, the action starts while the first answer is pending, and that answer is cut
+/// off, which closes the connection. An action must not start before all earlier requests are
+/// answered, nor a later request before the action is.
 #[tokio::test]
-async fn test_an_action_begins_once_all_before_it_is_answered_and_nothing_behind_it_before() {
+async fn test_an_action_starts_after_all_earlier_answers_and_before_all_later_requests() {
     let server = Server::start().await;
     let mut stream = server.connect().await;
     let requests = get("/wait/1") + &post("/wait/2", "x") + &get("/3");
     stream.write_all(requests.as_bytes()).await.unwrap();
     server.until(|seen| seen.begun.len() == 1).await;
-    // A second connection's request comes and goes: whatever was to begin has begun by then.
+    // By the time a request on a second connection is answered, all that may start has started.
     let mut other = server.connect().await;
     other.write_all(get("/other").as_bytes()).await.unwrap();
     read_until(&mut other, "</other >").await;
@@ -60,11 +59,11 @@
     read_until(&mut stream, "</3 >").await;
 }
 
-/// Symptom: backend servers were handed more time than callers had left. Sequence: a request
-/// stands behind an action for a while; its time is counted from when its handling begins.
-/// Cause: nobody noted when its head came.
+/// Guards against backend servers that are given more time than the caller has left: a request
+/// waits behind a pipelined action, and its time is counted from the start of its handling instead
+/// of the arrival of its head.
 #[tokio::test]
-async fn test_the_time_of_a_request_runs_from_the_arrival_of_its_head() {
+async fn test_the_deadline_counts_from_the_arrival_of_the_head() {
     let server = Server::start().await;
     let mut stream = server.connect().await;
     let requests = post("/wait/1", "x") + &get("/2");
@@ -76,15 +75,18 @@
     assert!(seen.arrivals[1] <= while_first_is_handled);
 }
 
-/// Symptom: backend servers went on working for callers that had left. Sequence: a caller
-/// sends many requests at once, more than are read ahead, and closes its connection. Cause:
-/// the end of the connection is noticed by reading, and the unread requests stand before it.
+/// Guards against backend servers that continue to work for callers that have disconnected: a
+/// caller sends more requests than are read ahead and closes its connection. The close is detected
+/// only by reading, and the unread requests come before it.
 #[rstest]
 #[case::nothing_unread(3, false)]
 #[case::unread_requests_behind(120, false)]
 #[case::unread_body_behind(3, true)]
 #[tokio::test]
-async fn test_all_ends_when_the_caller_leaves(#[case] requests: usize, #[case] body: bool) {
+async fn test_all_requests_are_cancelled_when_the_caller_disconnects(
+    #[case] requests: usize,
+    #[case] body: bool,
+) {
     let server = Server::start().await;
     let mut stream = server.connect().await;
     let mut sent: String = (0..requests).map(|n| get(&format!("/wait/{n}"))).collect();
@@ -99,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn test_no_more_than_the_bound_is_begun_ahead() {
+async fn test_no_more_requests_than_the_limit_are_started_ahead() {
     let server = Server::start().await;
     let mut stream = server.connect().await;
     let requests: String = (0..200).map(|n| get(&format!("/wait/{n}"))).collect();
@@ -115,14 +117,14 @@
     read_until(&mut stream, "</wait/199 >").await;
 }
 
-/// Symptom: a planned stop cut requests off. Sequence: two requests of a connection are under
-/// way when the stop begins; the first answer says that the connection closes, and the caller
-/// doesn't wait for the second. Cause: the word was put on the next answer, not the last.
+/// Guards against a planned stop that cuts off pipelined requests: two requests of a connection are
+/// in flight when the stop begins, and the first answer has `connection: close`, so that the caller
+/// does not wait for the second. Only the last answer may have it.
 #[rstest]
 #[case::leaving(false)]
 #[case::stopping(true)]
 #[tokio::test]
-async fn test_a_stop_answers_what_was_begun_and_says_so_last(#[case] at_once: bool) {
+async fn test_a_stop_answers_started_requests_and_announces_the_close_last(#[case] at_once: bool) {
     let server = Server::start().await;
     let mut stream = server.connect().await;
     let requests = get("/wait/1") + &get("/wait/2");
@@ -132,7 +134,7 @@
     if at_once {
         server.stops.stop.cancel();
     }
-    let mut other = server.connect_until_idle(at_once).await;
+    let mut other = server.send_last(at_once).await;
     stream.write_all(get("/3").as_bytes()).await.unwrap();
     server.release("/wait/1");
     let first = read_until(&mut stream, "</wait/1 >").await;
@@ -147,12 +149,11 @@
     }
 }
 
-/// Symptom: a request was lost beside a planned stop, on a connection whose last answer hadn't
-/// said that it closes. Sequence: the stop comes while a body is read; its request is answered
-/// before the body is whole. Cause: the end of reading was taken for what tells the last answer,
-/// and it came only after that.
+/// Guards against a request that is lost in a planned stop because the last answer on its connection
+/// lacked `connection: close`. The stop begins while a body is read, and its request is answered
+/// before the body is complete; the last answer was recognized only once reading had ended.
 #[tokio::test]
-async fn test_an_answer_before_its_body_is_whole_says_that_the_connection_closes() {
+async fn test_an_answer_before_the_end_of_its_body_announces_the_close() {
     let server = Server::start().await;
     let mut stream = server.connect().await;
     let head = "POST /early/1 HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\nx";
@@ -167,18 +168,17 @@
     assert!(answer.contains("connection: close"), "{answer}");
 }
 
-/// Symptom: entry VMs were still there at the end of the time that they have for a planned stop,
-/// and were ended by force. Sequence: a caller has opened a connection, and sends nothing, a part
-/// of a head, or nothing more, when no further request is taken. Cause: the HTTP library closes a
-/// connection between two requests, but waits for the first one of a connection, up to the time
-/// for which a connection may be idle.
+/// Guards against entry VMs that are killed at the end of the grace time of a planned stop because
+/// a connection is still open. When no more requests are accepted, the caller has sent nothing, a
+/// part of a head, or nothing since an answer. The HTTP library closes a connection between two
+/// requests, but waits up to the idle timeout for the first request of a connection.
 #[rstest]
 #[case::nothing_yet("", "")]
 #[case::part_of_a_head("GET /b HT", "")]
 #[case::idle_since_an_answer("GET /a HTTP/1.1\r\nhost: a\r\n\r\n", "</a >")]
 #[case::part_of_a_later_head("GET /a HTTP/1.1\r\nhost: a\r\n\r\nGET /b HT", "</a >")]
 #[tokio::test]
-async fn test_a_stop_ends_connections_on_which_no_request_is_due(
+async fn test_a_stop_closes_connections_without_a_pending_request(
     #[case] sent: &str,
     #[case] answer: &str,
 ) {
@@ -191,15 +191,15 @@
     read_until(&mut other, "</other >").await;
     server.stops.leaving.cancel();
     server.stops.stop.cancel();
-    // The caller keeps its side open, and nothing but the idle timeout is as long.
+    // The caller keeps its side open. Only the idle timeout is longer than this wait.
     let ended = tokio::time::timeout(TEST_TIMEOUT / 4, &mut server.serving).await;
-    assert!(ended.is_ok(), "a connection is still there");
+    assert!(ended.is_ok(), "a connection is still open");
     drop(stream);
 }
 
 impl Server {
-    /// Sends one more request over a connection of its own, unless none is taken any more.
-    async fn connect_until_idle(&self, stopped: bool) -> Option<TcpStream> {
+    /// Sends one more request over a new connection, unless the listener has stopped.
+    async fn send_last(&self, stopped: bool) -> Option<TcpStream> {
         if stopped {
             return None;
         }
@@ -209,14 +209,14 @@
     }
 }
 
-/// Symptom: a peer held a connection by sending the beginning of a head. Cause: only idle
-/// connections were timed. A beginning that came together with the request before it can't be
-/// told from nothing, and is ended as an idle connection is.
+/// Guards against a peer that holds a connection open with the beginning of a head, because only
+/// idle connections had a timeout. A beginning that arrives together with the previous request is
+/// not distinguishable from no data, and is subject to the idle timeout.
 #[rstest]
 #[case::by_itself("", "GET /b HT", TEST_TIMEOUT)]
 #[case::behind_a_request("GET /b HT", "", Duration::from_millis(600))]
 #[tokio::test]
-async fn test_a_slow_head_ends_the_connection(
+async fn test_a_slow_head_closes_the_connection(
     #[case] together: &str,
     #[case] later: &str,
     #[case] idle_timeout: Duration,
@@ -233,7 +233,7 @@
 }
 
 #[tokio::test]
-async fn test_a_body_that_waits_for_permission_gets_it_in_its_turn() {
+async fn test_a_continue_is_sent_after_earlier_answers() {
     let server = Server::start().await;
     let mut stream = server.connect().await;
     let head = "POST /2 HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: 1\r\n\r\n";
@@ -260,7 +260,7 @@
     "close"
 )]
 #[tokio::test]
-async fn test_answers_have_the_form_that_their_requests_ask_for(
+async fn test_answers_follow_the_method_version_and_connection_header(
     #[case] request: &str,
     #[case] body: &str,
     #[case] connection: &str,
--- a/server/tests/test_poison_request.rs
+++ b/server/tests/test_poison_request.rs
@@ -1,4 +1,4 @@
-//! Requests that end each backend server that begins to run them.
+//! Poison requests: each crashes the backend server that runs it.
 
 mod direct_support;
 
@@ -33,19 +33,19 @@
 use http_body_util::Full;
 use tokio::task::JoinHandle;
 
-/// Backend servers that may end under one request before it is known for what it is.
-const ENDS: usize = 3;
+/// Crashes under one request after which it must be put in quarantine.
+const CRASHES: usize = 3;
 
-/// Time within which all entry VMs must know.
-const KNOWN_WITHIN: Duration = Duration::from_secs(4);
+/// Time after the last allowed crash within which all entry VMs must know of the quarantine.
+const MAX_QUARANTINE_DELAY: Duration = Duration::from_secs(4);
 
-/// Tries that may still reach a backend server later than that.
-const LATE_TRIES: usize = 3;
+/// Attempts that may still reach a backend server after that time.
+const MAX_LATE_ATTEMPTS: usize = 3;
 
-/// Time for which the request comes again after that.
-const COMES_AGAIN_FOR: Duration = Duration::from_secs(6);
+/// Time for which the request is sent repeatedly after that.
+const RESEND_TIME: Duration = Duration::from_secs(6);
 
-/// Pause between two requests of one kind.
+/// Interval between two poison requests, and between two ordinary ones.
 const PAUSE: Duration = Duration::from_millis(25);
 
 fn lookup(path: &str, id: &str) -> Request<Full<Bytes>> {
@@ -70,32 +70,33 @@
     listens.map(|listen| listen.callers).collect()
 }
 
-/// Sends the marked request again at once, at one entry VM after the other.
-fn come_again(entries: Vec<SocketAddr>) -> JoinHandle<()> {
-    come_again_from(vec![None], entries)
+/// Sends the poison request repeatedly, to the entry VMs in turn.
+fn send_poison(entries: Vec<SocketAddr>) -> JoinHandle<()> {
+    send_poison_from(vec![None], entries)
 }
 
-/// Does the same, from one address after the other.
-fn come_again_from(sources: Vec<Option<IpAddr>>, entries: Vec<SocketAddr>) -> JoinHandle<()> {
+/// Like [`send_poison`], from the given addresses in turn.
+fn send_poison_from(sources: Vec<Option<IpAddr>>, entries: Vec<SocketAddr>) -> JoinHandle<()> {
     tokio::spawn(async move {
         let sources = sources.iter().cycle();
         for (number, (entry, source)) in entries.iter().cycle().zip(sources).enumerate() {
             let req = lookup(POISON_PATH, &format!("marked-{number}"));
-            // What it is told makes no difference to it.
+            // The caller retries whatever the answer is.
             let _ = call_from(*source, *entry, req).await;
             tokio::time::sleep(PAUSE).await;
         }
     })
 }
 
-/// What callers of ordinary requests were told: when they sent them, and the answers.
+/// Ordinary requests: the time at which each was sent, and its answer.
 #[derive(Default)]
-struct Ordinary {
-    told: Mutex<Vec<(Instant, Option<Answer>)>>,
+struct OrdinaryRequests {
+    answers: Mutex<Vec<(Instant, Option<Answer>)>>,
 }
 
-impl Ordinary {
-    fn send_on(self: &Arc<Self>, entries: Vec<SocketAddr>) -> JoinHandle<()> {
+impl OrdinaryRequests {
+    /// Sends requests continuously, to the entry VMs in turn.
+    fn send_continuously(self: &Arc<Self>, entries: Vec<SocketAddr>) -> JoinHandle<()> {
         let ordinary = Arc::clone(self);
         tokio::spawn(async move {
             for (number, entry) in entries.iter().cycle().enumerate() {
@@ -109,13 +110,13 @@
         let at = Instant::now();
         let path = format!("/safe/{}", number % 40);
         let answer = send(entry, &path, format!("ordinary-{number}")).await;
-        self.told.lock().unwrap().push((at, answer));
+        self.answers.lock().unwrap().push((at, answer));
     }
 
-    /// How many were sent later than `since`, and how many of them were answered.
+    /// Returns how many were sent after `since`, and how many of these were answered with 200.
     fn served_since(&self, since: Instant) -> (usize, usize) {
-        let told = self.told.lock().unwrap();
-        let late = told.iter().filter(|(at, _)| *at > since);
+        let answers = self.answers.lock().unwrap();
+        let late = answers.iter().filter(|(at, _)| *at > since);
         let served = late
             .clone()
             .filter(|(_, answer)| is_served(answer.as_ref()));
@@ -123,8 +124,8 @@
     }
 
     fn refused_as(&self, reason: &str) -> usize {
-        let told = self.told.lock().unwrap();
-        let answers = told.iter().filter_map(|(_, answer)| answer.as_ref());
+        let answers = self.answers.lock().unwrap();
+        let answers = answers.iter().filter_map(|(_, answer)| answer.as_ref());
         answers.filter(|answer| answer.body == reason).count()
     }
 }
@@ -133,7 +134,7 @@
     answer.is_some_and(|answer| answer.status == StatusCode::OK)
 }
 
-/// Entry VMs, and backend servers that end under marked requests.
+/// Starts entry VMs, and backend servers that crash under poison requests.
 async fn start(
     deployment: &mut Deployment,
     record: &Arc<CrashRecord>,
@@ -150,8 +151,7 @@
     (entries, backends)
 }
 
-/// Stops and starts each control replica in turn, so that the leader is among them, and then
-/// replaces all entry VMs.
+/// Restarts each control replica in turn, the leader included, and then replaces all entry VMs.
 async fn restart_all(deployment: &mut Deployment, entries: Vec<Entry>) -> Vec<Entry> {
     for _ in 0..deployment.replicas.len() {
         let settings = deployment.replicas.remove(0).stop().await;
@@ -169,100 +169,97 @@
     entries
 }
 
-/// Waits until as many backend servers have ended as may; returns from when on all entry VMs must
-/// know of the request.
-async fn until_bound(record: &CrashRecord) -> Instant {
-    let ended = wait_for("backend servers that ended", async || {
-        record.crash_time(ENDS)
+/// Waits for [`CRASHES`] crashes. Returns the time from which all entry VMs must know of the
+/// quarantine.
+async fn quarantine_deadline(record: &CrashRecord) -> Instant {
+    let crashed = wait_for("crashes of backend servers", async || {
+        record.crash_time(CRASHES)
     })
     .await;
-    ended.unwrap() + KNOWN_WITHIN
+    crashed.unwrap() + MAX_QUARANTINE_DELAY
 }
 
-/// Has the marked request come until all entry VMs must know of it; returns since when.
-async fn make_known(record: &CrashRecord, entries: &[Entry]) -> Instant {
-    let coming = come_again(addresses(entries));
-    let bound = until_bound(record).await;
+/// Sends the poison request until all entry VMs must know of its quarantine. Returns that time.
+async fn put_in_quarantine(record: &CrashRecord, entries: &[Entry]) -> Instant {
+    let poison = send_poison(addresses(entries));
+    let bound = quarantine_deadline(record).await;
     tokio::time::sleep_until(bound.into()).await;
-    coming.abort();
+    poison.abort();
     bound
 }
 
-/// Checks how many tries have reached a backend server later than `bound`.
-fn check_late_tries(record: &CrashRecord, bound: Instant) {
-    let (attempts, ends) = (record.attempts_since(bound), record.crash_count());
-    println!("{attempts} tries later than the bound, {ends} backend servers ended");
+/// Checks how many attempts have reached a backend server after `bound`.
+fn check_late_attempts(record: &CrashRecord, bound: Instant) {
+    let (attempts, crashes) = (record.attempts_since(bound), record.crash_count());
+    println!("{attempts} attempts after the deadline, {crashes} backend servers crashed");
     assert!(
-        attempts <= LATE_TRIES,
-        "{attempts} tries; {ends} ended in all"
+        attempts <= MAX_LATE_ATTEMPTS,
+        "{attempts} attempts after the deadline, {crashes} backend servers crashed in all"
     );
 }
 
-/// Symptom: one caller's request takes two services down; whoever stands on the backend servers
-/// that end with it loses theirs too. Sequence: a backend server ends when it begins to run the
-/// request, which is sent to a second one at once; that one ends, and the caller is told that the
-/// connection was lost. It sends the same request again, at another entry VM. Cause: what was
-/// known of the request ended with each try, at each entry VM for itself; no count of backend
-/// servers that ended under it was kept anywhere. Evidence: 32 of 32 tries later than the bound
-/// reached backend servers before there was a verdict that all entry VMs share, none since.
+/// Guards against one caller's request that takes two services down, with all requests in flight on
+/// the crashed backend servers. A backend server crashes when it runs the request; the request is
+/// sent to a second one at once, which crashes too; the caller is told that the connection was lost
+/// and sends it again through another entry VM. Each entry VM forgot the request after each attempt,
+/// and nothing counted the crashes. Before entry VMs shared a verdict, 32 of 32 attempts after the
+/// deadline reached backend servers; none since.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_poison_request_ends_few_backend_servers() {
+async fn test_poison_request_crashes_few_backend_servers() {
     let record = Arc::new(CrashRecord::default());
     let mut deployment = Deployment::start(3);
     let (entries, _backends) = start(&mut deployment, &record).await;
-    let ordinary = Arc::new(Ordinary::default());
-    let sending = ordinary.send_on(addresses(&entries));
-    let coming = come_again(addresses(&entries));
-    let bound = until_bound(&record).await;
-    tokio::time::sleep_until((bound + COMES_AGAIN_FOR).into()).await;
-    coming.abort();
+    let ordinary = Arc::new(OrdinaryRequests::default());
+    let sending = ordinary.send_continuously(addresses(&entries));
+    let poison = send_poison(addresses(&entries));
+    let bound = quarantine_deadline(&record).await;
+    tokio::time::sleep_until((bound + RESEND_TIME).into()).await;
+    poison.abort();
     sending.abort();
-    check_late_tries(&record, bound);
+    check_late_attempts(&record, bound);
     let (sent, served) = ordinary.served_since(bound);
     println!("{served} of {sent} ordinary requests served");
     assert!(served * 100 >= sent * 95, "{served} of {sent} served");
     assert_eq!(ordinary.refused_as("quarantined"), 0);
 }
 
-/// Symptom: a request goes on ending backend servers though each of them is known to have ended
-/// under it. Sequence: it comes again from another address each time, in whichever region.
-/// Cause: what was known of it was known of one address alone. Evidence: 24 tries later than the
-/// bound before requests were told apart by content, none since; ends from several addresses
-/// quarantine it for all.
+/// Guards against a request that continues to crash backend servers because it is sent from another
+/// address each time, in any region, and crashes were counted per address. Before requests were
+/// identified by content, 24 attempts after the deadline reached backend servers; none since.
+/// Crashes under requests from several addresses put the request in quarantine for all callers.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_poison_request_is_known_from_any_address() {
     let record = Arc::new(CrashRecord::default());
     let mut deployment = Deployment::start(3);
     let (entries, _backends) = start(&mut deployment, &record).await;
     let sources = (0..16).map(|_| Some(deployment.block.next_vm())).collect();
-    let coming = come_again_from(sources, addresses(&entries));
-    let bound = until_bound(&record).await;
-    tokio::time::sleep_until((bound + COMES_AGAIN_FOR).into()).await;
-    coming.abort();
-    check_late_tries(&record, bound);
+    let poison = send_poison_from(sources, addresses(&entries));
+    let bound = quarantine_deadline(&record).await;
+    tokio::time::sleep_until((bound + RESEND_TIME).into()).await;
+    poison.abort();
+    check_late_attempts(&record, bound);
 }
 
-/// Symptom: a request that was refused for what it does ends backend servers again. Sequence:
-/// control replicas and entry VMs are restarted in turn, and it comes again. Cause: what is known
-/// of it would live in processes alone. The verdict is replicated, and comes with the first view
-/// of an entry VM.
+/// Guards against a quarantined request that crashes backend servers again after control replicas
+/// and entry VMs were restarted in turn, because its verdict was only in memory. The verdict is
+/// replicated, and part of an entry VM's first view.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_poison_request_is_known_after_restarts() {
     let record = Arc::new(CrashRecord::default());
     let mut deployment = Deployment::start(3);
     let (entries, _backends) = start(&mut deployment, &record).await;
-    let bound = make_known(&record, &entries).await;
+    let bound = put_in_quarantine(&record, &entries).await;
     let entries = restart_all(&mut deployment, entries).await;
-    let coming = come_again(addresses(&entries));
-    tokio::time::sleep(COMES_AGAIN_FOR).await;
-    coming.abort();
-    check_late_tries(&record, bound);
+    let poison = send_poison(addresses(&entries));
+    tokio::time::sleep(RESEND_TIME).await;
+    poison.abort();
+    check_late_attempts(&record, bound);
 }
 
-/// Connections that break are no evidence while the backend server lives: answers are garbled,
-/// connections reset.
+/// Guards against a quarantine for broken connections alone, as from invalid answers or resets,
+/// while the backend servers keep running.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_poison_request_is_none_that_breaks_connections_alone() {
+async fn test_poison_request_ignores_broken_connections_alone() {
     let mut deployment = Deployment::start(3);
     let entry = deployment.start_entry("entry-1");
     let mut backends = Vec::new();
@@ -276,55 +273,63 @@
     for backend in &backends {
         backend.behave(Behaviour::Break);
     }
-    let mut told = Vec::new();
+    let mut reasons = Vec::new();
     for number in 0..20 {
         let entry = entry.settings.listen.callers;
         let answer = send(entry, POISON_PATH, format!("marked-{number}")).await;
-        told.push(answer.unwrap().body);
+        reasons.push(answer.unwrap().body);
     }
     assert!(
-        told.iter().any(|body| body == "connection_lost"),
-        "{told:?}"
+        reasons.iter().any(|body| body == "connection_lost"),
+        "{reasons:?}"
+    );
+    assert!(
+        reasons.iter().all(|body| body != "quarantined"),
+        "{reasons:?}"
     );
-    assert!(told.iter().all(|body| body != "quarantined"), "{told:?}");
 }
 
-/// An operator sees which request is in quarantine and for which backend servers, and lets it go.
+/// Checks that an operator sees which request is in quarantine and which backend servers crashed
+/// under it, and can lift the quarantine.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_poison_request_is_shown_and_lifted() {
     let record = Arc::new(CrashRecord::default());
     let mut deployment = Deployment::start(3);
     let (entries, _backends) = start(&mut deployment, &record).await;
-    make_known(&record, &entries).await;
+    put_in_quarantine(&record, &entries).await;
     let replicas = deployment.replicas.iter().map(|r| r.settings.listen);
     let security = PeerSecurity::from_settings(&Security::OpenLoopback).unwrap();
-    let operator = OperatorClient::new(replicas.collect(), security, KNOWN_WITHIN);
+    let operator = OperatorClient::new(replicas.collect(), security, MAX_QUARANTINE_DELAY);
     let suspects = operator.quarantine().await.unwrap().suspects;
     let quarantined = suspects
         .iter()
         .find(|one| one.verdict == "quarantined_from");
     let quarantined = quarantined.unwrap();
-    assert!(quarantined.ended.len() >= ENDS, "{:?}", quarantined.ended);
+    assert!(
+        quarantined.ended.len() >= CRASHES,
+        "{:?}",
+        quarantined.ended
+    );
     let lift = LiftQuarantineRequest {
         request: quarantined.request.clone(),
     };
     assert!(operator.lift_quarantine(&lift).await.unwrap().known);
-    wait_for("the request to be let through", async || {
-        let told = send(addresses(&entries)[0], POISON_PATH, "lifted".to_owned()).await?;
-        (told.body != "quarantined").then_some(())
+    wait_for("the quarantine to be lifted", async || {
+        let answer = send(addresses(&entries)[0], POISON_PATH, "lifted".to_owned()).await?;
+        (answer.body != "quarantined").then_some(())
     })
     .await
     .unwrap();
 }
 
-/// A caller whose request has the path and body of one that ends backend servers isn't refused
-/// for it: only the caller that sent that one is.
+/// Guards against the refusal of another caller whose request has the path and body of a poison
+/// request: crashes under requests of one caller put only that caller's request in quarantine.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_poison_request_of_one_caller_refuses_no_other() {
     let record = Arc::new(CrashRecord::default());
     let mut deployment = Deployment::start(3);
     let (entries, _backends) = start(&mut deployment, &record).await;
-    make_known(&record, &entries).await;
+    put_in_quarantine(&record, &entries).await;
     let entry = addresses(&entries)[0];
     let refused = send(entry, POISON_PATH, "same-caller".to_owned())
         .await
@@ -332,6 +337,6 @@
     assert_eq!(refused.body, "quarantined");
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     let other = deployment.block.next_vm();
-    let told = send_from(other, entry, POISON_PATH, "other-caller".to_owned()).await;
-    assert!(told.is_some_and(|answer| answer.body != "quarantined"));
+    let answer = send_from(other, entry, POISON_PATH, "other-caller".to_owned()).await;
+    assert!(answer.is_some_and(|answer| answer.body != "quarantined"));
 }
--- a/server/tests/test_request_framing.rs
+++ b/server/tests/test_request_framing.rs
@@ -1,4 +1,4 @@
-//! Where a request ends, and which requests are refused for how they are written.
+//! Framing of requests: where a request ends, and which malformed requests are refused.
 
 mod pipelining_support;
 
@@ -20,8 +20,8 @@
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
 
-/// What stands behind a good request and before another one: the status of the last answer
-/// if the connection ends there, and which requests are begun. Each row has one fault.
+/// Sends bytes between two valid requests. Each case has at most one fault, and names the status of
+/// the last answer, if the connection closes there, and the requests that are handled.
 #[rstest]
 #[case::garbage("\u{1}\u{2}\r\n\r\n", Some("400"), &["/a"])]
 #[case::space_before_colon("GET /b HTTP/1.1\r\nhost : a\r\n\r\n", Some("400"), &["/a"])]
@@ -91,11 +91,11 @@
     #[case] last: Option<&str>,
     #[case] begun: &[&str],
 ) {
-    check_what_stands_behind(behind, last, begun).await;
+    check_bytes_between_requests(behind, last, begun).await;
 }
 
-/// Symptom: requests were passed on although nobody could say which host they were meant for.
-/// Cause: hosts were looked at only to find a route, and by the first `Host` alone.
+/// Guards against forwarded requests whose host is ambiguous or missing: the host was used only to
+/// find a route, and only the first `Host` header was read.
 #[rstest]
 #[case::no_host("GET /b HTTP/1.1\r\nx: 1\r\n\r\n", Some("400"), &["/a"])]
 #[case::no_host_beside_the_target("GET http://a/b HTTP/1.1\r\nx: 1\r\n\r\n", Some("400"), &["/a"])]
@@ -123,10 +123,10 @@
     #[case] last: Option<&str>,
     #[case] begun: &[&str],
 ) {
-    check_what_stands_behind(behind, last, begun).await;
+    check_bytes_between_requests(behind, last, begun).await;
 }
 
-async fn check_what_stands_behind(behind: &str, last: Option<&str>, begun: &[&str]) {
+async fn check_bytes_between_requests(behind: &str, last: Option<&str>, begun: &[&str]) {
     for versions in [HttpVersions::Http1, HttpVersions::Both] {
         let server = Server::start_with(versions, TEST_TIMEOUT).await;
         check_answers(&server, behind, last, begun).await;
@@ -145,16 +145,16 @@
     let answers = read_all(&mut stream).await;
     let answered = begun.len() + usize::from(status != "200");
     assert_eq!(answers.matches("HTTP/1.").count(), answered, "{answers}");
-    let (good, rest) = answers.rsplit_once("HTTP/1.").unwrap();
-    assert!(good.starts_with("HTTP/1.1 200 OK"), "{answers}");
-    assert!(good.contains("</a >"), "{answers}");
+    let (earlier, rest) = answers.rsplit_once("HTTP/1.").unwrap();
+    assert!(earlier.starts_with("HTTP/1.1 200 OK"), "{answers}");
+    assert!(earlier.contains("</a >"), "{answers}");
     assert_eq!(rest.split(' ').nth(1), Some(status), "{answers}");
     assert!(rest.contains("connection: close"), "{answers}");
     assert_eq!(server.begun(), begun);
 }
 
-/// Listeners for processes of the deployment take a request when the answer before it is out.
-/// They see less of its bytes, and refuse chunks altogether.
+/// Guards against a laxer check on listeners for processes of the deployment. They read a request
+/// only once the previous answer is sent, see fewer of its bytes, and refuse all chunked bodies.
 #[rstest]
 #[case::no_host("GET /b HTTP/1.1\r\nx: 1\r\n\r\n", Some("400"), &["/a"])]
 #[case::two_hosts(&with_host("a\r\nhost: b"), Some("400"), &["/a"])]
@@ -172,7 +172,7 @@
 #[case::chunks(&with_body("transfer-encoding: chunked", CHUNKS), Some("400"), &["/a"])]
 #[case::a_length(&with_body("content-length: 1", "x"), None, &["/a", "/b", "/c"])]
 #[tokio::test]
-async fn test_connections_of_the_deployment_are_read_as_strictly(
+async fn test_connections_of_the_deployment_are_checked_as_strictly(
     #[case] behind: &str,
     #[case] last: Option<&str>,
     #[case] begun: &[&str],
@@ -203,9 +203,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// However the bytes are cut into pieces, the same requests come out, each whole.
+    /// Checks that the same complete requests are parsed however their bytes are split.
     #[test]
-    fn test_pieces_of_bytes_make_no_difference(
+    fn test_split_of_bytes_makes_no_difference(
         bodies in proptest::collection::vec(proptest::option::of("[a-z]{0,40}"), 1..12),
         chunked in proptest::bool::ANY,
         cuts in proptest::collection::vec(0_usize..2_000, 0..12),
@@ -265,12 +265,12 @@
         .unwrap()
         .unwrap();
     let answers = String::from_utf8_lossy(&answers.lock().unwrap()).into_owned();
-    let wanted = expected
+    let expected_answers = expected
         .iter()
         .map(|(path, body)| format!("<{path} {body}>"));
     let mut after = 0;
-    for answer in wanted {
+    for answer in expected_answers {
         let found = answers[after..].find(&answer);
-        after += found.unwrap_or_else(|| panic!("{answer} isn't in {answers}"));
+        after += found.unwrap_or_else(|| panic!("{answer} is not in order in {answers}"));
     }
 }
--- a/server/tests/test_stop_elsewhere.rs
+++ b/server/tests/test_stop_elsewhere.rs
@@ -1,5 +1,5 @@
-//! Planned stops: work that is begun or taken and can't end before the process does, in places
-//! that `test_direct_stop` doesn't reach.
+//! Planned stops: requests that are accepted or dispatched but can't complete before the process
+//! ends, in cases that `test_direct_stop` does not cover.
 
 mod direct_support;
 
@@ -34,20 +34,20 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// Time that a streamed answer takes, longer than what is left at [`LATE_START_DELAY`].
+/// Duration of a streamed answer; longer than the time left after [`LATE_START_DELAY`].
 const STREAMED: Duration = Duration::from_secs(2);
 
-/// Time for which the leader is frozen: less than the shortest silence that starts an election.
+/// Time for which the leader is suspended; below the shortest election timeout.
 const FROZEN: Duration = Duration::from_millis(400);
 
-/// Symptom: a request was run and answered by its backend server after its entry VM had been
-/// asked to stop, and its caller got no answer. Sequence: a lookup that hangs is under way when
-/// the stop begins; a request that may run twice comes behind it on the connection, is passed on
-/// after the stop and answered at once; its answer waits for the one before it, and is lost with
-/// the process. Cause: whether it can end is asked by the time of its own work, not by whether
-/// its answer can leave; it begins before its turn also once the process stops.
+/// Guards against a request that a backend server runs and answers during a planned stop, but whose
+/// caller gets no answer. A lookup that hangs is in flight when the stop begins; an idempotent
+/// request is pipelined behind it, dispatched after the stop request and answered at once; its
+/// answer waits for the earlier one and is lost when the process ends. Whether it can complete was
+/// judged by its own expected time, not by whether its answer can be sent, and it was started ahead
+/// of its turn even during a stop.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_stop_begins_nothing_whose_answer_waits_behind_another() {
+async fn test_stop_dispatches_nothing_whose_answer_waits_behind_another() {
     let mut deployment = Deployment::start(3);
     let (entry, backend) = start(&mut deployment).await;
     let mut stream = connect(&entry).await;
@@ -71,21 +71,20 @@
     let answered = answers.matches("HTTP/1.1 200").count();
     assert_eq!(
         answered, run_behind as usize,
-        "run and not answered: {answers:?}"
+        "requests were run but not answered: {answers:?}"
     );
 }
 
-/// Symptom: a request that was sent after the end of taking requests was run by a backend server
-/// and cut off with the process. Sequence: a connection is opened before the stop and nothing is
-/// sent on it, or the beginning of a head; the rest of its first request comes a moment after the
-/// time for requests is over, 3.0 to 3.2 s after the signal with 6 s of grace; it is passed on.
-/// Cause: the rest of a first head is waited for half a second longer so that it gets an answer,
-/// and the request is then run like any other.
+/// Guards against a request that arrives after the entry VM has stopped accepting requests, but is
+/// dispatched and cut off when the process ends. Before the stop, a connection is opened and nothing
+/// or the beginning of a head is sent; the rest of its first request arrives shortly after the time
+/// for requests, 3.0 to 3.2 s after the signal with 6 s of grace. The entry VM waits half a second
+/// longer for the rest of a first head so that it can answer, and then ran the request normally.
 #[rstest]
 #[case::nothing_sent_before(0)]
 #[case::head_begun_before(10)]
 #[tokio::test(flavor = "multi_thread")]
-async fn test_stop_runs_no_first_request_after_the_time_for_it(#[case] sent_before: usize) {
+async fn test_stop_dispatches_no_first_request_that_is_late(#[case] sent_before: usize) {
     let mut deployment = Deployment::start(3);
     let (entry, backend) = start(&mut deployment).await;
     let mut stream = connect(&entry).await;
@@ -103,15 +102,18 @@
     };
     let answer = with_announcements(&deployment, &backend, running).await;
     entry.ended().await;
-    assert_eq!(backend.runs(), ran, "it was run: {answer:?}");
+    assert_eq!(
+        backend.runs(),
+        ran,
+        "the request was run; answer: {answer:?}"
+    );
 }
 
-/// Symptom: a request that was read whole before the stop ended without any answer. Sequence: an
-/// entry VM has no manifest yet; a request waits up to 0.8 s for it; the entry VM is asked to
-/// stop and ends sooner than that. Cause: the wait for the first view doesn't look at the stop,
-/// as the wait for a body does.
+/// Guards against a request that is read completely before the stop and gets no answer: an entry VM
+/// has no manifest yet, the request waits up to 0.8 s for it, and the entry VM stops sooner. Unlike
+/// the wait for a body, the wait for the first view did not end with the stop.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_stop_answers_what_waits_for_the_first_view() {
+async fn test_stop_answers_requests_that_wait_for_the_first_view() {
     let mut deployment = Deployment::start(3);
     let entry = deployment.start_entry_with_grace("entry-1", Duration::from_millis(600));
     let mut stream = wait_for("a connection", async || {
@@ -127,15 +129,15 @@
     assert!(answer.contains("HTTP/1.1 503"), "{answer:?}");
 }
 
-/// Runs a backend server whose answers to actions are streamed for [`STREAMED`], with their heads
-/// at once. Counts the actions.
+/// Runs a backend server that sends the head of an action's answer at once and streams its body for
+/// [`STREAMED`]. Counts the actions.
 async fn stream_answers(listener: TcpListener, actions: Arc<AtomicU32>) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(stream_on(stream, Arc::clone(&actions)));
+        tokio::spawn(serve_connection(stream, Arc::clone(&actions)));
     }
 }
 
-async fn stream_on(mut stream: TcpStream, actions: Arc<AtomicU32>) -> std::io::Result<()> {
+async fn serve_connection(mut stream: TcpStream, actions: Arc<AtomicU32>) -> std::io::Result<()> {
     loop {
         let mut bytes = Vec::new();
         while !bytes.windows(4).any(|end| end == b"\r\n\r\n") {
@@ -170,12 +172,12 @@
     }
 }
 
-/// Symptom: an action's answer broke off in the middle with the end of its entry VM. Sequence:
-/// answers of its route are streamed for 2 s; the end of its body comes 1.1 s before the process
-/// ends; it is passed on. Cause: the time that a request is expected to take is learned up to
-/// the head of an answer that isn't read whole.
+/// Guards against an action's answer that is cut off in the middle when its entry VM stops: answers
+/// on its route are streamed for 2 s, and the end of its body arrives 1.1 s before the process ends.
+/// For an answer that is not read completely, the expected time of a request was learned only up to
+/// the head.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_stop_begins_no_answer_that_streams_beyond_it() {
+async fn test_stop_dispatches_nothing_whose_answer_streams_too_long() {
     let mut deployment = Deployment::start(3);
     let entry = deployment.start_entry_with_grace("entry-1", GRACE);
     let mut backend = deployment.start_backend("backend-1").await;
@@ -195,7 +197,7 @@
             let answer = read_all(&mut stream).await;
             assert!(answer.contains("end\r\n0\r\n\r\n"), "{answer:?}");
         }
-        let learned = actions.load(Ordering::SeqCst);
+        let actions_before = actions.load(Ordering::SeqCst);
         let mut stream = connect(&entry).await;
         let action = post("/once/y", "body");
         let (begun, rest) = action.split_at(action.len() - 1);
@@ -205,24 +207,24 @@
         tokio::time::sleep(LATE_START_DELAY).await;
         stream.write_all(rest.as_bytes()).await.unwrap();
         let answer = read_all(&mut stream).await;
-        (actions.load(Ordering::SeqCst) - learned, answer)
+        (actions.load(Ordering::SeqCst) - actions_before, answer)
     };
     let (run, answer) = with_announcements(&deployment, &backend, running).await;
     entry.ended().await;
     serving.abort();
     let whole = answer.ends_with("0\r\n\r\n");
-    assert!(run == 0 || whole, "cut off: {answer:?}");
+    assert!(run == 0 || whole, "the answer was cut off: {answer:?}");
 }
 
-/// Sends an order that changes nothing; returns its answer's status, nothing if there was none.
+/// Sends an operator's call that changes nothing. Returns the status, or `None` without an answer.
 async fn operator_call(address: SocketAddr) -> Option<u16> {
     let req = request(Method::DELETE, "/v1/evacuations/fko-hakata", "");
     Some(call(address, req).await?.status.as_u16())
 }
 
-async fn until_in_order(replicas: &[Replica]) {
+async fn until_calls_succeed(replicas: &[Replica]) {
     for replica in replicas {
-        wait_for("an order", async || {
+        wait_for("a successful operator's call", async || {
             (operator_call(replica.api_address()).await == Some(204)).then_some(())
         })
         .await
@@ -230,7 +232,7 @@
     }
 }
 
-/// Returns which replica leads: while it is frozen, orders wait.
+/// Returns the index of the leader: operator's calls to other replicas wait while it is suspended.
 async fn leader(replicas: &[Replica]) -> usize {
     wait_for("a leader", async || {
         for (index, replica) in replicas.iter().enumerate() {
@@ -251,39 +253,38 @@
     .unwrap()
 }
 
-/// Symptom: an operator's order that had been read got no answer when the replica that took it
-/// was asked to stop. Sequence: the order is passed on to the leader, which is slow for a moment;
-/// the replica is asked to stop; it ends before the leader's answer is there. Cause: the stop
-/// waits for the connections of other processes of the system, and for orders that this replica
-/// has proposed itself, but not for the listener that takes orders.
+/// Guards against an operator's call that gets no answer when the replica that accepted it is
+/// stopped: the call is relayed to the leader, which is slow for a moment, and the replica ends
+/// before the leader answers. The stop waited for connections of other processes of the deployment
+/// and for calls that this replica had proposed itself, but not for the operators' listener.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_stop_of_control_answers_orders_that_the_leader_decides() {
+async fn test_stop_of_control_answers_calls_relayed_to_the_leader() {
     let mut deployment = Deployment::start(3);
     deployment.submit_routes(1, 0).await;
     let mut replicas = std::mem::take(&mut deployment.replicas);
     let mut answers = Vec::new();
     for _ in 0..4 {
-        until_in_order(&replicas).await;
+        until_calls_succeed(&replicas).await;
         let leader = leader(&replicas).await;
         let index = (leader + 1) % replicas.len();
         replicas[leader].freeze(FROZEN);
         let follower = replicas.remove(index);
         tokio::time::sleep(Duration::from_millis(30)).await;
-        let ordering = tokio::spawn(operator_call(follower.api_address()));
+        let calling = tokio::spawn(operator_call(follower.api_address()));
         tokio::time::sleep(Duration::from_millis(100)).await;
         follower.begin_stop();
-        answers.push(ordering.await.unwrap());
+        answers.push(calling.await.unwrap());
         let settings = follower.ended().await;
         replicas.insert(index, Replica::start(settings));
     }
     assert!(answers.iter().all(Option::is_some), "{answers:?}");
 }
 
-/// Symptom: a control replica that was asked to stop while it starts goes on until it is ended by
-/// force. Sequence: it joins, and no replica answers; it is asked to stop. Cause: the request to
-/// stop is looked at only once the replica has joined.
+/// Guards against a control replica that does not stop while it joins: no other replica answers, a
+/// stop is requested, and the request is checked only once the replica has joined, so that the
+/// replica runs until it is killed.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_stop_of_control_ends_one_that_joins() {
+async fn test_stop_of_control_ends_a_joining_replica() {
     let mut deployment = Deployment::start(3);
     let seeds = std::mem::take(&mut deployment.replicas);
     let free = deployment.block.next_vm();
@@ -299,5 +300,5 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     replica.begin_stop();
     let ended = tokio::time::timeout(Duration::from_secs(5), replica.ended()).await;
-    assert!(ended.is_ok(), "it goes on");
+    assert!(ended.is_ok(), "the replica did not stop");
 }
--- a/server/tests/test_strict_requests.rs
+++ b/server/tests/test_strict_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that must not be handled, at every listener that takes callers' requests.
+//! Malformed requests, at every HTTP listener of an entry VM.
 
 mod direct_support;
 mod entry_support;
@@ -20,10 +20,10 @@
 
 const LEASE: Duration = Duration::from_secs(10);
 
-/// Time after which a test has failed; nothing is measured against it.
+/// Time after which a test fails; generous, and no measurement depends on it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Heads' fields, with a body behind them, that each hold one fault.
+/// Header fields, in some cases with a body, with one fault each.
 const FAULTS: [&str; 6] = [
     "\r\n",
     "host: HOST\r\nhost: other.example\r\n\r\n",
@@ -33,7 +33,8 @@
     "host: HOST\r\ncontent-length: 0\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
 ];
 
-/// Sends each fault before a request that is good, and checks that only the fault is answered.
+/// Sends each fault followed by a valid request, and checks that the connection closes after the
+/// 400 for the fault.
 async fn check_faults(listener: SocketAddr, path: &str, host: &str) {
     let start = format!("GET {path} HTTP/1.1\r\n");
     for fault in FAULTS {
@@ -43,7 +44,7 @@
         stream.write_all(sent.as_bytes()).await.unwrap();
         let mut answers = Vec::new();
         let reading = tokio::time::timeout(TEST_TIMEOUT, stream.read_to_end(&mut answers)).await;
-        reading.expect("the connection stays open").unwrap();
+        reading.expect("the connection closes in time").unwrap();
         let answers = String::from_utf8_lossy(&answers);
         assert!(answers.starts_with("HTTP/1.1 400 "), "{sent}: {answers}");
         assert!(answers.contains("connection: close"), "{sent}: {answers}");
@@ -51,25 +52,24 @@
     }
 }
 
-/// Symptom: requests with two framings, without a host or with several were passed on. Sequence:
-/// such a request comes, and a good one behind it. Cause: only what the HTTP library refuses by
-/// itself was refused.
+/// Guards against forwarded requests with two framings, without a host or with several: only what
+/// the HTTP library refuses by itself was refused. Each is followed by a valid request.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn test_strict_requests_where_entry_vms_own_backend_servers() {
     let mut rig = Rig::start(&[PLACE], LEASE).await;
     let backend = rig.start_backend(&[Script::Whole]).await;
     assert_eq!(rig.get(0, "/good").await.text(), "answer to /good");
-    let asked = backend.requests.load(Ordering::SeqCst);
+    let requests = backend.requests.load(Ordering::SeqCst);
     let listen = &rig.entries[0].settings.listen;
     let host = listen.callers.to_string();
     check_faults(listen.callers, &format!("/svc/{SERVICE}/x"), &host).await;
     check_faults(listen.callers, &format!("/lookup/{SERVICE}"), &host).await;
     check_faults(listen.forward, "/x", &host).await;
     check_faults(listen.backend_servers, "/x", &host).await;
-    assert_eq!(backend.requests.load(Ordering::SeqCst), asked);
+    assert_eq!(backend.requests.load(Ordering::SeqCst), requests);
 }
 
-/// The same where they dispatch directly.
+/// Guards against the failure of the previous test at entry VMs with direct dispatch.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_strict_requests_where_entry_vms_dispatch_directly() {
     let mut deployment = Deployment::start(3);
--- a/server/tests/test_team_limits.rs
+++ b/server/tests/test_team_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of teams over entry VMs and control replicas, as whole processes.
+//! Limits of teams across entry VMs and control replicas, run as complete processes.
 
 mod direct_support;
 
@@ -25,8 +25,10 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// What may run besides in a window of 5 s, with the settings of the tests.
+/// Requests that may run above the limit in a window of 5 s, with the settings of the tests.
 const SLACK: f64 = 20.0;
+
+/// Fraction of the limit that may run in addition.
 const OVER: f64 = 0.1;
 
 fn teams(rate: f64, burst: f64) -> Value {
@@ -69,8 +71,8 @@
     call(callers, req).await
 }
 
-/// Symptom: a team runs many times what its limit allows, each entry VM granting it a limit of
-/// its own. Its callers ask all entry VMs at once, and again as soon as they are refused.
+/// Guards against a team that runs a multiple of its limit because each entry VM grants the limit
+/// by itself. The callers use all entry VMs at once, and retry as soon as they are refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_team_limit_holds_over_entry_vms() {
     const RATE: f64 = 10.0;
@@ -108,10 +110,13 @@
     let passed = begun.elapsed().as_secs_f64();
     let run: u32 = ended.iter().map(|(run, _)| run).sum();
     let refused: u32 = ended.iter().map(|(_, refused)| refused).sum();
-    // The test runs for less than a window, unless the machine is slow: then for more of them.
+    // The test takes less than one window, or several on a slow machine.
     let windows = (passed / 5.0).ceil();
     let most = ((RATE * 5.0 + RATE) * (1.0 + OVER) + SLACK) * windows;
-    assert!(f64::from(run) <= most, "{run} ran in {passed} s");
+    assert!(
+        f64::from(run) <= most,
+        "{run} requests were run in {passed} s, {most} are allowed"
+    );
     assert!(run > 0);
     assert!(refused > 0);
     let callers = entries[0].settings.listen.callers;
@@ -120,7 +125,7 @@
     drop(deployment);
 }
 
-/// Symptom: a limit that was lifted, or removed with its team's, goes on being kept.
+/// Guards against a limit that is still enforced after it was lifted.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_team_limit_is_lifted() {
     let (deployment, entries, _backend) = start(0.01, 0.0).await;
@@ -151,8 +156,8 @@
     .unwrap();
 }
 
-/// Symptom: a team without limit is refused while no control replica is in reach; or one with a
-/// limit runs without bound then.
+/// Guards against refusals of a team without a limit while no control replica is reachable, and
+/// against unlimited requests of a team with a limit meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_team_limit_without_control() {
     const RATE: f64 = 10.0;
@@ -177,5 +182,8 @@
         }
     }
     let most = (RATE * 5.0 + RATE) * (1.0 + OVER) + SLACK;
-    assert!(f64::from(run) <= most, "{run} ran without control");
+    assert!(
+        f64::from(run) <= most,
+        "{run} requests were run without control, {most} are allowed"
+    );
 }
--- a/server/tests/test_teams.rs
+++ b/server/tests/test_teams.rs
@@ -1,4 +1,4 @@
-//! Teams at an entry VM that dispatches directly: who may ask, and what is passed on.
+//! Teams at an entry VM with direct dispatch: authentication, home regions, forwarded headers.
 
 mod direct_support;
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Two teams, and a route that needs no key.
+/// Returns two teams, and a public route that needs no key.
 fn teams() -> Value {
     json!({
         "teams": {
@@ -83,8 +83,8 @@
     call(entry.settings.listen.callers, keyed(path, keys)).await
 }
 
-/// Symptom: a caller is served without a key of a team, in another's name, or a backend server
-/// learns a key. Cause: what a caller sends is believed or passed on.
+/// Guards against a caller that is served without a team's key or under another team's name, and
+/// against keys that reach backend servers: headers of callers are trusted or forwarded unchecked.
 #[rstest]
 #[case::key("/safe/x", &["Bearer key-one"], Some("t-1"))]
 #[case::second_key("/safe/x", &["bearer  key-uno "], Some("t-1"))]
@@ -92,7 +92,7 @@
 #[case::key_on_a_public_route("/once/x", &["Bearer key-one"], Some("t-1"))]
 #[case::unknown_key_on_a_public_route("/once/x", &["Bearer key-none"], None)]
 #[tokio::test(flavor = "multi_thread")]
-async fn test_teams_backend_server_learns_the_team_alone(
+async fn test_teams_backend_server_gets_the_team_but_no_key(
     #[case] path: &str,
     #[case] keys: &[&str],
     #[case] team: Option<&str>,
@@ -131,9 +131,10 @@
     entry.stop().await;
 }
 
-/// Symptom: a team's request is served outside of its homes. No backend server stands in them.
+/// Guards against a team's request that is served outside its home regions, which have no backend
+/// server here.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_teams_homes_bind() {
+async fn test_teams_home_regions_are_enforced() {
     let (_deployment, entry, backend) = start().await;
     let runs = backend.runs();
     let answer = ask(&entry, "/safe/x", &["Bearer key-two"]).await.unwrap();
@@ -151,13 +152,11 @@
     text.lines().next().unwrap().to_owned()
 }
 
-/// Symptom: a request runs in the name of a team whose key was taken away before it was sent on.
-///
-/// Sequence: an entry VM reads a head with a key; the key is taken away; the body comes.
-///
-/// Cause: the key is looked up once, when the head comes.
+/// Guards against a request that runs under a team whose key was removed before the request was
+/// dispatched: an entry VM reads a head with the key, the key is removed, and the body arrives. The
+/// key was checked only when the head arrived.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_teams_key_taken_away_while_a_request_waits() {
+async fn test_teams_key_removed_while_a_request_waits() {
     let (deployment, entry, backend) = start().await;
     let runs = backend.runs();
     let callers: SocketAddr = entry.settings.listen.callers;
@@ -169,7 +168,7 @@
     stream.write_all(head.as_bytes()).await.unwrap();
     let left = json!({"teams": {"t-1": {"keys": ["key-uno"]}}});
     deployment.submit_teams(&patch(2, 1), left).await;
-    wait_for("the end of the key", async || {
+    wait_for("the removal of the key", async || {
         let answer = ask(&entry, "/safe/y", &["Bearer key-one"]).await?;
         (answer.status == StatusCode::UNAUTHORIZED).then_some(())
     })
@@ -186,12 +185,9 @@
     entry.stop().await;
 }
 
-/// Symptom: a caller with a new key is told 401, after which it doesn't ask again.
-///
-/// Sequence: a key is added and confirmed; a request with it comes at once, to an entry VM
-/// that hasn't heard of it yet.
-///
-/// Cause: the entry VM takes its own view for the newest there is.
+/// Guards against a 401, after which a caller does not retry, for a new key: the key is added and
+/// confirmed, and a request with it arrives at once at an entry VM that has not received the change
+/// and assumes that its own view is current.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_teams_new_key_is_not_refused() {
     let (deployment, entry, _backend) = start().await;
@@ -208,14 +204,12 @@
     entry.stop().await;
 }
 
-/// Symptom: a request of a new team is served outside of the team's homes.
-///
-/// Sequence: a team with a home elsewhere is added; a request with its key comes at once, waits
-/// for word of control and finds the team.
-///
-/// Cause: what binds the team is looked up in the view from before the wait.
+/// Guards against a request of a new team that is served outside the team's home regions: a team
+/// with another home region is added, and a request with its key arrives at once, waits for an
+/// update from control and finds the team, but its home regions are read from the view before the
+/// wait.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_teams_homes_of_a_new_team_bind() {
+async fn test_teams_home_regions_of_a_new_team_are_enforced() {
     let (deployment, entry, backend) = start().await;
     let runs = backend.runs();
     for version in 2..8 {
@@ -233,11 +227,10 @@
     entry.stop().await;
 }
 
-/// Symptom: callers are told for good that their key is unknown by an entry VM that can't know.
-///
-/// Sequence: control is gone; a request with a key comes that may have been added since.
+/// Guards against a final refusal of an unknown key by an entry VM without contact to control: the
+/// key may have been added since.
 #[tokio::test(flavor = "multi_thread")]
-async fn test_teams_out_of_touch_nothing_is_certain() {
+async fn test_teams_without_control_an_unknown_key_is_not_a_401() {
     let (mut deployment, entry, _backend) = start().await;
     deployment.replicas.pop().unwrap().stop().await;
     let answer = ask(&entry, "/safe/x", &["Bearer key-new"]).await.unwrap();
