--- a/server/tests/test_pipelining.rs
+++ b/server/tests/test_pipelining.rs
@@ -149,9 +149,10 @@
     }
 }
 
-/// Guards against a request that is lost in a planned stop because the last answer on its connection
-/// lacked `connection: close`. The stop begins while a body is read, and its request is answered
-/// before the body is complete; the last answer was recognized only once reading had ended.
+/// Guards against a request that is lost in a planned stop because the last answer on its
+/// connection lacked `connection: close`. The stop begins while a body is read, and its request is
+/// answered before the body is complete; the last answer was recognized only once reading had
+/// ended.
 #[tokio::test]
 async fn test_an_answer_before_the_end_of_its_body_announces_the_close() {
     let server = Server::start().await;
--- a/server/tests/test_poison_request.rs
+++ b/server/tests/test_poison_request.rs
@@ -201,9 +201,9 @@
 /// Guards against one caller's request that takes two services down, with all requests in flight on
 /// the crashed backend servers. A backend server crashes when it runs the request; the request is
 /// sent to a second one at once, which crashes too; the caller is told that the connection was lost
-/// and sends it again through another entry VM. Each entry VM forgot the request after each attempt,
-/// and nothing counted the crashes. Before entry VMs shared a verdict, 32 of 32 attempts after the
-/// deadline reached backend servers; none since.
+/// and sends it again through another entry VM. Each entry VM forgot the request after each
+/// attempt, and nothing counted the crashes. Before entry VMs shared a verdict, 32 of 32 attempts
+/// after the deadline reached backend servers; none since.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_poison_request_crashes_few_backend_servers() {
     let record = Arc::new(CrashRecord::default());
--- a/server/tests/test_stop_elsewhere.rs
+++ b/server/tests/test_stop_elsewhere.rs
@@ -76,10 +76,11 @@
 }
 
 /// Guards against a request that arrives after the entry VM has stopped accepting requests, but is
-/// dispatched and cut off when the process ends. Before the stop, a connection is opened and nothing
-/// or the beginning of a head is sent; the rest of its first request arrives shortly after the time
-/// for requests, 3.0 to 3.2 s after the signal with 6 s of grace. The entry VM waits half a second
-/// longer for the rest of a first head so that it can answer, and then ran the request normally.
+/// dispatched and cut off when the process ends. Before the stop, a connection is opened and
+/// nothing or the beginning of a head is sent; the rest of its first request arrives shortly after
+/// the time for requests, 3.0 to 3.2 s after the signal with 6 s of grace. The entry VM waits half a
+/// second longer for the rest of a first head so that it can answer, but then dispatched the
+/// request normally.
 #[rstest]
 #[case::nothing_sent_before(0)]
 #[case::head_begun_before(10)]
@@ -173,8 +174,8 @@
 }
 
 /// Guards against an action's answer that is cut off in the middle when its entry VM stops: answers
-/// on its route are streamed for 2 s, and the end of its body arrives 1.1 s before the process ends.
-/// For an answer that is not read completely, the expected time of a request was learned only up to
+/// on its route are streamed for 2 s, and the end of the action's request body arrives 1.1 s before
+/// the process ends. For an answer that is not read completely, the expected time of a request was learned only up to
 /// the head.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_stop_dispatches_nothing_whose_answer_streams_too_long() {
