--- a/cli/tests/control_run/entry_client.rs
+++ b/cli/tests/control_run/entry_client.rs
@@ -203,7 +203,7 @@
     }
     assert!(
         incarnation.settled <= incarnation.view.revision.0,
-        "the settled revision is ahead of this entry VM's acknowledged revision"
+        "the settled revision was not acknowledged by this entry VM"
     );
 }
 
--- a/cli/tests/control_run/fault_schedule.rs
+++ b/cli/tests/control_run/fault_schedule.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
     /// Injects nothing for the drawn duration.
-    NoFault,
+    Idle,
     /// Kills a process and restarts it later.
     Kill,
     /// Kills all processes at once and restarts them.
@@ -45,7 +45,7 @@
 
 /// All kinds of faults, each drawn with equal probability.
 const FAULTS: [Fault; 12] = [
-    Fault::NoFault,
+    Fault::Idle,
     Fault::Kill,
     Fault::KillAll,
     Fault::KillTwo,
@@ -82,7 +82,7 @@
     };
     let second = (first + rng.random_range(1..REPLICAS)) % REPLICAS;
     match fault {
-        Fault::NoFault => {}
+        Fault::Idle => {}
         Fault::Kill => cluster.kill(first)?,
         Fault::KillTwo => kill(cluster, &[first, second])?,
         Fault::KillAll => {
--- a/cli/tests/test_control_history.rs
+++ b/cli/tests/test_control_history.rs
@@ -28,7 +28,7 @@
 async fn check(seed: u64, faults: &[Fault]) {
     let history = run(binary(), seed, faults).await.unwrap();
     println!("{}", summary(&history));
-    let violations = history.violations();
+    let violations = history.complaints();
     if !violations.is_empty() {
         for operation in &history.operations {
             println!("{operation:?}");
--- a/cli/tests/test_region_loss.rs
+++ b/cli/tests/test_region_loss.rs
@@ -1,4 +1,4 @@
-//! RegionLossTest of all control replicas of a region, over real processes.
+//! Loss of all control replicas of a region, over real processes.
 
 use std::path::Path;
 use std::time::Duration;
