--- a/cli/src/commands/quarantine.rs
+++ b/cli/src/commands/quarantine.rs
@@ -37,13 +37,13 @@
             Arg::new("lift")
                 .long("lift")
                 .value_name("FINGERPRINT")
-                .help("Lifts the quarantine of this request"),
+                .help("Removes this request from the suspects, which lifts its quarantine"),
         )
         .arg(output_arg());
     with_control_args(command, true)
 }
 
-/// Shows the suspected requests, or lifts the quarantine of one.
+/// Shows the suspected requests, or removes one from them.
 pub fn run(matches: &ArgMatches) -> Result<(), CliError> {
     match matches.get_one::<String>("lift") {
         Some(request) => lift(matches, request),
--- a/cli/src/manifest_source.rs
+++ b/cli/src/manifest_source.rs
@@ -31,7 +31,7 @@
     Err(CliError::refused(if version == 0 {
         "no manifest is in force".to_owned()
     } else {
-        format!("control has no manifest of version {version}")
+        format!("control has no stored text of manifest version {version}")
     })
     .with_hint("`heatherring manifest history` lists what was accepted"))
 }
