--- a/lib/src/cold_queries.rs
+++ b/lib/src/cold_queries.rs
@@ -1,5 +1,5 @@
 //! Queries by which an entry VM without contact to control asks backend servers whether they
-//! are cold.
+//! are cold: whether their caches were lost, so that they handle only a reduced request rate.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 pub struct ColdQuery {
     /// The backend server.
     pub backend: BackendKey,
-    /// Its name; identifies one process instance.
+    /// Its name, which the reply has to carry.
     pub name: BackendName,
     /// Its address.
     pub address: SocketAddr,
@@ -45,9 +45,9 @@
 
     /// Returns the queries that are due, at most one per place, and the time of the next ones.
     ///
-    /// One reply is taken for the whole place, because an evacuation makes all backend servers
-    /// of a place cold. Querying all of them would cost more than the requests themselves when
-    /// all entry VMs have lost control.
+    /// A reply counts for all backend servers of the place, because an evacuation makes all of
+    /// them cold. Querying every backend server would cost more than the requests
+    /// themselves when all entry VMs have lost control.
     pub fn cold_queries(&mut self, now: Instant) -> (Vec<ColdQuery>, Instant) {
         let mut queries = Vec::new();
         for (place, members) in self.query_targets(now) {
--- a/lib/src/digest_throttle.rs
+++ b/lib/src/digest_throttle.rs
@@ -11,11 +11,11 @@
 use crate::load_digest::GroupLoad;
 
 /// Maximum interval between digests when nothing changes. One tenth of the time after
-/// which a digest lapses, so that the receivers' confidence stays above 0.9.
+/// which a digest expires, so that the receivers' confidence stays above 0.9.
 pub const MAX_DIGEST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Change of a group's utilization, as a fraction of its slots, that is sent at once.
-const USE_CHANGE_THRESHOLD: f64 = 0.15;
+const UTILIZATION_CHANGE_THRESHOLD: f64 = 0.15;
 
 /// Tracks the last digest that was sent.
 #[derive(Debug, Default)]
@@ -39,7 +39,7 @@
         let since_sent = now.saturating_duration_since(last_sent.at);
         since_sent >= MAX_DIGEST_INTERVAL
             || last_sent.loads.len() != loads.len()
-            || last_sent.loads.iter().zip(loads).any(differ)
+            || last_sent.loads.iter().zip(loads).any(differs_significantly)
     }
 
     /// Records that `loads` were sent.
@@ -56,14 +56,14 @@
     }
 }
 
-fn differ((last_sent, load): (&GroupLoad, &GroupLoad)) -> bool {
+fn differs_significantly((last_sent, load): (&GroupLoad, &GroupLoad)) -> bool {
     last_sent.group != load.group
         || last_sent.slots != load.slots
         || last_sent.full_origins != load.full_origins
-        || (share_used(last_sent) - share_used(load)).abs() >= USE_CHANGE_THRESHOLD
+        || (utilization(last_sent) - utilization(load)).abs() >= UTILIZATION_CHANGE_THRESHOLD
 }
 
-fn share_used(load: &GroupLoad) -> f64 {
+fn utilization(load: &GroupLoad) -> f64 {
     let used = f64::from(load.in_flight) + f64::from(load.queued);
     used / f64::from(load.slots.max(1))
 }
--- a/lib/src/drain.rs
+++ b/lib/src/drain.rs
@@ -1,8 +1,8 @@
 //! Decides which planned drains are carried out and which are held back.
 //!
 //! A drain that would leave too little capacity for the current load, or would shift more requests
-//! than the shift caps allow, is held back until that changes. A backend server that announces
-//! itself as leaving is never held back.
+//! to other places than the shift caps allow, is held back until that changes. A backend server
+//! that announces itself as leaving is never held back.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -52,7 +52,7 @@
         /// Number of slots that would remain.
         left: u64,
     },
-    /// The place's load would exceed what the shift caps and place limits allow to be shifted.
+    /// More requests would shift to other places than the shift caps and place limits allow.
     #[snafu(display(
         "service {service}: {needed} requests per second would shift from {place}, but shift caps \
          and place limits allow {allowed}"
@@ -82,9 +82,9 @@
     pub carried_out: &'a [Drain],
 }
 
-/// Decides on the planned drains in the order of the manifest, counting the capacity that earlier
-/// drains remove unless they are held back. A backend server unknown to this process is skipped:
-/// its owner decides.
+/// Decides on the planned drains in the order of the manifest. Each decision takes into account
+/// the capacity removed by earlier drains that are carried out. A backend server unknown to this
+/// process is skipped: the entry VM that owns its group decides.
 #[must_use]
 pub fn decide(inputs: DrainInputs<'_>) -> Vec<DrainDecision> {
     let mut drained = DrainedCapacity::default();
@@ -189,7 +189,7 @@
     Ok(())
 }
 
-/// Checks that the requests now served at `place` may be served elsewhere.
+/// Checks that shift caps and place limits allow the request rate of `place` at other places.
 ///
 /// Places are filled one after the other, each up to its limit per second and the remaining room of
 /// the caps that apply. This greedy assignment may underestimate the capacity, but never
@@ -219,8 +219,9 @@
             origin: place,
             place: other,
         };
-        let now = load(inputs, name, other).map_or(0, |load| u64::from(load.arrivals_per_second));
-        let mut room = u64::from(limit.max_per_second).saturating_sub(now);
+        let current_rate =
+            load(inputs, name, other).map_or(0, |load| u64::from(load.arrivals_per_second));
+        let mut room = u64::from(limit.max_per_second).saturating_sub(current_rate);
         for (_, left) in caps.iter().filter(|(cap, _)| cap_covers(cap, shift)) {
             room = room.min(*left);
         }
--- a/lib/src/duration_text.rs
+++ b/lib/src/duration_text.rs
@@ -12,9 +12,11 @@
 /// to the clock's time would overflow.
 const MAX_DURATION: Duration = Duration::from_hours(365 * 24);
 
-/// A text is not a duration, or is too long a one.
+/// The text is not a duration, or the duration exceeds 365 days.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
-#[snafu(display("{text:?} is not a duration; allowed is a number followed by ms or s"))]
+#[snafu(display(
+    "{text:?} is not a duration; allowed is a number followed by ms or s, up to 365 days"
+))]
 pub struct DurationTextError {
     /// The text that could not be parsed.
     pub text: String,
--- a/lib/src/fleet_record.rs
+++ b/lib/src/fleet_record.rs
@@ -25,7 +25,7 @@
     Superseded,
 }
 
-/// Contents of the last announcement of a backend server that changed something.
+/// Contents of a backend server's last announcement that changed the replicated state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BackendRecord {
     /// Service that the backend server belongs to.
@@ -50,7 +50,7 @@
     pub cold_for: Duration,
 }
 
-/// Maximum number of slots of a backend server. A larger number cannot be a slot count.
+/// Maximum number of slots of a backend server. A larger number indicates a faulty announcement.
 const MAX_SLOTS: u32 = 1 << 16;
 
 /// Maximum remaining cold-start time of a backend server.
@@ -88,7 +88,7 @@
         slots: u32,
     },
     /// The remaining cold-start time is out of range.
-    #[snafu(display("cold for {} s, which is longer than allowed", cold_for.as_secs()))]
+    #[snafu(display("cold for {} s; allowed is up to {MAX_COLD_TIME:?}", cold_for.as_secs()))]
     Cold {
         /// Announced remaining cold-start time.
         cold_for: Duration,
@@ -165,8 +165,8 @@
 pub struct BackendIncarnation {
     /// Name of the backend server, which may be the same in several incarnations.
     pub backend: BackendName,
-    /// Start time of the incarnation, as in [`BackendRecord::born`]. Where an incarnation is
-    /// removed, earlier ones are too.
+    /// Start time of the incarnation, as in [`BackendRecord::born`]. Removing an
+    /// incarnation also removes earlier ones.
     pub born: u64,
 }
 
--- a/lib/src/handover.rs
+++ b/lib/src/handover.rs
@@ -1,4 +1,6 @@
-//! State that is handed over between the old and the new owner of a group.
+//! Handover of a group of backend servers: the state that its old owner sends to the new one.
+//!
+//! The transfer of Raft leadership is a different handover; see `raft_leader`.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,7 +13,7 @@
 use crate::ownership::Release;
 use crate::ownership::ReleasedWork;
 
-/// Maximum number of releases kept that arrived before the corresponding view.
+/// Maximum number of stored releases of groups that this session does not own yet.
 const MAX_EARLY_RELEASES: usize = 4_096;
 
 /// Releases of one session: those it made as a previous owner, and those received before
@@ -34,11 +36,12 @@
     pub revision: Revision,
     /// Whether all requests that may be running are known.
     pub complete: bool,
-    /// Slots held for requests that may be running although their dispatch is finished.
+    /// Slots held for requests that may still be running although this session no longer waits
+    /// for their answers.
     pub held: Vec<HeldSlot>,
 }
 
-/// A release that arrived before the corresponding view.
+/// A release that arrived before the view that makes this session the new owner.
 #[derive(Debug)]
 pub struct EarlyRelease {
     /// Time at which it arrived.
@@ -77,8 +80,8 @@
         release
     }
 
-    /// Adds a request of a released group that may still be running although its dispatch
-    /// is finished.
+    /// Adds a request of a released group that may still be running although this session no
+    /// longer waits for its answer.
     pub fn hold(&mut self, group: &Group, held: HeldSlot) {
         if let Some(released) = self.released.get_mut(group) {
             released.held.push(held);
@@ -99,7 +102,8 @@
         self.released.remove(group);
     }
 
-    /// Stores a release for a group that this session does not own yet.
+    /// Stores a release for a group that this session does not own yet, unless one at least
+    /// as recent is stored or the number of stored releases is at its limit.
     pub fn keep_early(&mut self, received_at: Instant, release: &Release) {
         let version = |release: &Release| (release.revision, release.serial);
         let known = self.early.get(&release.group);
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Removes and returns the stored release of a group, if it covers owners later than
+    /// Removes the stored release of a group, and returns it if its revision is later than
     /// `seen_until`.
     pub fn take_early(&mut self, group: &Group, seen_until: Revision) -> Option<EarlyRelease> {
         let early = self.early.remove(group)?;
--- a/lib/src/place_lookup.rs
+++ b/lib/src/place_lookup.rs
@@ -13,7 +13,7 @@
 ///
 /// Entry VMs in the caller's region are preferred, because any other adds a round trip to
 /// another region to each request. If there are none, those in the request's home regions are
-/// returned, because its body may not be held anywhere else; if there are none of these either,
+/// returned, because its body must not be stored in any other region; if there are none there,
 /// all entry VMs.
 #[must_use]
 pub fn pick<'a>(
--- a/lib/src/raft_follower.rs
+++ b/lib/src/raft_follower.rs
@@ -57,6 +57,7 @@
     previous: Position,
     entries: Vec<LogEntry>,
     commit: Revision,
+    /// Number of the leader's heartbeat round.
     barrier: u64,
 }
 
@@ -124,10 +125,12 @@
         }
     }
 
-    /// Returns a time at which the sender of a message was certainly the leader and had not
-    /// sent the message yet; `None` if the reply is not known here. The sender had received
-    /// this replica's reply `reply_number` and was last proven to lead `contact_ms` before it
-    /// sent the message.
+    /// Returns a time, by the local clock, at which the sender of an append certainly led and
+    /// had committed no more than the append states; `None` if the time at which this replica
+    /// sent its reply `reply_number` is unknown.
+    ///
+    /// The leader sent the append after it had received that reply, and was last proven to
+    /// lead `contact_ms` before it sent the append.
     fn commit_as_of(&self, reply_number: u64, contact_ms: u32) -> Option<Instant> {
         let sent_at = self.sent_replies.sent_at(reply_number)?;
         sent_at.checked_sub(Duration::from_millis(contact_ms.into()))
@@ -158,7 +161,7 @@
         let append = self.skip_committed(append);
         let previous = append.previous;
         if self.log.term_at(previous.index) != Some(previous.term) {
-            let index = self.retry_position(previous.index);
+            let index = self.retry_index(previous.index);
             let matched = false;
             let kind = MessageKind::AppendReply {
                 matched,
@@ -201,7 +204,7 @@
     /// Returns the index from which the leader should retry: just past the end of a log
     /// that is too short, otherwise the start of the conflicting term, so that a conflict
     /// costs one round trip per term instead of one per entry.
-    fn retry_position(&self, index: Revision) -> Revision {
+    fn retry_index(&self, index: Revision) -> Revision {
         let last = self.last_index();
         if index > last {
             return last.next();
@@ -239,7 +242,7 @@
         }
         let last = chunk.last;
         let complete = self.add_chunk(chunk) && last;
-        let received = self.received();
+        let received = self.received_bytes();
         if complete && let Some(incoming) = self.incoming.take() {
             self.install(incoming.into_snapshot(), fx);
         }
@@ -250,11 +253,11 @@
     /// next chunk in order. Others are dropped.
     fn add_chunk(&mut self, chunk: IncomingChunk) -> bool {
         let leader_term = self.term();
-        let same = self
+        let continues_incoming = self
             .incoming
             .as_ref()
             .is_some_and(|incoming| incoming.leader_term == leader_term && incoming.at == chunk.at);
-        if !same {
+        if !continues_incoming {
             self.incoming = Some(IncomingSnapshot {
                 leader_term,
                 at: chunk.at,
@@ -262,14 +265,14 @@
                 data: Vec::new(),
             });
         }
-        let is_next = chunk.offset == self.received();
+        let is_next = chunk.offset == self.received_bytes();
         if is_next && let Some(incoming) = &mut self.incoming {
             incoming.data.extend(chunk.data);
         }
         is_next
     }
 
-    fn received(&self) -> u64 {
+    fn received_bytes(&self) -> u64 {
         self.incoming
             .as_ref()
             .map_or(0, |incoming| incoming.data.len() as u64)
--- a/lib/src/raft_leader.rs
+++ b/lib/src/raft_leader.rs
@@ -17,12 +17,12 @@
 use crate::raft_progress::LeaderCx;
 use crate::raft_progress::Progress;
 
-/// Number of rounds unanswered by a majority at which reads no longer start a round of
-/// their own and wait for the next heartbeat instead.
+/// Number of rounds not yet answered by a majority that stops reads from starting rounds.
+/// They wait for the next heartbeat instead.
 const MAX_UNANSWERED_ROUNDS: u64 = 16;
 
 /// Limit on pending reads; further ones are refused.
-const MAX_WAITING_READS: usize = 16_384;
+const MAX_PENDING_READS: usize = 16_384;
 
 /// Contains the state of a leader.
 #[derive(Debug)]
@@ -74,8 +74,8 @@
 }
 
 impl LeaderState {
-    /// Creates the state of a new leader. `contact` is when it started its candidacy, since
-    /// its votes prove no later contact.
+    /// Creates the state of a new leader. `contact` is the start of its candidacy: a vote
+    /// proves only that the voter was in contact at some time after it.
     pub fn new(
         own_id: ReplicaId,
         membership: &Membership,
@@ -99,7 +99,8 @@
         leader
     }
 
-    /// Starts replication to members that it does not cover yet.
+    /// Starts replication to members that are not replicated to yet. Replication to a replica that
+    /// was removed and added again is not ended by [`Self::drop_removed`].
     pub fn add_peers(&mut self, membership: &Membership, last: Revision, contact: Instant) {
         for id in membership.ids() {
             if id != self.own_id {
@@ -189,7 +190,7 @@
     }
 
     /// Returns the highest index that a majority holds durably. The leader counts itself,
-    /// since its records are synced before any other effect of this step is carried out.
+    /// since its log entries are synced before any other effect of this step is carried out.
     pub fn quorum_match(&self, membership: &Membership, last: Revision) -> Revision {
         membership
             .quorum_value(|id| self.peers.get(&id).map_or(last, |peer| peer.matched))
@@ -210,7 +211,7 @@
     /// Queues a read. It is answered once a majority has answered a round that starts after
     /// this call.
     pub fn read(&mut self, token: Token, fx: &mut Effects) {
-        if self.reads.len() >= MAX_WAITING_READS {
+        if self.reads.len() >= MAX_PENDING_READS {
             let reason = Refusal::Busy;
             fx.answers.push(Answer::Refused { token, reason });
             return;
@@ -221,7 +222,8 @@
         });
     }
 
-    /// Starts a round if pending reads need one, and answers the reads that are proven.
+    /// Starts a round if pending reads need one, and answers the reads for which leadership is
+    /// proven.
     pub fn drive_reads(&mut self, membership: &Membership, cx: &LeaderCx, fx: &mut Effects) {
         if self.reads.is_empty() || cx.commit < self.term_start {
             return;
--- a/lib/src/request_diagnosis.rs
+++ b/lib/src/request_diagnosis.rs
@@ -10,12 +10,12 @@
 
 use crate::probable_cause;
 
-/// Time before a decision from which on changes are included: missing heartbeats are detected
-/// after some seconds, and backend servers stay cold for as long.
+/// Maximum time by which an included change may precede a decision. Missing heartbeats are
+/// detected only after some seconds, and backend servers stay cold for some seconds.
 const CONTEXT_BEFORE: Duration = Duration::from_secs(10);
 
-/// Time after a decision up to which changes are included: the clocks of VMs differ, and a loss
-/// is logged only when it is detected.
+/// Maximum time by which an included change may follow a decision: the clocks of VMs differ, and
+/// a loss is logged only when it is detected.
 const CONTEXT_AFTER: Duration = Duration::from_secs(2);
 
 /// Events of changes that affect all requests, whichever process logged them.
@@ -52,7 +52,7 @@
     pub source: String,
     /// Time of the line, by the clock of the VM that wrote it.
     pub at: Timestamp,
-    /// Name of the event, as in `refused`.
+    /// Name of the event, such as `refused`.
     pub event: String,
     /// The message of the line, a sentence.
     pub message: String,
@@ -140,7 +140,8 @@
     }
 }
 
-/// Returns whether a line reports a change that may have affected `decision`.
+/// Returns whether a line reports a change that may have affected `decision`. The time
+/// for which the request was held before the decision extends the period that is searched.
 fn is_change(line: &LogLine, decision: &LogLine) -> bool {
     let held = Duration::from_millis(decision.number("held_ms"));
     let since = decision.at.duration_since(line.at);
--- a/lib/src/service_latency.rs
+++ b/lib/src/service_latency.rs
@@ -1,7 +1,7 @@
 //! Run times of the requests of a service by route, with their data cached and without.
 //!
 //! A service may serve routes whose work differs by a factor of six, so a single estimate for
-//! all of them would be right for none. Queueing times are based on the mean over the service,
+//! all of them would be wrong for each. Queueing times are based on the mean over the service,
 //! since queued requests may be of any route.
 //!
 //! Responses do not tell whether a request found its data cached: a different entry VM may have
@@ -20,9 +20,9 @@
 /// count.
 const STEP: f64 = 0.05;
 
-/// Number of observations of one kind whose mean initializes its estimate. The value assumed
-/// before is off by a factor of up to five, and steps of [`STEP`] would take ten seconds to
-/// correct that at twenty requests a second.
+/// Number of observations of one kind whose mean initializes its estimate. The value assumed before
+/// the first response is off by a factor of up to five, and steps of [`STEP`] would take ten
+/// seconds to correct that at twenty requests a second.
 const INITIAL_OBSERVATIONS: u32 = 8;
 
 /// Upper bound of an initial observation, as a multiple of the estimate, so that an early
@@ -74,7 +74,7 @@
         self.observed >= INITIAL_OBSERVATIONS
     }
 
-    /// Moves the estimate towards the quantile `share` of the observations.
+    /// Moves the estimate towards a quantile of the observations: `share`, from 0 to 1.
     fn observe(&mut self, took: f64, share: f64) {
         if !self.is_settled() {
             self.observed += 1;
@@ -88,18 +88,21 @@
     }
 }
 
-/// Mean time from the head of a response to its last byte; zero for most routes, whose
-/// responses are buffered completely before they are forwarded.
+/// Running mean of the time from the head of a response to its last byte; zero for most routes,
+/// whose responses are buffered completely before they are forwarded.
 #[derive(Clone, Copy, Debug, Default)]
 struct BodyTime {
     mean: f64,
+    /// Number of responses that the mean covers.
     answers: f64,
 }
 
 impl BodyTime {
-    /// Number of latest responses that the mean covers.
+    /// Maximum number of latest responses that the mean covers.
     const MAX_ANSWERS: f64 = 20.0;
 
+    /// Counts a response whose head arrived with a body time of zero; [`Self::note_end`] adds
+    /// the actual time if the response is streamed.
     fn note_head(&mut self) {
         self.answers = (self.answers + 1.0).min(Self::MAX_ANSWERS);
         self.mean -= self.mean / self.answers;
@@ -136,10 +139,10 @@
 
     /// Returns the median time to the last byte of a response, in seconds.
     ///
-    /// [`Self::expected`] serves to rank backend servers and is not a bound on the run time: if
-    /// all requests take equally long, they count as cold, and half of that is expected of warm
-    /// ones. Moreover, it ends at the head of a response. To decide whether a request can still
-    /// complete, use this estimate as well.
+    /// [`Self::expected`] serves to rank backend servers and is not a bound on the run time: if all
+    /// requests take equally long, they are classified as cold, and the estimate for warm ones is
+    /// half as long (`MIN_COLD_RATIO`). Moreover, it excludes the response body. To decide whether
+    /// a request can still complete, use this estimate as well.
     #[must_use]
     pub fn time_to_last_byte(&self) -> f64 {
         self.median.value + self.body.mean
@@ -200,7 +203,7 @@
             return *key;
         }
         if self.routes.len() >= MAX_ROUTES {
-            self.drop_oldest();
+            self.evict_least_recently_used();
         }
         let key = self.routes.insert(RouteEntry {
             name: name.clone(),
@@ -211,12 +214,12 @@
         key
     }
 
-    fn drop_oldest(&mut self) {
-        let oldest = self
+    fn evict_least_recently_used(&mut self) {
+        let least_recently_used = self
             .routes
             .iter()
             .min_by_key(|(_, route_entry)| route_entry.last_used);
-        if let Some(key) = oldest.map(|(key, _)| key)
+        if let Some(key) = least_recently_used.map(|(key, _)| key)
             && let Some(route_entry) = self.routes.remove(key)
         {
             self.by_name.remove(&route_entry.name);
--- a/lib/src/shift_budget.rs
+++ b/lib/src/shift_budget.rs
@@ -1,4 +1,5 @@
-//! Limits how many requests from callers elsewhere a session lets through.
+//! Enforces shift caps: limits on the rate of requests from callers in one place or region that
+//! are served in another.
 //!
 //! A shift cap applies to all owners of backend servers at its target end together. Each
 //! owner has a share in proportion to the capacity of the places that it owns. Requests
@@ -39,8 +40,8 @@
     session: SessionId,
     sharing: Sharing,
     caps: BTreeMap<CapKey, CapBudget>,
-    /// Whether a view was applied. From then on, a cap that the previous view did not
-    /// contain is known to have been no limit; the first view resets all shares.
+    /// Whether a view was applied. The first view resets all shares. After it, a cap that was
+    /// not in the previous view is known not to have limited requests until now.
     has_view: bool,
 }
 
@@ -58,7 +59,7 @@
     usage: UsageWindow,
 }
 
-/// Share of a cap that is not in the manifest.
+/// Share that stands for no limit, for a cap that is not in the manifest.
 const NO_CAP: u64 = u64::MAX;
 
 impl ShiftBudgets {
@@ -96,7 +97,8 @@
         self.has_view = true;
     }
 
-    /// Records that `revision` is settled and removes budgets whose cap no longer exists.
+    /// Records that `revision` is settled, so that no session acts on an older view, and removes
+    /// budgets whose cap no longer exists.
     pub fn settle(&mut self, now: Instant, revision: Revision) {
         self.caps.retain(|_, budget| {
             budget.share.settle(now, revision);
@@ -291,6 +293,8 @@
     covers(shift.manifest, &cap.from, &cap.to, shift)
 }
 
+/// Returns whether a shift counts towards a cap with these ends.
+///
 /// `Any` at one end stands for all places outside the other end; at both ends, for all
 /// places other than the caller's.
 fn covers(manifest: &Manifest, from: &Scope, to: &Scope, shift: Shift<'_>) -> bool {
--- a/lib/src/usage_window.rs
+++ b/lib/src/usage_window.rs
@@ -10,9 +10,10 @@
 /// Length of the window to which caps and limits apply.
 pub const WINDOW: Duration = Duration::from_secs(1);
 
-/// Maximum reduction of the interval between two uses on their way to where they are
-/// counted. Without it, a use just after the end of a window could arrive within it, and
-/// a count at the backend servers would exceed the limit.
+/// Allowance for network jitter: the interval between two uses may be this much shorter
+/// where they arrive, and are counted, than here. Without it, a use just after the end of
+/// a window could arrive within it, and a count at the backend servers would exceed the
+/// limit.
 pub const ARRIVAL_JITTER: Duration = Duration::from_millis(50);
 
 /// Time for which a use counts.
@@ -64,14 +65,15 @@
     pub fn has_room(&mut self, now: Instant, amount: u64, limit: u64) -> bool {
         self.expire(now);
         let fits_window = self.sum + self.reserved + amount <= limit;
-        fits_window && self.recent(now) + amount <= subwindow_limit(limit).max(amount)
+        fits_window && self.used_in_subwindow(now) + amount <= subwindow_limit(limit).max(amount)
     }
 
-    /// Returns whether an `amount` that is reserved may be used now.
+    /// Returns whether an `amount` that is reserved may be used now under `limit` and the
+    /// limit on a subwindow.
     pub fn may_use_reserved(&mut self, now: Instant, amount: u64, limit: u64) -> bool {
         self.expire(now);
         self.sum + amount <= limit
-            && self.recent(now) + amount <= subwindow_limit(limit).max(amount)
+            && self.used_in_subwindow(now) + amount <= subwindow_limit(limit).max(amount)
     }
 
     /// Returns the amount that still fits under `limit` in addition to the reservations.
@@ -158,7 +160,7 @@
         }
     }
 
-    fn recent(&self, now: Instant) -> u64 {
+    fn used_in_subwindow(&self, now: Instant) -> u64 {
         let subwindow = COUNTED_FOR / SUBWINDOWS;
         self.buckets
             .iter()
--- a/server/src/explain_client.rs
+++ b/server/src/explain_client.rs
@@ -44,7 +44,9 @@
         source: hyper::Error,
     },
     /// The answer was incomplete or exceeded the size limit.
-    #[snafu(display("{address} gave no complete answer: {source}"))]
+    #[snafu(display(
+        "{address} gave an answer that is incomplete or exceeds {MAX_ANSWER_BYTES} bytes: {source}"
+    ))]
     Body {
         /// The address queried.
         address: SocketAddr,
@@ -53,7 +55,8 @@
     },
     /// The status shows that the address is not that of an entry VM.
     #[snafu(display(
-        "{address} answered with status {status}; is it listen.backend_servers of an entry VM?"
+        "{address} answered with status {status}; is it the listen.backend_servers address of an \
+         entry VM?"
     ))]
     Status {
         /// The address queried.
@@ -89,13 +92,16 @@
     filter: &DecisionFilter,
     timeout: Duration,
 ) -> Result<ExplainReport, ExplainError> {
-    match tokio::time::timeout(timeout, ask(address, filter)).await {
+    match tokio::time::timeout(timeout, send_query(address, filter)).await {
         Ok(result) => result,
         Err(_) => TimedOutSnafu { address, timeout }.fail(),
     }
 }
 
-async fn ask(address: SocketAddr, filter: &DecisionFilter) -> Result<ExplainReport, ExplainError> {
+async fn send_query(
+    address: SocketAddr,
+    filter: &DecisionFilter,
+) -> Result<ExplainReport, ExplainError> {
     let stream = TcpStream::connect(address)
         .await
         .context(ConnectSnafu { address })?;
--- a/server/src/forward_client.rs
+++ b/server/src/forward_client.rs
@@ -83,7 +83,8 @@
         /// The place of the group.
         place: PlaceName,
     },
-    /// To run an action as the primary named by its ticket.
+    /// To dispatch an action as its primary: the only session that may do so with the ticket that
+    /// the action carries.
     Primary,
 }
 
@@ -230,7 +231,7 @@
     Response::from_parts(head, body)
 }
 
-/// Observer for a relayed answer: this entry VM holds no slot for it that would have to be
+/// Ignores the end of a relayed answer: this entry VM holds no slot for it that would have to be
 /// released.
 struct NoSlotHeld;
 
@@ -319,12 +320,15 @@
 }
 
 async fn open(security: &PeerSecurity, address: SocketAddr) -> Result<Sender, OpenError> {
-    tokio::time::timeout(CONNECT_TIMEOUT, open_unbounded(security, address))
+    tokio::time::timeout(CONNECT_TIMEOUT, open_without_timeout(security, address))
         .await
         .unwrap_or_else(|_| TimeoutSnafu.fail())
 }
 
-async fn open_unbounded(security: &PeerSecurity, address: SocketAddr) -> Result<Sender, OpenError> {
+async fn open_without_timeout(
+    security: &PeerSecurity,
+    address: SocketAddr,
+) -> Result<Sender, OpenError> {
     security.check_address(address).context(SecuritySnafu)?;
     let stream = TcpStream::connect(address).await.context(SocketSnafu)?;
     stream.set_nodelay(true).context(SocketSnafu)?;
--- a/server/src/header.rs
+++ b/server/src/header.rs
@@ -20,8 +20,8 @@
 /// The caller's idempotency key for an action.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// Distinguishes a caller's actions from those of other callers that use the same look-up. It is
-/// the only header with heatherring's prefix that callers set.
+/// Distinguishes a caller's actions from those of other callers that share the result of a look-up.
+/// It is the only header with heatherring's prefix that is passed on as the caller set it.
 pub const CALLER: HeaderName = HeaderName::from_static(CALLER_HEADER);
 
 /// The place of the caller; between entry VMs only.
@@ -30,7 +30,7 @@
 /// The service requested; between entry VMs only.
 pub const SERVICE: HeaderName = HeaderName::from_static("heatherring-service");
 
-/// The operation that matched; between entry VMs only.
+/// The operation of the service that the request matched; between entry VMs only.
 pub const OPERATION: HeaderName = HeaderName::from_static("heatherring-operation");
 
 /// Number of times that a request has been forwarded; between entry VMs only.
@@ -81,8 +81,8 @@
     }
 }
 
-/// Removes heatherring's own headers, which outside parties must not set, except [`CALLER`],
-/// which callers set.
+/// Removes heatherring's own headers except [`CALLER`]. Values set by outside parties must not be
+/// passed on; those that callers may set, such as [`DEADLINE_MS`], are read before.
 pub fn remove_own(headers: &mut HeaderMap) {
     let own: Vec<HeaderName> = headers
         .keys()
--- a/server/src/own_interface.rs
+++ b/server/src/own_interface.rs
@@ -54,7 +54,7 @@
 use crate::request_body;
 use crate::request_body::RequestBody;
 
-/// The object that a request concerns.
+/// The object that a request refers to, whose data may be cached at a backend server.
 const OBJECT: HeaderName = HeaderName::from_static("heatherring-object");
 /// The one backend server that may run a request.
 const BACKEND: HeaderName = HeaderName::from_static("heatherring-backend");
@@ -143,7 +143,7 @@
     record: BackendRecord,
 }
 
-/// JSON body of a manifest: its teams are written beside its other fields.
+/// JSON body of a manifest: the fields of the route manifest, and `teams` at the same level.
 #[derive(Debug, Serialize)]
 struct ManifestBody {
     #[serde(flatten)]
@@ -218,7 +218,7 @@
         (&Method::DELETE, ["v1", "evacuations", place]) => {
             done(control.set_evacuated(PlaceName::new(*place), false).await)
         }
-        (&Method::POST, ["v1", "routes"]) => match read::<FleetChange>(&body) {
+        (&Method::POST, ["v1", "routes"]) => match parse_json::<FleetChange>(&body) {
             Ok(change) => changed(control.change_manifest(change).await),
             Err(response) => *response,
         },
@@ -230,11 +230,12 @@
     }
 }
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, Box<Response<AnswerBody>>> {
+fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Box<Response<AnswerBody>>> {
     serde_json::from_slice(body)
         .map_err(|error| Box::new(reply::text(StatusCode::BAD_REQUEST, error.to_string())))
 }
 
+/// Builds the response to a change of the manifest.
 fn changed(result: Result<RouteAnswer, FleetError>) -> Response<AnswerBody> {
     match result {
         Ok(answer) => {
@@ -250,6 +251,7 @@
     }
 }
 
+/// Builds the response to a call that returns no content.
 fn done(result: Result<(), FleetError>) -> Response<AnswerBody> {
     match result {
         Ok(()) => reply::status(StatusCode::NO_CONTENT),
--- a/server/src/owner_path.rs
+++ b/server/src/owner_path.rs
@@ -54,8 +54,8 @@
 /// Runs a request at one of the group's backend servers. The body of the answer holds the slot,
 /// which is released with the last byte.
 ///
-/// If a backend server refuses the request or is unreachable, the caller is not refused: nothing
-/// ran, so another backend server of the group is tried within the retry budget.
+/// If a backend server refuses the request or is unreachable, the request was not run, so it is
+/// sent to another backend server of the group, within the retry budget.
 pub async fn run(
     cx: &Arc<EntryContext>,
     steered: &SteeredRequest,
@@ -73,11 +73,11 @@
             Outcome::NotRun(not_run) => not_run,
             other => return other,
         };
-        let another_may_take_it = matches!(
+        let is_retryable_elsewhere = matches!(
             not_run.reason(),
             NotRunReason::BackendRefused | NotRunReason::BackendUnreachable
         );
-        if !another_may_take_it || tries >= MAX_TRIES || !cx.admission.try_again().await {
+        if !is_retryable_elsewhere || tries >= MAX_TRIES || !cx.admission.try_again().await {
             return not_run.into();
         }
         tries += 1;
@@ -111,29 +111,29 @@
         address: target.address,
         max_connections: target.max_connections,
     };
-    let followed = cx.crashes.follow(backend, tag);
-    let gate = cx.state.gate(guard.session());
+    let tracked = cx.crashes.follow(backend, tag);
+    let lease_gate = cx.state.gate(guard.session());
     let now = cx.now();
-    let outcome = dispatcher::dispatch(&cx.pool, target, req, &gate, attempt, now).await;
+    let outcome = dispatcher::dispatch(&cx.pool, target, req, &lease_gate, attempt, now).await;
     log_dispatch(req, &guard, &outcome);
     match outcome {
         Outcome::Answer(answer) => {
             let end = OwnedAnswerObserver {
                 guard,
                 connection: answer.connection,
-                followed,
+                tracked,
                 pool: cx.pool.clone(),
             };
             Outcome::Answer(to_response(req.deadline, end, answer.response))
         }
         Outcome::NotRun(not_run) => {
-            followed.not_run();
+            tracked.not_run();
             guard.ended(ending_of_not_run(not_run));
             not_run.into()
         }
         Outcome::Unknown(unknown) => {
             if unknown.reason() == UnknownReason::ConnectionLost {
-                followed.broken();
+                tracked.broken();
             }
             guard.ended(ending_of_unknown(unknown));
             unknown.into()
@@ -208,20 +208,20 @@
 struct OwnedAnswerObserver {
     guard: DispatchGuard,
     connection: BackendConnection,
-    followed: TrackedRequest,
+    tracked: TrackedRequest,
     pool: BackendPool,
 }
 
 impl AnswerObserver for OwnedAnswerObserver {
     fn completed(self: Box<Self>) {
         self.pool.give_back(self.connection);
-        self.followed.answered();
+        self.tracked.answered();
         self.guard.answered();
     }
 
     fn broken(self: Box<Self>) {
         drop(self.connection);
-        self.followed.broken();
+        self.tracked.broken();
         self.guard.ended(Ending::Failed);
     }
 }
