--- a/server/tests/test_stop_elsewhere.rs
+++ b/server/tests/test_stop_elsewhere.rs
@@ -78,8 +78,8 @@
 /// Guards against a request that arrives after the entry VM has stopped accepting requests, but is
 /// dispatched and cut off when the process ends. Before the stop, a connection is opened and
 /// nothing or the beginning of a head is sent; the rest of its first request arrives shortly after
-/// the time for requests, 3.0 to 3.2 s after the signal with 6 s of grace. The entry VM waits half a
-/// second longer for the rest of a first head so that it can answer, but then dispatched the
+/// the time for requests, 3.0 to 3.2 s after the signal with 6 s of grace. The entry VM waits half
+/// a second longer for the rest of a first head so that it can answer, but then dispatched the
 /// request normally.
 #[rstest]
 #[case::nothing_sent_before(0)]
