--- a/server/tests/test_team_limits.rs
+++ b/server/tests/test_team_limits.rs
@@ -125,7 +125,7 @@
     drop(deployment);
 }
 
-/// Guards against a limit that is still enforced after it was lifted or its team's was removed.
+/// Guards against a limit that is still enforced after it was lifted or removed.
 #[tokio::test(flavor = "multi_thread")]
 async fn test_team_limit_is_lifted() {
     let (deployment, entries, _backend) = start(0.01, 0.0).await;
